--- a/bench/wave_policies/src/rollout.cpp
+++ b/bench/wave_policies/src/rollout.cpp
@@ -33,8 +33,8 @@
         for (const auto& view : w.kv.pools)
         {
             const bool spare = fleet::is_spare_pool(w.config, view.document.pool);
-            const int planned = fleet::need_of(view.document, w.config).planned_absent;
-            const int uncovered = planned - fleet::serving_guests(view.document);
+            const int planned = fleet::count_pool(view.document, w.config).planned_absent;
+            const int uncovered = planned - fleet::count_serving_borrowed(view.document);
             auto& most = most_[view.document.pool];
             most = spare ? 0 : std::max({most, policy.config.fixed_buffer, uncovered});
         }
@@ -60,7 +60,8 @@
     const auto& memory = w.members[0].memory;
     return std::any_of(memory.begin(),
         memory.end(),
-        [](const auto& it) { return it.second.short_of_guests || it.second.guests_idle; });
+        [](const auto& it)
+        { return it.second.waiting_for_borrowed_since || it.second.surplus_since; });
 }
 
 /// The next moment at which anything can be seen to happen.
--- a/libs/fleet/include/fleet/policies.hpp
+++ b/libs/fleet/include/fleet/policies.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Wave policies: data (model::policy_config) plus a row of free functions per kind.
+/// Wave policies: configuration data (model::policy_config) and one table row of free functions for
+/// each kind of policy.
 #pragma once
 
 #include "model/config.hpp"
@@ -11,60 +12,64 @@
 namespace camphorhitch::fleet
 {
 
-/// The order in which a wave takes its hosts; fit spare hosts always come first, being empty.
+/// The order in which a wave admits its hosts. Usable spare hosts always come first, because they
+/// carry no work.
 enum class wave_order
 {
     zone_by_zone, ///< one availability zone after the other
     pool_by_pool, ///< one pool after the other, zone by zone inside it
-    all_at_once   ///< any zone and pool that has room, those with most turns left first
+    all_at_once   ///< any zone and pool with budget headroom, most remaining rounds first
 };
 
-/// What a policy weighs in one pool.
-struct pool_need
+/// Host counts of one pool that a policy decides by.
+struct pool_counts
 {
-    int hosts = 0;          ///< own members
+    int hosts = 0;          ///< own confirmed hosts, borrowed hosts not counted
     int budget = 0;         ///< model::availability_budget::absent
-    int planned_absent = 0; ///< own hosts, draining, drained or rebooting
-    int failed = 0;         ///< own hosts
-    int admitted = 0;       ///< own hosts that active waves admitted, maintained ones among them
-    int unfinished = 0;     ///< own hosts that active waves have yet to maintain, and not failed
+    int planned_absent = 0; ///< own hosts that are draining, drained or rebooting
+    int failed = 0;         ///< own hosts that failed
+    int admitted = 0;       ///< own hosts that active waves admitted, maintained hosts included
+    int unfinished = 0;     ///< own hosts, not failed, that active waves have yet to maintain
 };
 
-/// What a policy weighs for the hosts that one wave maintains under it.
+/// Host counts of the part of one wave that is maintained under one policy.
 struct wave_progress
 {
-    int hosts = 0;       ///< selected and in some pool
-    int done = 0;        ///< maintained
-    int in_progress = 0; ///< admitted and not maintained yet
-    int spares = 0;      ///< hosts of spare pools that are fit, lent ones among them
+    int hosts = 0;       ///< selected hosts that are in a pool
+    int done = 0;        ///< hosts maintained
+    int in_progress = 0; ///< hosts admitted and not maintained yet
+    int spares = 0;      ///< hosts of spare pools that have not failed, lent hosts included
 };
 
-/// One kind of policy.
+/// The functions of one kind of policy.
 struct wave_policy
 {
     model::policy_kind kind;
     wave_order order;
-    /// \return most hosts in progress at once in the wave, beside what the budgets allow.
+    /// \return the largest number of hosts in progress at once in the wave; the budgets apply too.
     int (*window)(const model::policy_config&, const wave_progress&);
-    /// \return most own hosts of a pool away by plan at once, beside what the budget allows.
-    int (*pool_limit)(const model::policy_config&, const pool_need&);
-    /// \return guests that the pool should have.
-    int (*guests_wanted)(const model::policy_config&, const pool_need&);
-    /// \return own hosts that the pool should hold empty.
-    int (*held_wanted)(const model::policy_config&, const pool_need&);
+    /// \return the largest number of a pool's own hosts with a planned absence at once; the budget
+    /// applies too.
+    int (*pool_limit)(const model::policy_config&, const pool_counts&);
+    /// \return the number of borrowed hosts that the pool should have.
+    int (*borrowed_hosts_wanted)(const model::policy_config&, const pool_counts&);
+    /// \return the number of own hosts that the pool should hold empty as spare capacity.
+    int (*held_hosts_wanted)(const model::policy_config&, const pool_counts&);
 };
 
+/// \return the functions of policies of the given kind.
 const wave_policy& policy_of(model::policy_kind kind);
 
-/// \return the size of the batch that a wave is in after \p done hosts: canary, then growing.
+/// \return the size of the batch that a wave is in after \p done maintained hosts. The first batch
+/// is the canary; each later batch is larger by the policy's growth factor.
 int batch_after(const model::policy_config& p, int done);
 
-/// \return the policy of \p pool, or \p override_name's where that is not empty. A pool without a
-/// policy maintains one host at a time and holds nothing back.
+/// \return the policy named \p override_name if the configuration has one, else the policy of
+/// \p pool. A pool without a policy maintains one host at a time and holds no host as spare.
 model::policy_config policy_in_force(
     const model::configuration& c, const std::string& pool, const std::string& override_name);
 
-/// \return whether the canary batch of the policy is through.
+/// \return whether every host of the policy's canary batch has been maintained.
 bool canary_passed(const model::policy_config& p, const wave_progress& w);
 
 } // namespace camphorhitch::fleet
--- a/libs/fleet/include/fleet/pool_decider.hpp
+++ b/libs/fleet/include/fleet/pool_decider.hpp
@@ -1,9 +1,10 @@
 /// \file
-/// The next steps of one pool, decided by its owner from what it sees.
+/// Decides the next steps of one pool. The pool's owner, one entry host, calls it.
 ///
-/// Deciding again from the same or from older views does no harm: a write is conditional on the
-/// revision that it was decided from, a reboot is ordered only after the write that says so and
-/// under an id that is the same for the same turn, and all else is a repeat.
+/// A decision repeated from the same or from older views is harmless: a write is conditional on the
+/// revision that it was decided from; a reboot is ordered only after the hand-over has been
+/// written, under a command id that is the same for the same hand-over; and every other action is
+/// idempotent.
 #pragma once
 
 #include "core/time.hpp"
@@ -23,58 +24,65 @@
 namespace camphorhitch::fleet
 {
 
-/// What the dispatcher and the jobs' decider of this process know of one host, when they work by
-/// the very document that the decision is made from.
+/// Work in flight on one host, as counted by the dispatcher and the job decider of this process
+/// while both use the same document revision that the decision is made from.
 struct host_activity
 {
     std::string host;
-    /// The dispatcher grants nothing for the host, since it was told so.
+    /// The dispatcher has been told to stop the host and grants no permit for it.
     bool stopped = false;
-    /// This process is fresh and owns the pool, the take-over is complete, and no permit of a
-    /// former owner or of a silent member can be outstanding.
+    /// The counts below are complete: this process is fresh and owns the pool, the takeover is
+    /// complete, and no permit of a previous owner or of an unresponsive member can be outstanding.
     bool certain = false;
-    int requests = 0; ///< permits outstanding
-    int jobs = 0;     ///< tasks that run there, or may
+    int requests = 0; ///< outstanding permits
+    int jobs = 0;     ///< tasks that run on the host or may run there
 };
 
-/// \return whether nothing is in flight on the host and nobody can send to it.
-bool is_quiet(const host_activity& a);
+/// \return whether it is certain that nothing is in flight on the host and that no member can send
+/// to it.
+bool is_certainly_idle(const host_activity& a);
 
+/// Settings of the pool decisions.
 struct fleet_settings
 {
-    core::millis live_list_lag{5000}; ///< the platform's list is never older than this
-    core::millis drain_report_every{60000};
-    /// How long a guest stays when it is not needed: the wave's next pool may want it next.
-    core::millis guest_stay{10000};
+    core::millis live_list_lag{5000};          ///< maximum age of the platform's live list
+    core::millis drain_report_interval{60000}; ///< between two reports of the same slow drain
+    /// How long a pool keeps a borrowed host that it does not need. The pool that the wave
+    /// maintains next may need the host.
+    core::millis surplus_host_retention{10000};
 };
 
-/// What the owner remembers of one host's state, on its own clock: no timeout compares the wall
-/// times of two processes. After a take-over the times start anew.
+/// Timers of one host, on the monotonic clock of the pool's owner, so that no timeout compares the
+/// wall clocks of two processes. After a takeover all timers start again.
 struct host_timer
 {
     model::host_state state = model::host_state::serving;
     std::string command;
-    core::mono_time since{};
-    std::optional<core::mono_time> reboot_acknowledged;
-    std::optional<core::mono_time> reported;
+    core::mono_time since{};                            ///< time when the state was first seen
+    std::optional<core::mono_time> reboot_acknowledged; ///< time of the platform's acknowledgement
+    std::optional<core::mono_time> reported;            ///< time of the last slow-drain report
 };
 
-struct pool_memory
+/// Timers that the owner of a pool keeps from one decision to the next. They are not stored.
+struct pool_timers
 {
-    std::map<std::string, host_timer> hosts;
-    std::optional<core::mono_time> short_of_guests; ///< since when drains wait for a guest
-    std::optional<core::mono_time> guests_idle; ///< since when there are more guests than needed
+    std::map<std::string, host_timer> hosts; ///< by host id
+    /// Time since which drains have waited for a borrowed host.
+    std::optional<core::mono_time> waiting_for_borrowed_since;
+    /// Time since which the pool has had more borrowed hosts than it needs.
+    std::optional<core::mono_time> surplus_since;
 };
 
-/// Notes that the platform took \p command; a repeat of it is taken too.
-void note_reboot_acknowledged(
-    pool_memory& m, const std::string& host, const std::string& command, core::mono_time now);
+/// Records the time when the platform acknowledged the reboot order \p command. The
+/// acknowledgement of a repeated order counts too; only the first one is recorded.
+void record_reboot_acknowledged(
+    pool_timers& m, const std::string& host, const std::string& command, core::mono_time now);
 
-/// The live list by host, so that each pool's decision looks at its own hosts only.
-class live_lookup
+/// Index of the live list by host, so that each pool's decision processes its own hosts only.
+class live_list_index
 {
 public:
-    explicit live_lookup(const ports::live_list& all);
+    explicit live_list_index(const ports::live_list& all);
 
     /// \return the entries of the hosts of \p d.
     ports::live_list of(const model::pool_document& d) const;
@@ -84,49 +92,53 @@
     std::unordered_map<std::string, ports::live_host> hosts_;
 };
 
+/// What one pool decision is made from.
 struct pool_inputs
 {
-    const pool_view& own; ///< as read or written last
+    const pool_view& own; ///< the pool's document as last read or written
     const model::configuration& config;
     const std::vector<wave_view>& waves;
-    bool waves_known = false; ///< false: not read yet; nothing is concluded from a wave's absence
-    other_pools others;
-    const ports::live_list& live; ///< of this pool's hosts, or of more
+    /// False while the waves have not been read; then nothing is concluded from a missing wave.
+    bool waves_known = false;
+    other_pool_views others;
+    const ports::live_list& live; ///< covers this pool's hosts; may cover other hosts too
     const std::vector<host_activity>& activity;
     fleet_settings settings;
     core::mono_time now;
-    core::wall_time wall_now; ///< for records
+    core::wall_time wall_now; ///< for records only
 };
 
-/// Write the pool's document, if its revision is still \p expected.
+/// Action: write the pool's document if its store revision is still \p expected.
 struct write_pool
 {
     model::pool_document document;
     std::int64_t expected = 0;
-    std::vector<std::string> notes; ///< what changes, for the log
+    std::vector<std::string> notes; ///< descriptions of the changes, for the log
 };
 
-/// Order a reboot from the platform; then note_reboot_acknowledged(), when it was taken.
+/// Action: order a reboot from the platform, and call record_reboot_acknowledged() when the
+/// platform has acknowledged the order.
 struct order_reboot
 {
     std::string host;
     std::string command;
 };
 
-/// Tell the dispatcher to grant nothing more for a host, and the jobs' decider to place nothing.
+/// Action: stop the dispatcher from granting permits for a host, and the job decider from placing
+/// tasks on it.
 struct stop_host
 {
     std::string host;
 };
 
-/// Ask jobs that can't finish in \p time_left to move off.
+/// Action: move jobs that can't finish within \p time_left to other hosts.
 struct move_jobs_off
 {
     std::string host;
     core::millis time_left{0};
 };
 
-/// Tell operators of a drain that takes longer than the policy says.
+/// Action: report to operators that a drain takes longer than the policy's drain timeout.
 struct report_slow_drain
 {
     std::string host;
@@ -136,8 +148,10 @@
 using pool_action =
     std::variant<write_pool, order_reboot, stop_host, move_jobs_off, report_slow_drain>;
 
-/// \param memory kept by the owner from one call to the next, empty after a take-over.
-/// \return the steps to take now, none when all is well; at most one write, the last of them.
-std::vector<pool_action> decide_pool(const pool_inputs& in, pool_memory& memory);
+/// Decides what the owner of a pool does next.
+/// \param timers kept by the owner from one call to the next; empty after a takeover.
+/// \return the actions to carry out now, possibly none. At most one of them is a write, and it
+/// comes last.
+std::vector<pool_action> decide_pool(const pool_inputs& in, pool_timers& timers);
 
 } // namespace camphorhitch::fleet
--- a/libs/fleet/include/fleet/pool_events.hpp
+++ b/libs/fleet/include/fleet/pool_events.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// What can change a pool document: operators' wishes, news of the live list, and steps of a
-/// decider.
+/// The events that change a pool document: operators' requests, changes in the platform's live
+/// list, and steps of the pool's decider.
 #pragma once
 
 #include "model/fleet.hpp"
@@ -12,86 +12,91 @@
 namespace camphorhitch::fleet
 {
 
-// ---- operators' wishes: each carries the command's id, so that a repeat has its effect once ----
+// ---- Operators' requests. Each carries the id of its command, so that a repeated command takes
+// ---- effect only once.
 
-/// Take a host out for maintenance (reboot and return).
-struct wish_drain
+/// Drain a host for maintenance (reboot and return).
+struct drain_request
 {
     std::string host;
     std::string command;
 };
 
-/// Drain a host that the platform will take away, or that is to be given back to it.
-struct wish_leave
+/// Drain a host that leaves the fleet: the platform takes it away, or operators give it back.
+struct leave_request
 {
     std::string host;
     std::string command;
 };
 
-/// Hand a host over to another pool, for good.
-struct wish_move
+/// Move a host to another pool permanently.
+struct move_request
 {
     std::string host;
     std::string to;
     std::string command;
 };
 
-/// Undo a drain or move that was not handed over yet.
-struct wish_undo
+/// Undo a drain or move that has not been handed over yet.
+struct undo_request
 {
     std::string host;
     std::string command;
 };
 
-/// Put a host that no pool has into this one.
-struct wish_add
+/// Add a host that belongs to no pool to this pool.
+struct add_request
 {
     model::host_record host;
     std::string command;
 };
 
-/// Strike a host that is gone for good off the pool. A failed one goes once nobody can send to it.
-struct wish_forget
+/// Remove a host that is gone permanently from the pool. A failed host is removed once no member
+/// can send to it.
+struct forget_request
 {
     std::string host;
     std::string command;
-    bool settled = false; ///< is_settled(): no other document names the host
+    bool exclusive = false; ///< is_confirmed_exclusive(): no other document names the host
 };
 
-// ---- news of the live list ----
+// ---- Changes in the live list ----
 
+/// The live list shows the host as down.
 struct host_down
 {
     std::string host;
     std::int64_t boot_count = 0;
 };
 
+/// The live list shows the host as live.
 struct host_live
 {
     std::string host;
     std::int64_t boot_count = 0;
-    /// The platform acknowledged the reboot ordered last, and the list's lag has passed since.
+    /// The platform acknowledged the last reboot order, and the lag of the live list has passed
+    /// since the acknowledgement.
     bool reboot_certain = false;
 };
 
-/// The platform is about to take the host away.
+/// The live list shows that the platform is about to take the host away.
 struct host_leaving
 {
     std::string host;
     std::int64_t boot_count = 0;
 };
 
-// ---- steps ----
+// ---- Steps of the pool's decider ----
 
-/// Start the planned drain that a wave admitted.
+/// Start to drain a host that a wave admitted.
 struct start_drain
 {
     std::string host;
     std::string wave;
-    std::string weighed; ///< why now
+    std::string weighed; ///< what the decision was based on, for the host's decision record
 };
 
-/// Put a host that drains back to serving.
+/// Put a draining or drained host back into service.
 struct undo_drain
 {
     std::string host;
@@ -99,77 +104,79 @@
     std::string weighed;
 };
 
-/// Nothing is in flight on the host and nobody can send to it.
-struct confirm_quiet
+/// Mark a draining host as drained: nothing is in flight on it and no member can send to it.
+struct confirm_drained
 {
     std::string host;
 };
 
-/// Hand a drained host over to maintenance; the reboot is ordered after this is written.
+/// Hand a drained host over to maintenance. The reboot is ordered after this event is written.
 struct hand_over
 {
     std::string host;
 };
 
-/// A host did not come back in time from the reboot that \p command ordered.
+/// A host did not come back in time from the reboot ordered under the id \p command.
 struct return_timeout
 {
     std::string host;
     std::string command;
 };
 
-/// Strike a failed host off that operators wished to forget, when nothing can be sent to it.
-struct drop_host
+/// Remove a failed host that an operator asked to forget, when no member can send to it any more.
+struct remove_failed_host
 {
     std::string host;
-    bool settled = false; ///< as in release_host
+    bool exclusive = false; ///< as in release_host
 };
 
-/// Hand a drained or held host over to the pool that it goes to.
+/// Release a drained host to the pool that it moves to.
 struct release_host
 {
     std::string host;
-    bool settled = false; ///< is_settled(): the pool it came from has forgotten it
+    /// is_confirmed_exclusive(): the pool that the host came from has removed its released entry.
+    bool exclusive = false;
 };
 
-/// Take in a host that \p from released to this pool.
+/// Adopt a host that pool \p from released to this pool.
 struct adopt_host
 {
     model::released_host entry;
     std::string from;
-    bool hold = false;    ///< this pool keeps its hosts as spare capacity
-    bool current = false; ///< is_current(): the entry was seen after our document's last write
+    bool hold = false;    ///< this pool holds its hosts as spare capacity
+    bool current = false; ///< is_current(): the entry was read after this document's last write
 };
 
-/// The new pool has adopted the host that we released with this ownership number.
-struct forget_released
+/// Remove the released entry with this ownership number, after the new pool adopted the host.
+struct remove_released_entry
 {
     std::string host;
     std::int64_t ownership = 0;
 };
 
-/// A host that an operator added is in no other pool: it is ours from now on.
+/// Confirm a host that an operator added: no other pool has it, so it belongs to this pool from now
+/// on.
 struct confirm_added
 {
     std::string host;
-    std::int64_t ownership = 0; ///< higher than any that the host had before
+    std::int64_t ownership = 0; ///< higher than any ownership number that the host had before
 };
 
-/// A host that an operator added belongs elsewhere.
+/// Remove a host that an operator added, because it belongs to another pool.
 struct withdraw_added
 {
     std::string host;
-    std::string owner;
+    std::string owner; ///< the pool that has the host, for the note
 };
 
-/// Keep a fit host empty as spare capacity.
+/// Hold a serving host empty as spare capacity.
 struct hold_host
 {
     std::string host;
     std::string weighed;
 };
 
-/// Let a held host serve.
+/// Put a held host back into service.
 struct unhold_host
 {
     std::string host;
@@ -182,40 +189,42 @@
     std::string host;
     std::string to;
     std::string weighed;
-    bool settled = false; ///< as in release_host
+    bool exclusive = false; ///< as in release_host
 };
 
-/// Start to move a guest on: home, or to the next pool that needs it.
-struct send_guest_on
+/// Start to move a borrowed host that is not needed here: back to the pool that lent it, or to
+/// another pool that needs it.
+struct reassign_borrowed_host
 {
     std::string host;
     std::string to;
     std::string weighed;
 };
 
-using pool_event = std::variant<wish_drain,
-    wish_leave,
-    wish_move,
-    wish_undo,
-    wish_add,
-    wish_forget,
+/// Any event that apply() accepts.
+using pool_event = std::variant<drain_request,
+    leave_request,
+    move_request,
+    undo_request,
+    add_request,
+    forget_request,
     host_down,
     host_live,
     host_leaving,
     start_drain,
     undo_drain,
-    confirm_quiet,
+    confirm_drained,
     hand_over,
     return_timeout,
-    drop_host,
+    remove_failed_host,
     release_host,
     adopt_host,
-    forget_released,
+    remove_released_entry,
     confirm_added,
     withdraw_added,
     hold_host,
     unhold_host,
     lend_host,
-    send_guest_on>;
+    reassign_borrowed_host>;
 
 } // namespace camphorhitch::fleet
--- a/libs/fleet/include/fleet/pool_rules.hpp
+++ b/libs/fleet/include/fleet/pool_rules.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Every change of a pool document. Budgets are counted in the very change that starts an absence.
+/// Applies events to pool documents; all changes of a pool document are made here. The budget is
+/// counted in the same change that starts an absence.
 #pragma once
 
 #include "core/result.hpp"
@@ -13,40 +14,41 @@
 namespace camphorhitch::fleet
 {
 
-/// What a rule may look at beside the document.
+/// What a rule uses beside the document.
 struct rule_context
 {
     const model::configuration& config;
     core::wall_time now; ///< for records only
 };
 
-/// What became of an event.
+/// The effect of an event on a document.
 struct effect
 {
-    bool changed = false; ///< false: it had its effect before, or there was nothing to do
-    std::string note;     ///< for the operator or the log
+    bool changed = false; ///< false: the event was applied before, or there was nothing to do
+    std::string note;     ///< description for the operator or the log
 };
 
-/// Applies \p e to \p d. A conflict or refusal leaves \p d as it was.
+/// Applies \p e to \p d. When the event is refused, \p d stays unchanged and the error says why.
 core::result<effect> apply(model::pool_document& d, const pool_event& e, const rule_context& c);
 
-/// A changed copy of a document, for those who write it.
+/// A changed copy of a document, to be written to the store.
 struct pool_change
 {
     model::pool_document next;
-    effect what;
+    effect outcome;
 };
 
-/// Like apply(), on a copy.
+/// Applies \p e to a copy of \p d, as apply() does.
 core::result<pool_change> change(const model::pool_document& d,
     const pool_event& e,
     const model::configuration& config,
     core::wall_time now);
 
-/// \return whether a reboot of \p h was written down and the host was not seen to come back since.
+/// \return whether the document records that \p h was handed over for a reboot and the host has not
+/// been seen to come back since.
 bool reboot_pending(const model::host_record& h);
 
-/// Most command ids that a document remembers for repeats.
-inline constexpr std::size_t remembered_commands = 32;
+/// Number of command ids that a document keeps in order to recognize repeated commands.
+inline constexpr std::size_t max_recorded_commands = 32;
 
 } // namespace camphorhitch::fleet
--- a/libs/fleet/src/budget.cpp
+++ b/libs/fleet/src/budget.cpp
@@ -19,7 +19,7 @@
     return h.state != host_state::serving && h.state != host_state::held;
 }
 
-bool is_guest(const host_record& h)
+bool is_borrowed(const host_record& h)
 {
     return !h.lent_by.empty();
 }
@@ -29,16 +29,16 @@
     return is_member(h) && h.state == host_state::serving;
 }
 
-bool is_to_be_dropped(const host_record& h)
+bool is_pending_removal(const host_record& h)
 {
     return h.state == host_state::failed && h.purpose == drain_purpose::leaving;
 }
 
-int serving_guests(const model::pool_document& d)
+int count_serving_borrowed(const model::pool_document& d)
 {
     return static_cast<int>(std::count_if(d.hosts.begin(),
         d.hosts.end(),
-        [](const host_record& h) { return is_guest(h) && accepts_work(h); }));
+        [](const host_record& h) { return is_borrowed(h) && accepts_work(h); }));
 }
 
 bool is_undoable(const host_record& h)
@@ -54,8 +54,8 @@
     int total = 0;
     for (const auto& it : d.hosts)
     {
-        const int absent = is_member(it) && !is_guest(it) && is_absent(it) ? 1 : 0;
-        const int covering = is_guest(it) && accepts_work(it) ? 1 : 0;
+        const int absent = is_member(it) && !is_borrowed(it) && is_absent(it) ? 1 : 0;
+        const int covering = is_borrowed(it) && accepts_work(it) ? 1 : 0;
         balance[it.zone] += absent - covering;
         total += absent - covering;
     }
@@ -68,7 +68,7 @@
     return out;
 }
 
-bool within(const absences& a, const model::availability_budget& b)
+bool is_within_budget(const absences& a, const model::availability_budget& b)
 {
     const auto fits = [&](const auto& it)
     {
--- a/libs/fleet/src/room_book.cpp
+++ b/libs/fleet/src/budget_headroom.cpp
@@ -1,4 +1,4 @@
-#include "room_book.hpp"
+#include "budget_headroom.hpp"
 
 #include "fleet/budget.hpp"
 
@@ -27,28 +27,29 @@
     return n;
 }
 
-/// A guest that can be had stands in for one of the pool's absences.
+/// Adds the lendable spare hosts to the pool's budget if the policy borrows hosts, because each
+/// borrowed host replaces one absent host.
 model::availability_budget with_spares(
-    model::availability_budget b, const model::policy_config& p, pool_need need, int spares)
+    model::availability_budget b, const model::policy_config& p, pool_counts need, int spares)
 {
     need.admitted = 1;
     need.unfinished = 1;
-    const bool lends = policy_of(p.kind).guests_wanted(p, need) > 0;
+    const bool lends = policy_of(p.kind).borrowed_hosts_wanted(p, need) > 0;
     b.absent += lends ? spares : 0;
     return b;
 }
 
 } // namespace
 
-room_book::room_book(const wave_inputs& in) : in_(in), spares_(count_lendable(in))
+budget_headroom::budget_headroom(const wave_inputs& in) : in_(in), spares_(count_lendable(in))
 {
 }
 
-bool room_book::take(const wave_host& h, const model::policy_config& p)
+bool budget_headroom::reserve(const wave_host& h, const model::policy_config& p)
 {
-    auto& d = draft_of(h.pool);
+    auto& d = projected_pool(h.pool);
     const auto budget = budget_of(in_.config, h.pool);
-    const auto need = need_of(d, in_.config);
+    const auto need = count_pool(d, in_.config);
     if (!budget || need.planned_absent >= policy_of(p.kind).pool_limit(p, need))
     {
         return false;
@@ -56,7 +57,7 @@
     auto* host = model::find_host(d, h.id);
     const auto before = host->state;
     host->state = host_state::draining;
-    if (!within(count_absences(d), with_spares(*budget, p, need, spares_)))
+    if (!is_within_budget(count_absences(d), with_spares(*budget, p, need, spares_)))
     {
         host->state = before;
         return false;
@@ -64,17 +65,17 @@
     return true;
 }
 
-pool_document& room_book::draft_of(const std::string& pool)
+pool_document& budget_headroom::projected_pool(const std::string& pool)
 {
-    const auto known = drafts_.find(pool);
-    if (known != drafts_.end())
+    const auto known = projected_.find(pool);
+    if (known != projected_.end())
     {
         return known->second;
     }
     const auto it = std::find_if(in_.pools.begin(),
         in_.pools.end(),
         [&](const pool_view& v) { return v.document.pool == pool; });
-    return drafts_.emplace(pool, it->document).first->second;
+    return projected_.emplace(pool, it->document).first->second;
 }
 
 } // namespace camphorhitch::fleet
--- a/libs/fleet/src/drain_rules.cpp
+++ b/libs/fleet/src/drain_rules.cpp
@@ -1,4 +1,5 @@
-// Steps of a drain: start, undo, quiet, hand-over, and the reboot that does not come back.
+// Steps of a drain: start, undo, confirmation as drained, hand-over, and the time-out of the
+// reboot.
 #include "rule_support.hpp"
 
 #include "core/invariant.hpp"
@@ -15,8 +16,9 @@
 namespace
 {
 
-/// The same id for the same turn, whoever orders it: the platform does a command once only. No
-/// later turn can have it, as a host returns from maintenance with a higher boot_count only.
+/// \return the command id of the reboot. The id is the same for the same hand-over, whichever
+/// member orders the reboot, and the platform carries out a command once only. No later reboot can
+/// have the same id, because a host returns from maintenance only with a higher boot_count.
 std::string reboot_command(const host_record& h)
 {
     return "reboot/" + h.id + "/" + std::to_string(h.ownership) + "/" +
@@ -36,18 +38,18 @@
     {
         return unchanged(describe(*h));
     }
-    if (!is_member(*h) || is_absent(*h) || is_guest(*h))
+    if (!is_member(*h) || is_absent(*h) || is_borrowed(*h))
     {
         return refuse(error_code::conflict, describe(*h));
     }
-    return start_planned(d,
+    return start_planned_absence(d,
         *h,
         c,
         [&](host_record& it)
         {
             it.purpose = drain_purpose::maintenance;
             it.wave = e.wave;
-            enter(it, host_state::draining, "wave", e.weighed, c);
+            set_state(it, host_state::draining, "wave", e.weighed, c);
         });
 }
 
@@ -63,11 +65,11 @@
         return unchanged(describe(*h));
     }
     clear_plan(*h);
-    enter(*h, host_state::serving, e.rule, e.weighed, c);
+    set_state(*h, host_state::serving, e.rule, e.weighed, c);
     return changed(describe(*h));
 }
 
-rule_result apply_one(pool_document& d, const confirm_quiet& e, const rule_context& c)
+rule_result apply_one(pool_document& d, const confirm_drained& e, const rule_context& c)
 {
     auto* h = model::find_host(d, e.host);
     if (h == nullptr)
@@ -78,7 +80,7 @@
     {
         return unchanged(describe(*h));
     }
-    enter(*h,
+    set_state(*h,
         host_state::drained,
         "quiet",
         "nothing in flight, nobody can send; " + h->why.weighed,
@@ -98,7 +100,7 @@
         return refuse(error_code::conflict, "not to be handed over: " + describe(*h));
     }
     h->command = reboot_command(*h);
-    enter(*h, host_state::rebooting, "handed_over", "order " + h->command, c);
+    set_state(*h, host_state::rebooting, "handed_over", "order " + h->command, c);
     return changed(describe(*h));
 }
 
@@ -113,7 +115,7 @@
     {
         return unchanged(describe(*h));
     }
-    enter(*h, host_state::failed, "return_timeout", "not back in time from " + h->command, c);
+    set_state(*h, host_state::failed, "return_timeout", "not back in time from " + h->command, c);
     return changed(describe(*h));
 }
 
--- a/libs/fleet/src/drain_steps.cpp
+++ b/libs/fleet/src/drain_steps.cpp
@@ -1,4 +1,4 @@
-// News, timeouts, undoing, and the drains that go on.
+// Applies the live list and time-outs, undoes drains, and advances drains.
 #include "fleet/budget.hpp"
 #include "pool_steps.hpp"
 
@@ -15,14 +15,14 @@
 namespace
 {
 
-bool is_reboot_certain(const draft& d, const std::string& host)
+bool is_reboot_certain(const pool_update& d, const std::string& host)
 {
-    const auto it = d.memory.hosts.find(host);
-    const bool taken = it != d.memory.hosts.end() && it->second.reboot_acknowledged.has_value();
+    const auto it = d.timers.hosts.find(host);
+    const bool taken = it != d.timers.hosts.end() && it->second.reboot_acknowledged.has_value();
     return taken && d.in.now - *it->second.reboot_acknowledged >= d.in.settings.live_list_lag;
 }
 
-pool_event news_of(const draft& d, const ports::live_host& entry)
+pool_event event_for(const pool_update& d, const ports::live_host& entry)
 {
     switch (entry.state)
     {
@@ -36,7 +36,7 @@
     return host_live{entry.id, entry.boot_count, is_reboot_certain(d, entry.id)};
 }
 
-/// The host whose drain is undone first: the one that has drained for the shortest time.
+/// \return the host whose drain is undone first: the host that has drained for the shortest time.
 const host_record* newest_undoable(const model::pool_document& d)
 {
     const host_record* best = nullptr;
@@ -50,12 +50,12 @@
     return best;
 }
 
-/// A failure may use up a budget that planned drains were started within. Those that are not
-/// handed over yet are undone, until the budget holds or nothing is left to undo.
-void undo_over_budget(draft& d)
+/// A failure may use up the budget that planned drains were started within. Drains that have not
+/// been handed over are undone until the budget holds or no drain can be undone any more.
+void undo_drains_over_budget(pool_update& d)
 {
     const auto budget = budget_of(d.in.config, d.next.pool);
-    while (budget && !within(count_absences(d.next), *budget))
+    while (budget && !is_within_budget(count_absences(d.next), *budget))
     {
         const auto* h = newest_undoable(d.next);
         if (h == nullptr)
@@ -63,12 +63,13 @@
             return;
         }
         const std::string id = h->id;
-        step(d, undo_drain{id, "budget_used_up", describe_absences(d.next, budget)});
+        apply_step(d, undo_drain{id, "budget_used_up", describe_absences(d.next, budget)});
     }
 }
 
-/// A wave that halted, ended or is gone drains nothing more. One that is merely not known yet does.
-void undo_of_stopped_waves(draft& d)
+/// Undoes drains of waves that halted, ended or no longer exist. While the waves have not been
+/// read, no drain is undone.
+void undo_drains_of_stopped_waves(pool_update& d)
 {
     for (const auto& id : host_ids(d))
     {
@@ -83,19 +84,20 @@
             [&](const wave_view& w) { return w.document.id == wave; });
         if (it == d.in.waves.end())
         {
-            step(d, undo_drain{id, "wave_gone", "wave " + wave + " is gone"});
+            apply_step(d, undo_drain{id, "wave_gone", "wave " + wave + " is gone"});
         }
         else if (!is_active(it->document))
         {
             const auto phase = name_of(model::wave_phase_names, it->document.phase);
-            step(d, undo_drain{id, "wave_stopped", "wave " + wave + " is " + std::string{phase}});
+            apply_step(
+                d, undo_drain{id, "wave_stopped", "wave " + wave + " is " + std::string{phase}});
         }
     }
 }
 
 } // namespace
 
-void take_live_news(draft& d)
+void apply_live_list(pool_update& d)
 {
     if (!d.in.live.known)
     {
@@ -105,54 +107,56 @@
     {
         if (model::find_host(d.next, it.id) != nullptr)
         {
-            step(d, news_of(d, it));
+            apply_step(d, event_for(d, it));
         }
     }
 }
 
-void take_timeouts(draft& d)
+void fail_overdue_reboots(pool_update& d)
 {
     const auto p = managing_policy(d.next, d.in.waves, d.in.config);
     for (const auto& id : host_ids(d))
     {
         const auto* h = model::find_host(d.next, id);
-        const auto& timer = d.memory.hosts[id];
+        const auto& timer = d.timers.hosts[id];
         if (h->state == host_state::rebooting && timer.state == host_state::rebooting &&
             d.in.now - timer.since >= p.return_timeout)
         {
-            step(d, return_timeout{id, timer.command});
+            apply_step(d, return_timeout{id, timer.command});
         }
     }
 }
 
-void undo_what_must_not_go_on(draft& d)
+void undo_stopped_drains(pool_update& d)
 {
-    undo_of_stopped_waves(d);
-    undo_over_budget(d);
+    undo_drains_of_stopped_waves(d);
+    undo_drains_over_budget(d);
 }
 
-void advance_drains(draft& d)
+void advance_drains(pool_update& d)
 {
     for (const auto& id : host_ids(d))
     {
-        // The state that is written, not the draft's: a drain that is only about to be written has
-        // not stopped anybody, so what is in flight now says nothing about it.
+        // This uses the written state, not the state in d.next: a drain that is only about to be
+        // written has not stopped any member from sending, so the work in flight now does not show
+        // that the host is drained.
         const auto* written = model::find_host(d.in.own.document, id);
         const bool draining = written != nullptr && written->state == host_state::draining;
-        if (draining && is_quiet(activity_of(d.in, id)))
+        if (draining && is_certainly_idle(activity_of(d.in, id)))
         {
-            step(d, confirm_quiet{id});
+            apply_step(d, confirm_drained{id});
         }
-        if (written != nullptr && is_to_be_dropped(*written) && is_quiet(activity_of(d.in, id)))
+        if (written != nullptr && is_pending_removal(*written) &&
+            is_certainly_idle(activity_of(d.in, id)))
         {
-            step(d, drop_host{id, is_settled(d, id)});
+            apply_step(d, remove_failed_host{id, is_confirmed_exclusive(d, id)});
             continue;
         }
-        step(d, hand_over{id});
+        apply_step(d, hand_over{id});
         const auto* h = model::find_host(d.next, id);
         if (h->state == host_state::drained && h->purpose == drain_purpose::move)
         {
-            step(d, release_host{id, is_settled(d, id)});
+            apply_step(d, release_host{id, is_confirmed_exclusive(d, id)});
         }
     }
 }
--- a/libs/fleet/src/exchange_steps.cpp
+++ b/libs/fleet/src/exchange_steps.cpp
@@ -1,4 +1,4 @@
-// Hosts that come from and go to other pools.
+// Exchange of hosts with other pools.
 #include "fleet/budget.hpp"
 #include "pool_steps.hpp"
 
@@ -14,7 +14,7 @@
 namespace
 {
 
-void adopt_from(draft& d, const pool_document& other)
+void adopt_hosts_from(pool_update& d, const pool_document& other)
 {
     for (const auto& it : other.released)
     {
@@ -22,14 +22,14 @@
         {
             const bool current = is_current(d.in.others, d.in.own.revision);
             const bool hold = is_spare_pool(d.in.config, d.next.pool);
-            step(d, adopt_host{it, other.pool, hold, current});
+            apply_step(d, adopt_host{it, other.pool, hold, current});
         }
     }
 }
 
-/// An entry is dropped once the host stands in another document with that number or a higher one:
-/// it was adopted, and that never becomes untrue again.
-void forget_adopted(draft& d)
+/// Removes a released entry once another document has the host with the same or a higher ownership
+/// number. The host was adopted then, and a later state can't make that untrue.
+void remove_adopted_entries(pool_update& d)
 {
     const auto entries = d.next.released;
     for (const auto& entry : entries)
@@ -40,14 +40,15 @@
             const bool other = view.document.pool != d.next.pool;
             if (other && h != nullptr && h->ownership >= entry.host.ownership)
             {
-                step(d, forget_released{entry.host.id, entry.host.ownership});
+                apply_step(d, remove_released_entry{entry.host.id, entry.host.ownership});
             }
         }
     }
 }
 
-/// Whether another pool added the same host too, and ours gives way: one of the two must.
-bool gives_way(const draft& d, const std::string& host)
+/// \return whether another pool added the same host too and comes first by name. Exactly one of the
+/// two pools must withdraw the host.
+bool yields_to_other_pool(const pool_update& d, const std::string& host)
 {
     for (const auto& view : d.in.others.documents)
     {
@@ -61,7 +62,7 @@
     return false;
 }
 
-void settle_added(draft& d)
+void resolve_added_hosts(pool_update& d)
 {
     for (const auto& id : host_ids(d))
     {
@@ -72,31 +73,35 @@
             continue;
         }
         const auto owner = owner_of(id, d.in.others.documents);
-        if (owner.ownership > 0 || gives_way(d, id))
+        if (owner.ownership > 0 || yields_to_other_pool(d, id))
         {
-            step(d, withdraw_added{id, owner.ownership > 0 ? owner.pool : "another's wish"});
+            apply_step(
+                d, withdraw_added{id, owner.ownership > 0 ? owner.pool : "of another add request"});
         }
-        else if (is_settled(d, id))
+        else if (is_confirmed_exclusive(d, id))
         {
-            // Each move costs a write at least, so no earlier number exceeds the store's revision.
-            step(d, confirm_added{id, std::max<std::int64_t>(1, d.in.others.as_of)});
+            // Each move takes at least one write, so no earlier ownership number exceeds the
+            // revision of the store.
+            apply_step(d, confirm_added{id, std::max<std::int64_t>(1, d.in.others.as_of)});
         }
     }
 }
 
-/// Where a guest that is not needed goes: to a pool that needs one, or home.
-std::string next_stop(const draft& d, const host_record& guest)
+/// \return the pool that a surplus borrowed host goes to: a pool that needs one, else the pool that
+/// lent the host.
+std::string next_pool_for(const pool_update& d, const host_record& borrowed)
 {
-    const auto wanting = pools_short_of_guests(d.in.others.documents, d.in.waves, d.in.config);
-    const auto it = std::find_if(wanting.begin(),
-        wanting.end(),
+    const auto short_pools =
+        pools_short_of_borrowed_hosts(d.in.others.documents, d.in.waves, d.in.config);
+    const auto it = std::find_if(short_pools.begin(),
+        short_pools.end(),
         [&](const std::string& pool) { return pool != d.next.pool; });
-    return it == wanting.end() ? guest.lent_by : *it;
+    return it == short_pools.end() ? borrowed.lent_by : *it;
 }
 
-/// Whether a spare pool before this one, by name, has a host to lend: that one does, so that two
-/// don't answer the same need.
-bool leaves_it_to_another(const draft& d)
+/// \return whether a spare pool that comes before this one by name has a host to lend. That pool
+/// lends first, so that two pools don't lend for the same need.
+bool other_pool_lends_first(const pool_update& d)
 {
     const auto lends = [&](const host_record& h)
     {
@@ -112,8 +117,9 @@
         });
 }
 
-/// The zone of the host in \p pool that waits for a guest, for budgets per zone.
-std::string wanted_zone(const draft& d, const std::string& pool)
+/// \return the zone of the host in \p pool whose drain waits for a borrowed host. A borrowed host
+/// of the same zone counts for the budget of that zone too.
+std::string zone_waiting_for_host(const pool_update& d, const std::string& pool)
 {
     for (const auto& view : d.in.others.documents)
     {
@@ -123,7 +129,7 @@
         }
         for (const auto& it : view.document.hosts)
         {
-            const auto* wave = working_wave(it, d.in.waves);
+            const auto* wave = active_wave_for(it, d.in.waves);
             if (wave != nullptr && !is_absent(it) && admits(*wave, it.id))
             {
                 return it.zone;
@@ -133,15 +139,16 @@
     return "";
 }
 
-const host_record* pick_spare(const draft& d, const std::string& zone)
+const host_record* pick_spare(const pool_update& d, const std::string& zone)
 {
     const host_record* best = nullptr;
     for (const auto& it : d.next.hosts)
     {
         const auto* written = model::find_host(d.in.own.document, it.id);
         const bool was_held = written != nullptr && written->state == host_state::held;
-        const bool ready = was_held && is_lendable(it, d.in.waves) && is_settled(d, it.id) &&
-                           is_quiet(activity_of(d.in, it.id));
+        const bool ready = was_held && is_lendable(it, d.in.waves) &&
+                           is_confirmed_exclusive(d, it.id) &&
+                           is_certainly_idle(activity_of(d.in, it.id));
         if (ready && (best == nullptr || (it.zone == zone && best->zone != zone)))
         {
             best = &it;
@@ -152,30 +159,31 @@
 
 } // namespace
 
-void exchange_hosts(draft& d)
+void exchange_hosts(pool_update& d)
 {
     for (const auto& view : d.in.others.documents)
     {
         if (!view.document.released.empty() && view.document.pool != d.next.pool)
         {
-            adopt_from(d, view.document);
+            adopt_hosts_from(d, view.document);
         }
     }
-    forget_adopted(d);
-    settle_added(d);
+    remove_adopted_entries(d);
+    resolve_added_hosts(d);
 }
 
-void send_guests_on(draft& d)
+void reassign_surplus_hosts(pool_update& d)
 {
-    int surplus = serving_guests(d.next) - guests_wanted(d.next, d.in.waves, d.in.config);
+    int surplus =
+        count_serving_borrowed(d.next) - borrowed_hosts_wanted(d.next, d.in.waves, d.in.config);
     if (surplus <= 0)
     {
-        d.memory.guests_idle.reset();
+        d.timers.surplus_since.reset();
         return;
     }
-    const auto since = d.memory.guests_idle.value_or(d.in.now);
-    d.memory.guests_idle = since;
-    if (d.in.now - since < d.in.settings.guest_stay)
+    const auto since = d.timers.surplus_since.value_or(d.in.now);
+    d.timers.surplus_since = since;
+    if (d.in.now - since < d.in.settings.surplus_host_retention)
     {
         return;
     }
@@ -186,32 +194,33 @@
         {
             return;
         }
-        if (!is_guest(*h) || !accepts_work(*h))
+        if (!is_borrowed(*h) || !accepts_work(*h))
         {
             continue;
         }
-        const std::string to = next_stop(d, *h);
-        if (step(d, send_guest_on{id, to, "not needed in pool " + d.next.pool}))
+        const std::string to = next_pool_for(d, *h);
+        if (apply_step(d, reassign_borrowed_host{id, to, "not needed in pool " + d.next.pool}))
         {
             --surplus;
         }
     }
 }
 
-void lend_spares(draft& d)
+void lend_spare_hosts(pool_update& d)
 {
-    if (!is_spare_pool(d.in.config, d.next.pool) || leaves_it_to_another(d))
+    if (!is_spare_pool(d.in.config, d.next.pool) || other_pool_lends_first(d))
     {
         return;
     }
-    for (const auto& pool : pools_short_of_guests(d.in.others.documents, d.in.waves, d.in.config))
+    for (const auto& pool :
+        pools_short_of_borrowed_hosts(d.in.others.documents, d.in.waves, d.in.config))
     {
-        const auto* h = pick_spare(d, wanted_zone(d, pool));
+        const auto* h = pick_spare(d, zone_waiting_for_host(d, pool));
         if (h == nullptr)
         {
             return;
         }
-        step(d, lend_host{h->id, pool, "pool " + pool + " needs cover for an absence", true});
+        apply_step(d, lend_host{h->id, pool, "pool " + pool + " needs cover for an absence", true});
     }
 }
 
--- a/libs/fleet/src/news_rules.cpp
+++ b/libs/fleet/src/live_list_rules.cpp
@@ -1,4 +1,4 @@
-// News of the live list, which lags: an entry with an older boot_count tells of the past.
+// Changes in the live list. The list lags, so an entry with an older boot_count is outdated.
 #include "rule_support.hpp"
 
 namespace camphorhitch::fleet
@@ -18,7 +18,7 @@
                      std::to_string(h.boot_count) + " was seen");
 }
 
-rule_result come_back(host_record& h, const host_live& e, const rule_context& c)
+rule_result record_return(host_record& h, const host_live& e, const rule_context& c)
 {
     const bool was_maintained = reboot_pending(h);
     const std::string weighed = "boot " + std::to_string(h.boot_count) + " before, " +
@@ -29,13 +29,14 @@
     }
     clear_plan(h);
     h.boot_count = e.boot_count;
-    enter(h, host_state::serving, was_maintained ? "returned" : "back", weighed, c);
+    set_state(h, host_state::serving, was_maintained ? "returned" : "back", weighed, c);
     return changed(describe(h));
 }
 
-/// A reboot that was written down may still come, so the host serves only once it has been seen:
-/// requests sent before it would be cut off. The list may show a higher boot_count of an earlier
-/// crash; that is told apart by waiting for the list's lag after the platform's acknowledgement.
+/// A reboot that the document records may still be to come, and it would cut off requests that are
+/// sent before it. So the host serves again only once the reboot has been seen. The live list may
+/// show a higher boot_count because of an earlier crash; to rule that out, the list counts only
+/// when its lag has passed since the platform acknowledged the reboot order.
 rule_result live_after_reboot(host_record& h, const host_live& e, const rule_context& c)
 {
     if (e.boot_count <= h.boot_count)
@@ -46,7 +47,7 @@
     {
         return unchanged("the boot of host " + h.id + " may be an earlier one");
     }
-    return come_back(h, e, c);
+    return record_return(h, e, c);
 }
 
 } // namespace
@@ -74,12 +75,12 @@
     }
     const std::string weighed =
         "the live list has it down at boot " + std::to_string(e.boot_count) + "; " + describe(*h);
-    // The wave stays on record: it counts the failures among its hosts.
+    // The host keeps its wave, because the wave counts the failures among its hosts.
     const std::string wave = h->wave;
     clear_plan(*h);
     h->wave = wave;
     h->boot_count = e.boot_count;
-    enter(*h, host_state::failed, "down", weighed, c);
+    set_state(*h, host_state::failed, "down", weighed, c);
     return changed(describe(*h));
 }
 
@@ -98,15 +99,15 @@
     {
         return live_after_reboot(*h, e, c);
     }
-    if (is_to_be_dropped(*h))
+    if (is_pending_removal(*h))
     {
         return unchanged(describe(*h));
     }
-    const bool told_to_leave = h->purpose == drain_purpose::leaving && h->command.empty();
-    const bool stays = told_to_leave && is_absent(*h);
+    const bool taken_by_platform = h->purpose == drain_purpose::leaving && h->command.empty();
+    const bool stays = taken_by_platform && is_absent(*h);
     if (is_member(*h) && (h->state == host_state::failed || stays))
     {
-        return come_back(*h, e, c);
+        return record_return(*h, e, c);
     }
     if (e.boot_count > h->boot_count)
     {
@@ -127,17 +128,17 @@
     {
         return stale(*h, e.boot_count);
     }
-    const bool out_already = h->state == host_state::rebooting || h->state == host_state::failed;
-    if (!is_member(*h) || out_already || h->purpose == drain_purpose::leaving)
+    const bool already_away = h->state == host_state::rebooting || h->state == host_state::failed;
+    if (!is_member(*h) || already_away || h->purpose == drain_purpose::leaving)
     {
         return unchanged(describe(*h));
     }
-    // The platform takes the host whatever the budget says: an unplanned absence.
+    // The platform takes the host regardless of the budget, so this is an unplanned absence.
     const std::string weighed = "the live list has it leaving; " + describe(*h);
     const auto next = h->state == host_state::drained ? host_state::drained : host_state::draining;
     clear_plan(*h);
     h->purpose = drain_purpose::leaving;
-    enter(*h, next, "leaving", weighed, c);
+    set_state(*h, next, "leaving", weighed, c);
     return changed(describe(*h));
 }
 
--- a/libs/fleet/src/policies.cpp
+++ b/libs/fleet/src/policies.cpp
@@ -17,41 +17,43 @@
 
 constexpr int unlimited = std::numeric_limits<int>::max();
 
-/// Room that a pool keeps in its budget for a failure while a host is away by plan.
-constexpr int failure_room = 1;
+/// Number of hosts by which a pool keeps its budget free for failures during a planned absence.
+constexpr int failure_headroom = 1;
 
-/// Keeps a fast growth from overflowing; far above any fleet.
-constexpr int largest_sensible_batch = 100'000;
+/// Upper bound of a batch in hosts. It is far above the size of any fleet and keeps fast growth
+/// from overflowing.
+constexpr int max_batch = 100'000;
 
-int at_most_largest(const policy_config& p, int n)
+int cap_at_largest_batch(const policy_config& p, int n)
 {
     return p.largest_batch > 0 ? std::min(n, p.largest_batch) : n;
 }
 
-int no_limit(const policy_config&, const pool_need&)
+int no_limit(const policy_config&, const pool_counts&)
 {
     return unlimited;
 }
 
-int none(const policy_config&, const pool_need&)
+int none(const policy_config&, const pool_counts&)
 {
     return 0;
 }
 
-int one(const policy_config&, const pool_need&)
+int one(const policy_config&, const pool_counts&)
 {
     return 1;
 }
 
 // ---- one_by_one ----
 
-int window_of_one(const policy_config& p, const wave_progress&)
+int one_host_window(const policy_config& p, const wave_progress&)
 {
     return std::max(1, p.largest_batch);
 }
 
-/// A fixed buffer stands in each pool and serves while hosts are absent. One host always serves.
-int fixed_buffer(const policy_config& p, const pool_need& n)
+/// Each pool holds a fixed number of spare hosts, which serve while other hosts are absent. At
+/// least one host always serves.
+int fixed_buffer(const policy_config& p, const pool_counts& n)
 {
     const int absent = n.planned_absent + n.failed;
     return std::clamp(p.fixed_buffer - absent, 0, std::max(0, n.hosts - absent - 1));
@@ -59,18 +61,18 @@
 
 // ---- least_buffer ----
 
-/// No more at once than spare hosts can stand in for: a batch larger than that would need more of
-/// them, and they would idle for the rest of the time.
-int window_of_spares(const policy_config& p, const wave_progress& w)
+/// Limits the hosts in progress to the number of spare hosts that can replace them. A larger batch
+/// would need more spare hosts, which would idle for the rest of the time.
+int spare_host_window(const policy_config& p, const wave_progress& w)
 {
     const int covered = std::max(1, w.spares);
-    return at_most_largest(p, std::min(covered, batch_after(p, w.done)));
+    return cap_at_largest_batch(p, std::min(covered, batch_after(p, w.done)));
 }
 
-/// A guest for each planned absence, so that no pool needs a buffer of its own, and more where
-/// failures would exceed the budget. Guests stay while waves are at work on the pool: each moves
-/// once.
-int guests_for_absences(const policy_config&, const pool_need& n)
+/// One borrowed host for each planned absence, so that no pool needs a buffer of its own, and more
+/// when failures would exceed the budget. The pool keeps its borrowed hosts as long as waves
+/// maintain the pool, so that each borrowed host moves only once.
+int borrowed_for_absences(const policy_config&, const pool_counts& n)
 {
     const bool at_work = n.planned_absent > 0 || (n.admitted > 0 && n.unfinished > 0);
     if (!at_work)
@@ -78,23 +80,23 @@
         return std::max(0, n.failed - n.budget);
     }
     const int planned = std::max(1, n.planned_absent);
-    return std::max(planned, n.failed + planned + failure_room - n.budget);
+    return std::max(planned, n.failed + planned + failure_headroom - n.budget);
 }
 
 // ---- fastest ----
 
 int window_after_canary(const policy_config& p, const wave_progress& w)
 {
-    return canary_passed(p, w) ? at_most_largest(p, unlimited) : std::max(1, p.canary);
+    return canary_passed(p, w) ? cap_at_largest_batch(p, unlimited) : std::max(1, p.canary);
 }
 
 constexpr wave_policy policies[] = {
-    {policy_kind::one_by_one, wave_order::zone_by_zone, window_of_one, one, none, fixed_buffer},
+    {policy_kind::one_by_one, wave_order::zone_by_zone, one_host_window, one, none, fixed_buffer},
     {policy_kind::least_buffer,
         wave_order::pool_by_pool,
-        window_of_spares,
+        spare_host_window,
         no_limit,
-        guests_for_absences,
+        borrowed_for_absences,
         none},
     {policy_kind::fastest, wave_order::all_at_once, window_after_canary, no_limit, none, none},
 };
@@ -121,10 +123,10 @@
     while (through <= done)
     {
         const double grown = std::ceil(batch * std::max(1.0, p.growth));
-        batch = static_cast<int>(std::min<double>(grown, largest_sensible_batch));
+        batch = static_cast<int>(std::min<double>(grown, max_batch));
         through += batch;
     }
-    return at_most_largest(p, batch);
+    return cap_at_largest_batch(p, batch);
 }
 
 policy_config policy_in_force(
--- a/libs/fleet/src/pool_decider.cpp
+++ b/libs/fleet/src/pool_decider.cpp
@@ -14,8 +14,9 @@
 namespace
 {
 
-/// Starts the timer of each host whose state or turn is new, and drops those of hosts that left.
-void keep_timers(const pool_inputs& in, pool_memory& m)
+/// Restarts the timer of each host whose state or command changed, and removes the timers of hosts
+/// that left the pool.
+void update_timers(const pool_inputs& in, pool_timers& m)
 {
     std::map<std::string, host_timer> next;
     for (const auto& it : in.own.document.hosts)
@@ -48,7 +49,7 @@
         out.emplace_back(move_jobs_off{h.id, std::max(core::millis{0}, p.drain_timeout - elapsed)});
     }
     const auto last = timer.reported.value_or(core::mono_time{});
-    const bool again = !timer.reported || in.now - last >= in.settings.drain_report_every;
+    const bool again = !timer.reported || in.now - last >= in.settings.drain_report_interval;
     if (elapsed >= p.drain_timeout && again)
     {
         timer.reported = in.now;
@@ -59,8 +60,10 @@
     }
 }
 
-/// What the document as it stands asks for; never what is only about to be written.
-void standing_actions(const pool_inputs& in, pool_memory& m, std::vector<pool_action>& out)
+/// Adds the actions that the document as written calls for. Changes that this decision is about to
+/// write cause no action before they are written.
+void actions_for_written_document(
+    const pool_inputs& in, pool_timers& m, std::vector<pool_action>& out)
 {
     const auto& d = in.own.document;
     const auto p = managing_policy(d, in.waves, in.config);
@@ -84,7 +87,7 @@
 
 } // namespace
 
-live_lookup::live_lookup(const ports::live_list& all) : known_(all.known)
+live_list_index::live_list_index(const ports::live_list& all) : known_(all.known)
 {
     for (const auto& it : all.hosts)
     {
@@ -92,7 +95,7 @@
     }
 }
 
-ports::live_list live_lookup::of(const model::pool_document& d) const
+ports::live_list live_list_index::of(const model::pool_document& d) const
 {
     ports::live_list out;
     out.known = known_;
@@ -107,13 +110,13 @@
     return out;
 }
 
-bool is_quiet(const host_activity& a)
+bool is_certainly_idle(const host_activity& a)
 {
     return a.stopped && a.certain && a.requests == 0 && a.jobs == 0;
 }
 
-void note_reboot_acknowledged(
-    pool_memory& m, const std::string& host, const std::string& command, core::mono_time now)
+void record_reboot_acknowledged(
+    pool_timers& m, const std::string& host, const std::string& command, core::mono_time now)
 {
     const auto it = m.hosts.find(host);
     if (it != m.hosts.end() && it->second.command == command && !it->second.reboot_acknowledged)
@@ -122,7 +125,7 @@
     }
 }
 
-bool step(draft& d, const pool_event& e)
+bool apply_step(pool_update& d, const pool_event& e)
 {
     const auto out = apply(d.next, e, rule_context{d.in.config, d.in.wall_now});
     const bool done = core::is_ok(out) && core::value(out).changed;
@@ -141,12 +144,12 @@
     return it == in.activity.end() ? host_activity{} : *it;
 }
 
-bool is_settled(const draft& d, const std::string& host)
+bool is_confirmed_exclusive(const pool_update& d, const std::string& host)
 {
-    return is_settled(host, d.next.pool, d.in.own.revision, d.in.others);
+    return is_confirmed_exclusive(host, d.next.pool, d.in.own.revision, d.in.others);
 }
 
-std::vector<std::string> host_ids(const draft& d)
+std::vector<std::string> host_ids(const pool_update& d)
 {
     std::vector<std::string> out;
     out.reserve(d.next.hosts.size());
@@ -157,21 +160,21 @@
     return out;
 }
 
-std::vector<pool_action> decide_pool(const pool_inputs& in, pool_memory& memory)
+std::vector<pool_action> decide_pool(const pool_inputs& in, pool_timers& timers)
 {
-    keep_timers(in, memory);
+    update_timers(in, timers);
     std::vector<pool_action> out;
-    standing_actions(in, memory, out);
-    draft d{in, memory, in.own.document, {}};
-    take_live_news(d);
-    take_timeouts(d);
-    undo_what_must_not_go_on(d);
+    actions_for_written_document(in, timers, out);
+    pool_update d{in, timers, in.own.document, {}};
+    apply_live_list(d);
+    fail_overdue_reboots(d);
+    undo_stopped_drains(d);
     advance_drains(d);
     exchange_hosts(d);
-    send_guests_on(d);
-    lend_spares(d);
+    reassign_surplus_hosts(d);
+    lend_spare_hosts(d);
     start_wave_drains(d);
-    keep_buffer(d);
+    adjust_held_hosts(d);
     if (!d.notes.empty())
     {
         out.emplace_back(write_pool{std::move(d.next), in.own.revision, std::move(d.notes)});
--- a/libs/fleet/src/pool_rules.cpp
+++ b/libs/fleet/src/pool_rules.cpp
@@ -12,12 +12,12 @@
 namespace
 {
 
-/// Whether an event starts an absence by plan, after which the budgets must hold.
+/// \return whether \p e starts a planned absence, after which the budgets must hold.
 bool starts_planned_absence(const pool_event& e)
 {
-    return std::holds_alternative<wish_drain>(e) || std::holds_alternative<wish_leave>(e) ||
-           std::holds_alternative<wish_move>(e) || std::holds_alternative<start_drain>(e) ||
-           std::holds_alternative<send_guest_on>(e);
+    return std::holds_alternative<drain_request>(e) || std::holds_alternative<leave_request>(e) ||
+           std::holds_alternative<move_request>(e) || std::holds_alternative<start_drain>(e) ||
+           std::holds_alternative<reassign_borrowed_host>(e);
 }
 
 bool is_each_host_once(const model::pool_document& d)
@@ -50,7 +50,7 @@
     const auto budget = budget_of(c.config, d.pool);
     if (budget && starts_planned_absence(e))
     {
-        core::require(within(count_absences(d), *budget),
+        core::require(is_within_budget(count_absences(d), *budget),
             "a planned absence keeps the budget",
             describe_absences(d, budget));
     }
@@ -83,7 +83,7 @@
     {
         return core::failure(what);
     }
-    out.what = core::value(what);
+    out.outcome = core::value(what);
     return out;
 }
 
--- a/libs/fleet/src/pool_steps.hpp
+++ b/libs/fleet/src/pool_steps.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The parts of a pool's decision. Each works on one draft of the next document.
+/// The parts of a pool's decision. Each part changes the same copy of the pool's document.
 #pragma once
 
 #include "fleet/pool_decider.hpp"
@@ -11,37 +11,55 @@
 namespace camphorhitch::fleet
 {
 
-/// The next document under construction.
-struct draft
+/// A copy of the pool's document, to which the parts of the decision apply their events.
+struct pool_update
 {
     const pool_inputs& in;
-    pool_memory& memory;
-    model::pool_document next;
-    std::vector<std::string> notes;
+    pool_timers& timers;
+    model::pool_document next;      ///< the document with the events applied so far
+    std::vector<std::string> notes; ///< one description for each event that changed the document
 };
 
-/// Applies \p e to the draft. \return whether it changed it.
-bool step(draft& d, const pool_event& e);
+/// Applies \p e to the document. \return whether the document changed.
+bool apply_step(pool_update& d, const pool_event& e);
 
-/// \return what is known of \p host; nothing known is not quiet.
+/// \return the activity of \p host. A host without an entry is never certainly idle.
 host_activity activity_of(const pool_inputs& in, const std::string& host);
 
-/// \return whether no other document names \p host, by a recent enough view.
-bool is_settled(const draft& d, const std::string& host);
+/// \return whether no other document names \p host, according to views that are current.
+bool is_confirmed_exclusive(const pool_update& d, const std::string& host);
 
-/// \return ids of the draft's hosts, to walk over while the draft changes.
-std::vector<std::string> host_ids(const draft& d);
+/// \return the ids of the document's hosts, to iterate over while the document changes.
+std::vector<std::string> host_ids(const pool_update& d);
 
-// ---- the parts, in the order in which they are taken ----
+// ---- The parts, in the order in which decide_pool() calls them ----
 
-void take_live_news(draft& d);
-void take_timeouts(draft& d);
-void undo_what_must_not_go_on(draft& d);
-void advance_drains(draft& d);
-void exchange_hosts(draft& d);
-void send_guests_on(draft& d);
-void lend_spares(draft& d);
-void start_wave_drains(draft& d);
-void keep_buffer(draft& d);
+/// Applies the state of each of the pool's hosts in the live list.
+void apply_live_list(pool_update& d);
+
+/// Marks hosts as failed that did not come back from their reboot in time.
+void fail_overdue_reboots(pool_update& d);
+
+/// Undoes drains of waves that stopped, and drains that a failure leaves no budget for.
+void undo_stopped_drains(pool_update& d);
+
+/// Moves each drain to its next state as far as the work in flight allows.
+void advance_drains(pool_update& d);
+
+/// Adopts released hosts, removes released entries that were adopted, and confirms or withdraws
+/// hosts that operators added.
+void exchange_hosts(pool_update& d);
+
+/// Starts to move borrowed hosts away that the pool has not needed for a while.
+void reassign_surplus_hosts(pool_update& d);
+
+/// Lends held hosts of a spare pool to pools that need them.
+void lend_spare_hosts(pool_update& d);
+
+/// Starts drains of hosts that waves admitted, as far as policy and budget allow.
+void start_wave_drains(pool_update& d);
+
+/// Holds hosts, or puts held hosts back into service, to match the wanted spare capacity.
+void adjust_held_hosts(pool_update& d);
 
 } // namespace camphorhitch::fleet
--- a/libs/fleet/src/wish_rules.cpp
+++ b/libs/fleet/src/request_rules.cpp
@@ -1,4 +1,5 @@
-// Operators' wishes. A conflict is told at once, with what stands in the way; nothing is queued.
+// Operators' requests. A conflict is answered at once with what blocks the request; no request is
+// queued.
 #include "rule_support.hpp"
 
 #include <algorithm>
@@ -15,10 +16,10 @@
 namespace
 {
 
-constexpr auto repeat_note = "applied before";
+constexpr auto already_applied_note = "applied before";
 
-/// \return why \p h can't start to leave now, or an empty string.
-std::string busy_with(const host_record& h)
+/// \return why \p h can't start a planned absence now, or an empty string.
+std::string describe_conflict(const host_record& h)
 {
     if (!is_member(h))
     {
@@ -27,8 +28,8 @@
     return is_absent(h) ? describe(h) : "";
 }
 
-/// Starts a drain that an operator wished for.
-rule_result drain_by_wish(pool_document& d,
+/// Starts a drain that an operator requested.
+rule_result drain_by_request(pool_document& d,
     const std::string& host,
     const std::string& command,
     const rule_context& c,
@@ -36,37 +37,38 @@
 {
     if (is_repeat(d, command))
     {
-        return unchanged(repeat_note);
+        return unchanged(already_applied_note);
     }
     auto* h = model::find_host(d, host);
     if (h == nullptr)
     {
         return no_such_host(host, d);
     }
-    if (const auto busy = busy_with(*h); !busy.empty())
+    if (const auto busy = describe_conflict(*h); !busy.empty())
     {
         return refuse(error_code::conflict, busy);
     }
     const auto weighed = describe_absences(d, budget_of(c.config, d.pool));
-    auto out = start_planned(d,
+    auto out = start_planned_absence(d,
         *h,
         c,
         [&](host_record& it)
         {
             plan(it);
             it.command = command;
-            enter(it, host_state::draining, "operator", "command " + command + "; " + weighed, c);
+            set_state(
+                it, host_state::draining, "operator", "command " + command + "; " + weighed, c);
         });
     if (core::is_ok(out))
     {
-        remember(d, command);
+        record_command(d, command);
     }
     return out;
 }
 
 } // namespace
 
-rule_result apply_one(pool_document& d, const wish_drain& e, const rule_context& c)
+rule_result apply_one(pool_document& d, const drain_request& e, const rule_context& c)
 {
     const auto budget = budget_of(c.config, d.pool);
     if (budget && (budget->absent < 1 || budget->absent_per_zone < 1))
@@ -74,17 +76,17 @@
         return refuse(
             error_code::invalid, "the budget of pool " + d.pool + " never allows an absence");
     }
-    return drain_by_wish(
+    return drain_by_request(
         d, e.host, e.command, c, [](host_record& it) { it.purpose = drain_purpose::maintenance; });
 }
 
-rule_result apply_one(pool_document& d, const wish_leave& e, const rule_context& c)
+rule_result apply_one(pool_document& d, const leave_request& e, const rule_context& c)
 {
-    return drain_by_wish(
+    return drain_by_request(
         d, e.host, e.command, c, [](host_record& it) { it.purpose = drain_purpose::leaving; });
 }
 
-rule_result apply_one(pool_document& d, const wish_move& e, const rule_context& c)
+rule_result apply_one(pool_document& d, const move_request& e, const rule_context& c)
 {
     if (e.to == d.pool)
     {
@@ -94,7 +96,7 @@
     {
         return refuse(error_code::not_found, "pool " + e.to + " is not configured");
     }
-    return drain_by_wish(d,
+    return drain_by_request(d,
         e.host,
         e.command,
         c,
@@ -105,11 +107,11 @@
         });
 }
 
-rule_result apply_one(pool_document& d, const wish_undo& e, const rule_context& c)
+rule_result apply_one(pool_document& d, const undo_request& e, const rule_context& c)
 {
     if (is_repeat(d, e.command))
     {
-        return unchanged(repeat_note);
+        return unchanged(already_applied_note);
     }
     auto* h = model::find_host(d, e.host);
     if (h == nullptr)
@@ -120,11 +122,11 @@
     {
         return unchanged(describe(*h));
     }
-    if (is_to_be_dropped(*h))
+    if (is_pending_removal(*h))
     {
         clear_plan(*h);
-        enter(*h, host_state::failed, "operator", "command " + e.command + " keeps it", c);
-        remember(d, e.command);
+        set_state(*h, host_state::failed, "operator", "command " + e.command + " keeps it", c);
+        record_command(d, e.command);
         return changed(describe(*h));
     }
     if (!is_undoable(*h))
@@ -136,16 +138,16 @@
         return refuse(error_code::conflict, describe(*h) + "; cancel the wave instead");
     }
     clear_plan(*h);
-    enter(*h, host_state::serving, "operator", "command " + e.command + " undid the drain", c);
-    remember(d, e.command);
+    set_state(*h, host_state::serving, "operator", "command " + e.command + " undid the drain", c);
+    record_command(d, e.command);
     return changed(describe(*h));
 }
 
-rule_result apply_one(pool_document& d, const wish_add& e, const rule_context& c)
+rule_result apply_one(pool_document& d, const add_request& e, const rule_context& c)
 {
     if (is_repeat(d, e.command))
     {
-        return unchanged(repeat_note);
+        return unchanged(already_applied_note);
     }
     if (model::find_pool(c.config, d.pool) == nullptr)
     {
@@ -162,21 +164,22 @@
     host_record h = e.host;
     clear_plan(h);
     h.lent_by.clear();
-    // Two operators may add one host to two pools at the same moment, in two documents. Neither
-    // pool uses it before it has seen, after its own write, that no other document names it.
+    // Two operators may add the same host to two pools at the same moment, in two documents.
+    // Neither pool uses the host before its owner has read, after its own write, that no other
+    // document names the host.
     h.ownership = 0;
     h.command = e.command;
-    enter(h, host_state::held, "operator", "command " + e.command + "; not confirmed yet", c);
+    set_state(h, host_state::held, "operator", "command " + e.command + "; not confirmed yet", c);
     d.hosts.push_back(std::move(h));
-    remember(d, e.command);
+    record_command(d, e.command);
     return changed("host " + e.host.id + " added");
 }
 
-rule_result apply_one(pool_document& d, const wish_forget& e, const rule_context& c)
+rule_result apply_one(pool_document& d, const forget_request& e, const rule_context& c)
 {
     if (is_repeat(d, e.command))
     {
-        return unchanged(repeat_note);
+        return unchanged(already_applied_note);
     }
     const auto it = std::find_if(
         d.hosts.begin(), d.hosts.end(), [&](const host_record& h) { return h.id == e.host; });
@@ -191,16 +194,16 @@
         return refuse(
             error_code::conflict, describe(*it) + "; only a host that is gone is forgotten");
     }
-    if (is_member(*it) && !e.settled)
+    if (is_member(*it) && !e.exclusive)
     {
         return refuse(error_code::unavailable, "host " + e.host + " has just moved; try again");
     }
-    remember(d, e.command);
+    record_command(d, e.command);
     if (is_member(*it) && failed)
     {
-        // Its pool's owner may not have seen it fail and still send to it; were it struck off now
-        // and added to another pool, two would send to it at once. The owner strikes it off when
-        // none can.
+        // The pool's owner may not have read yet that the host failed, and may still send to it. If
+        // the host were removed now and added to another pool, two pools would send to it at once.
+        // The owner removes the host when no member can send to it.
         clear_plan(*it);
         it->purpose = drain_purpose::leaving;
         it->command = e.command;
--- a/libs/fleet/src/rule_support.cpp
+++ b/libs/fleet/src/rule_support.cpp
@@ -32,7 +32,7 @@
     return refuse(core::error_code::not_found, "host " + host + " is not in pool " + d.pool);
 }
 
-void enter(
+void set_state(
     host_record& h, host_state state, std::string rule, std::string weighed, const rule_context& c)
 {
     h.state = state;
@@ -53,12 +53,12 @@
     return std::find(d.commands.begin(), d.commands.end(), command) != d.commands.end();
 }
 
-void remember(pool_document& d, const std::string& command)
+void record_command(pool_document& d, const std::string& command)
 {
     d.commands.insert(d.commands.begin(), command);
-    if (d.commands.size() > remembered_commands)
+    if (d.commands.size() > max_recorded_commands)
     {
-        d.commands.resize(remembered_commands);
+        d.commands.resize(max_recorded_commands);
     }
 }
 
@@ -85,7 +85,7 @@
     return text;
 }
 
-rule_result start_planned(pool_document& d,
+rule_result start_planned_absence(pool_document& d,
     host_record& h,
     const rule_context& c,
     const std::function<void(host_record&)>& start)
@@ -94,13 +94,14 @@
     const auto blockers = describe_absences(d, budget);
     const host_record before = h;
     start(h);
-    // A pool that the configuration dropped has no budget to keep; its hosts may only be moved out.
+    // A pool that is no longer configured has no budget; its hosts may only be moved to other
+    // pools.
     if (!budget && h.purpose != drain_purpose::move)
     {
         h = before;
         return refuse(core::error_code::invalid, "pool " + d.pool + " is not configured");
     }
-    if (budget && !within(count_absences(d), *budget))
+    if (budget && !is_within_budget(count_absences(d), *budget))
     {
         h = before;
         return refuse(core::error_code::conflict, "no room in the budget; " + blockers);
@@ -108,7 +109,7 @@
     return changed(describe(h));
 }
 
-void release(pool_document& d, const std::string& host, const std::string& to, bool as_guest)
+void release(pool_document& d, const std::string& host, const std::string& to, bool as_borrowed)
 {
     const auto it = std::find_if(
         d.hosts.begin(), d.hosts.end(), [&](const host_record& h) { return h.id == host; });
@@ -118,8 +119,8 @@
     clear_plan(entry.host);
     entry.host.ownership = it->ownership + 1;
     entry.host.state = host_state::serving;
-    entry.host.lent_by = !as_guest || to == it->lent_by ? "" : it->lent_by;
-    if (as_guest && it->lent_by.empty())
+    entry.host.lent_by = !as_borrowed || to == it->lent_by ? "" : it->lent_by;
+    if (as_borrowed && it->lent_by.empty())
     {
         entry.host.lent_by = d.pool;
     }
--- a/libs/fleet/src/transfer_rules.cpp
+++ b/libs/fleet/src/transfer_rules.cpp
@@ -1,4 +1,4 @@
-// Hosts on their way between pools, spare capacity held, lent and sent on.
+// Transfers of hosts between pools, and spare capacity: hold, lend and reassign.
 #include "rule_support.hpp"
 
 #include "core/invariant.hpp"
@@ -17,9 +17,10 @@
 namespace
 {
 
-constexpr auto not_settled = " has just come from another pool, which has not forgotten it yet";
+constexpr auto not_exclusive_text =
+    " has just come from another pool, which has not forgotten it yet";
 
-bool released_since(const pool_document& d, const model::released_host& e)
+bool was_released_since(const pool_document& d, const model::released_host& e)
 {
     return std::any_of(d.released.begin(),
         d.released.end(),
@@ -29,7 +30,7 @@
 
 } // namespace
 
-rule_result apply_one(pool_document& d, const drop_host& e, const rule_context&)
+rule_result apply_one(pool_document& d, const remove_failed_host& e, const rule_context&)
 {
     const auto it = std::find_if(
         d.hosts.begin(), d.hosts.end(), [&](const host_record& h) { return h.id == e.host; });
@@ -37,13 +38,13 @@
     {
         return no_such_host(e.host, d);
     }
-    if (!is_to_be_dropped(*it))
+    if (!is_pending_removal(*it))
     {
         return refuse(error_code::conflict, "not to be dropped: " + describe(*it));
     }
-    if (!e.settled)
+    if (!e.exclusive)
     {
-        return refuse(error_code::unavailable, "host " + e.host + not_settled);
+        return refuse(error_code::unavailable, "host " + e.host + not_exclusive_text);
     }
     d.hosts.erase(it);
     return changed("host " + e.host + " forgotten");
@@ -60,14 +61,15 @@
     {
         return refuse(error_code::conflict, "not to be released: " + describe(*h));
     }
-    // Were it passed on at once, the former pool's old entry could be adopted a second time.
-    if (!e.settled)
+    // If the host were released before the previous pool has removed its released entry, that entry
+    // could be adopted a second time.
+    if (!e.exclusive)
     {
-        return refuse(error_code::unavailable, "host " + e.host + not_settled);
+        return refuse(error_code::unavailable, "host " + e.host + not_exclusive_text);
     }
     const std::string to = h->move_to;
-    const bool as_guest = is_guest(*h) && h->command.empty();
-    release(d, e.host, to, as_guest);
+    const bool as_borrowed = is_borrowed(*h) && h->command.empty();
+    release(d, e.host, to, as_borrowed);
     return changed("host " + e.host + " released to pool " + to);
 }
 
@@ -80,14 +82,14 @@
     }
     auto* known = model::find_host(d, e.entry.host.id);
     const bool later = known != nullptr && known->ownership >= e.entry.host.ownership;
-    if (later || released_since(d, e.entry))
+    if (later || was_released_since(d, e.entry))
     {
         return unchanged("host " + e.entry.host.id + " was adopted before");
     }
     if (known != nullptr && is_member(*known))
     {
-        // We gave it away and got it back since: our document is an old one, and so is this
-        // decision.
+        // The host has left this pool and come back since this document was read: the document is
+        // outdated, and so is this decision.
         return refuse(error_code::conflict,
             "pool " + d.pool + " was read before host " + known->id + " left it");
     }
@@ -98,13 +100,13 @@
     *known = e.entry.host;
     clear_plan(*known);
     known->lent_by = known->lent_by == d.pool ? "" : known->lent_by;
-    const bool hold = e.hold && !is_guest(*known);
+    const bool hold = e.hold && !is_borrowed(*known);
     const auto next = hold ? host_state::held : host_state::serving;
-    enter(*known, next, "adopted", "from pool " + e.from, c);
+    set_state(*known, next, "adopted", "from pool " + e.from, c);
     return changed(describe(*known));
 }
 
-rule_result apply_one(pool_document& d, const forget_released& e, const rule_context&)
+rule_result apply_one(pool_document& d, const remove_released_entry& e, const rule_context&)
 {
     const auto done = [&](const model::released_host& it)
     {
@@ -130,7 +132,7 @@
     core::require(e.ownership > 0, "a confirmed host has an owner", e.host);
     h->ownership = e.ownership;
     h->command.clear();
-    enter(*h, host_state::serving, "added", "no other pool names it", c);
+    set_state(*h, host_state::serving, "added", "no other pool names it", c);
     return changed(describe(*h));
 }
 
@@ -158,7 +160,7 @@
     {
         return unchanged(describe(*h));
     }
-    enter(*h, host_state::held, "spare_capacity", e.weighed, c);
+    set_state(*h, host_state::held, "spare_capacity", e.weighed, c);
     return changed(describe(*h));
 }
 
@@ -173,7 +175,7 @@
     {
         return unchanged(describe(*h));
     }
-    enter(*h, host_state::serving, "spare_capacity_used", e.weighed, c);
+    set_state(*h, host_state::serving, "spare_capacity_used", e.weighed, c);
     return changed(describe(*h));
 }
 
@@ -188,34 +190,34 @@
     {
         return refuse(error_code::conflict, "not to be lent: " + describe(*h));
     }
-    if (!e.settled)
+    if (!e.exclusive)
     {
-        return refuse(error_code::unavailable, "host " + e.host + not_settled);
+        return refuse(error_code::unavailable, "host " + e.host + not_exclusive_text);
     }
-    enter(*h, host_state::held, "lent", e.weighed, c);
+    set_state(*h, host_state::held, "lent", e.weighed, c);
     release(d, e.host, e.to, true);
     return changed("host " + e.host + " lent to pool " + e.to);
 }
 
-rule_result apply_one(pool_document& d, const send_guest_on& e, const rule_context& c)
+rule_result apply_one(pool_document& d, const reassign_borrowed_host& e, const rule_context& c)
 {
     auto* h = model::find_host(d, e.host);
     if (h == nullptr)
     {
         return no_such_host(e.host, d);
     }
-    if (!is_guest(*h) || !accepts_work(*h))
+    if (!is_borrowed(*h) || !accepts_work(*h))
     {
         return refuse(error_code::conflict, "not a guest to send on: " + describe(*h));
     }
-    return start_planned(d,
+    return start_planned_absence(d,
         *h,
         c,
         [&](host_record& it)
         {
             it.purpose = drain_purpose::move;
             it.move_to = e.to;
-            enter(it, host_state::draining, "guest_sent_on", e.weighed, c);
+            set_state(it, host_state::draining, "guest_sent_on", e.weighed, c);
         });
 }
 
--- a/libs/fleet/src/wave_decider.cpp
+++ b/libs/fleet/src/wave_decider.cpp
@@ -1,9 +1,9 @@
 #include "fleet/wave_decider.hpp"
 
+#include "budget_headroom.hpp"
 #include "core/invariant.hpp"
 #include "fleet/budget.hpp"
 #include "fleet/wave_rules.hpp"
-#include "room_book.hpp"
 #include "wave_plan.hpp"
 
 #include <algorithm>
@@ -32,15 +32,16 @@
     all.erase(first, last);
 }
 
-/// Keeps what was admitted and waits, as long as its pool has room. What has none is withdrawn, so
-/// that one pool's failed hosts don't hold up the others.
-void review_waiting(wave_document& next, wave_group& group, room_book& room)
+/// Counts the hosts in progress. Admitted hosts whose drain has not started stay admitted as long
+/// as their pool has headroom in its budget; the others are withdrawn, so that failed hosts of one
+/// pool don't delay the other pools.
+void recheck_admitted(wave_document& next, wave_group& group, budget_headroom& headroom)
 {
     for (const auto& it : group.hosts)
     {
-        const bool waits = it.at == turn::untouched && admits(next, it.id);
-        group.progress.in_progress += it.at == turn::absent ? 1 : 0;
-        if (waits && room.take(it, group.policy))
+        const bool waits = it.status == wave_host_status::pending && admits(next, it.id);
+        group.progress.in_progress += it.status == wave_host_status::in_progress ? 1 : 0;
+        if (waits && headroom.reserve(it, group.policy))
         {
             ++group.progress.in_progress;
         }
@@ -51,18 +52,23 @@
     }
 }
 
-/// The zone that a policy works on: that of the first host which is not through.
+/// \return the zone that a zone-by-zone policy is working on: the zone of the first host that is
+/// pending or in progress.
 std::string current_zone(const wave_group& group)
 {
     const auto it = std::find_if(group.hosts.begin(),
         group.hosts.end(),
         [](const wave_host& h)
-        { return !h.spare && (h.at == turn::untouched || h.at == turn::absent); });
+        {
+            return !h.spare && (h.status == wave_host_status::pending ||
+                                   h.status == wave_host_status::in_progress);
+        });
     return it == group.hosts.end() ? "" : it->zone;
 }
 
-/// Admits hosts up to the policy's window. \return how many.
-int admit(wave_document& next, wave_group& group, room_book& room, const std::string& zone)
+/// Admits hosts up to the policy's window. \return the number of hosts admitted.
+int admit(
+    wave_document& next, wave_group& group, budget_headroom& headroom, const std::string& zone)
 {
     const int window = policy_of(group.policy.kind).window(group.policy, group.progress);
     int n = 0;
@@ -73,8 +79,8 @@
             break;
         }
         const bool in_zone = zone.empty() || it.spare || it.zone == zone;
-        const bool free = it.at == turn::untouched && !admits(next, it.id);
-        if (in_zone && free && room.take(it, group.policy))
+        const bool free = it.status == wave_host_status::pending && !admits(next, it.id);
+        if (in_zone && free && headroom.reserve(it, group.policy))
         {
             insert_sorted(next.admitted, it.id);
             ++group.progress.in_progress;
@@ -84,18 +90,18 @@
     return n;
 }
 
-/// \return how many hosts were admitted over all groups.
-int admit_all(wave_document& next, wave_plan& plan, room_book& room)
+/// \return the number of hosts admitted over all groups.
+int admit_all(wave_document& next, wave_plan& plan, budget_headroom& headroom)
 {
     int n = 0;
     for (auto& [name, group] : plan.groups)
     {
         const bool by_zone = policy_of(group.policy.kind).order == wave_order::zone_by_zone;
-        int here = admit(next, group, room, by_zone ? current_zone(group) : "");
+        int here = admit(next, group, headroom, by_zone ? current_zone(group) : "");
         if (by_zone && here == 0 && group.progress.in_progress == 0)
         {
-            // The zone is blocked; the others need not wait for it.
-            here = admit(next, group, room, "");
+            // The current zone is blocked; the other zones need not wait for it.
+            here = admit(next, group, headroom, "");
         }
         n += here;
     }
@@ -117,7 +123,7 @@
     return false;
 }
 
-/// \return the ids of the hosts that \p matches, as one line.
+/// \return the ids of the hosts for which \p matches returns true, as one line.
 template <class Match>
 std::string list_hosts(const wave_plan& plan, Match matches)
 {
@@ -132,14 +138,14 @@
     return text;
 }
 
-std::string hosts_at(const wave_plan& plan, turn at)
+std::string hosts_with_status(const wave_plan& plan, wave_host_status status)
 {
-    return list_hosts(plan, [&](const wave_host& it) { return it.at == at; });
+    return list_hosts(plan, [&](const wave_host& it) { return it.status == status; });
 }
 
-std::string failed_by_wave(const wave_plan& plan)
+std::string hosts_failed_by_wave(const wave_plan& plan)
 {
-    return list_hosts(plan, [](const wave_host& it) { return it.by_wave; });
+    return list_hosts(plan, [](const wave_host& it) { return it.failed_by_wave; });
 }
 
 std::string describe_blocked(const wave_inputs& in, const wave_plan& plan)
@@ -151,8 +157,9 @@
         {
             return std::any_of(group.second.hosts.begin(),
                 group.second.hosts.end(),
-                [&](const wave_host& it)
-                { return it.at == turn::untouched && it.pool == view.document.pool; });
+                [&](const wave_host& it) {
+                    return it.status == wave_host_status::pending && it.pool == view.document.pool;
+                });
         };
         if (std::any_of(plan.groups.begin(), plan.groups.end(), waits))
         {
@@ -199,10 +206,10 @@
     return n;
 }
 
-/// Tells once that nothing can go on now, and why; it is looked at again at each decision.
-void wait(wave_document& next, const wave_plan& plan, const wave_inputs& in)
+/// Records, once, that no host can be admitted now, and why. Each later decision tries again.
+void record_waiting(wave_document& next, const wave_plan& plan, const wave_inputs& in)
 {
-    if (!hosts_at(plan, turn::untouched).empty())
+    if (!hosts_with_status(plan, wave_host_status::pending).empty())
     {
         if (next.phase != wave_phase::halted || next.why.rule != blocked_rule)
         {
@@ -212,24 +219,25 @@
     else if (next.why.rule != waiting_rule)
     {
         const auto phase = all_canaries_passed(plan) ? wave_phase::growing : wave_phase::canary;
-        const std::string weighed = "under other plans or lent:" + hosts_at(plan, turn::busy);
+        const std::string weighed =
+            "under other plans or lent:" + hosts_with_status(plan, wave_host_status::unavailable);
         set_phase(next, phase, waiting_rule, weighed, in.now);
     }
 }
 
-/// Admits what may leave, and tells when nothing can.
-void go_on(wave_document& next, wave_plan& plan, const wave_inputs& in)
+/// Admits the hosts that may leave now, and records when there is none.
+void advance_wave(wave_document& next, wave_plan& plan, const wave_inputs& in)
 {
-    room_book room(in);
+    budget_headroom headroom(in);
     for (auto& [name, group] : plan.groups)
     {
-        review_waiting(next, group, room);
+        recheck_admitted(next, group, headroom);
     }
-    const int admitted = admit_all(next, plan, room);
+    const int admitted = admit_all(next, plan, headroom);
     const int in_progress = count_in_progress(plan);
     if (in_progress == 0)
     {
-        wait(next, plan, in);
+        record_waiting(next, plan, in);
         return;
     }
     const auto phase = all_canaries_passed(plan) ? wave_phase::growing : wave_phase::canary;
@@ -256,7 +264,7 @@
     {
         return std::nullopt;
     }
-    auto plan = plan_of(in);
+    auto plan = make_wave_plan(in);
     wave_document next = w;
     next.failures_excused = std::min(next.failures_excused, plan.failures);
     const auto& s = plan.summary;
@@ -264,8 +272,11 @@
     {
         if (next.phase != wave_phase::halted || next.why.rule != halted_rule)
         {
-            set_phase(
-                next, wave_phase::halted, halted_rule, "not back:" + failed_by_wave(plan), in.now);
+            set_phase(next,
+                wave_phase::halted,
+                halted_rule,
+                "not back:" + hosts_failed_by_wave(plan),
+                in.now);
         }
     }
     else if (s.in_progress + s.waiting == 0)
@@ -274,7 +285,7 @@
     }
     else
     {
-        go_on(next, plan, in);
+        advance_wave(next, plan, in);
     }
     if (!differs(w, next))
     {
--- a/libs/fleet/src/wave_rules.cpp
+++ b/libs/fleet/src/wave_rules.cpp
@@ -23,12 +23,12 @@
     return allowed.empty() || std::find(allowed.begin(), allowed.end(), one) != allowed.end();
 }
 
-void remember(wave_document& w, const std::string& command)
+void record_command(wave_document& w, const std::string& command)
 {
     w.commands.insert(w.commands.begin(), command);
-    if (w.commands.size() > remembered_commands)
+    if (w.commands.size() > max_recorded_commands)
     {
-        w.commands.resize(remembered_commands);
+        w.commands.resize(max_recorded_commands);
     }
 }
 
@@ -42,8 +42,8 @@
     return {code, std::move(text)};
 }
 
-/// \p d as it will be when every planned absence is over; only failures stay.
-pool_document without_plans(pool_document d)
+/// \return \p d as it will be when every planned absence is over. Failed hosts stay failed.
+pool_document with_plans_completed(pool_document d)
 {
     for (auto& it : d.hosts)
     {
@@ -52,23 +52,24 @@
     return d;
 }
 
-bool could_leave(pool_document d, const std::string& host, const model::availability_budget& b)
+bool fits_budget_without(
+    pool_document d, const std::string& host, const model::availability_budget& b)
 {
     model::find_host(d, host)->state = host_state::draining;
-    return within(count_absences(d), b);
+    return is_within_budget(count_absences(d), b);
 }
 
-/// Adds why the hosts of \p d that are selected can never all leave in turn.
+/// Adds to \p reasons why the selected hosts of \p d can't all be absent one after the other.
 void check_pool(const pool_document& d,
     const std::set<std::string>& selected,
     const model::configuration& c,
     std::set<std::string>& reasons)
 {
     const auto budget = budget_of(c, d.pool);
-    const auto later = without_plans(d);
+    const auto later = with_plans_completed(d);
     for (const auto& it : later.hosts)
     {
-        if (selected.count(it.id) == 0 || it.state == host_state::failed || is_guest(it))
+        if (selected.count(it.id) == 0 || it.state == host_state::failed || is_borrowed(it))
         {
             continue;
         }
@@ -80,7 +81,7 @@
         {
             reasons.insert("the budget of pool " + d.pool + " never allows an absence");
         }
-        else if (!could_leave(later, it.id, *budget))
+        else if (!fits_budget_without(later, it.id, *budget))
         {
             reasons.insert("no room in zone " + it.zone +
                            " until failed hosts are back or forgotten; " +
@@ -99,7 +100,7 @@
     return text;
 }
 
-std::set<std::string> why_impossible(const wave_wish& wish,
+std::set<std::string> find_refusal_reasons(const wave_start_request& request,
     const std::vector<std::string>& hosts,
     const model::configuration& c,
     const std::vector<pool_view>& pools,
@@ -110,11 +111,11 @@
     {
         reasons.insert("no host is selected");
     }
-    if (!wish.policy.empty() && model::find_policy(c, wish.policy) == nullptr)
+    if (!request.policy.empty() && model::find_policy(c, request.policy) == nullptr)
     {
-        reasons.insert("policy " + wish.policy + " is not configured");
+        reasons.insert("policy " + request.policy + " is not configured");
     }
-    for (const auto& it : wish.which.hosts)
+    for (const auto& it : request.selection.hosts)
     {
         if (owner_of(it, pools).ownership == 0)
         {
@@ -123,7 +124,7 @@
     }
     for (const auto& it : hosts)
     {
-        if (const auto* other = claimant(it, waves))
+        if (const auto* other = assigned_wave(it, waves))
         {
             reasons.insert("wave " + other->id + " has not ended and selects some of these hosts");
         }
@@ -139,16 +140,17 @@
 } // namespace
 
 std::vector<std::string> select_hosts(
-    const std::vector<pool_view>& pools, const host_selection& which)
+    const std::vector<pool_view>& pools, const host_selection& selection)
 {
     std::vector<std::string> out;
     for (const auto& view : pools)
     {
         for (const auto& it : view.document.hosts)
         {
-            const bool wanted = is_member(it) && matches(which.pools, view.document.pool) &&
-                                matches(which.zones, it.zone) && matches(which.racks, it.rack) &&
-                                matches(which.hosts, it.id);
+            const bool wanted = is_member(it) && matches(selection.pools, view.document.pool) &&
+                                matches(selection.zones, it.zone) &&
+                                matches(selection.racks, it.rack) &&
+                                matches(selection.hosts, it.id);
             if (wanted)
             {
                 out.push_back(it.id);
@@ -159,7 +161,7 @@
     return out;
 }
 
-core::result<wave_change> start_wave(const wave_wish& wish,
+core::result<wave_change> start_wave(const wave_start_request& request,
     const model::configuration& config,
     const std::vector<pool_view>& pools,
     const std::vector<wave_view>& waves,
@@ -167,28 +169,28 @@
 {
     for (const auto& it : waves)
     {
-        if (it.document.id == wish.id && is_repeat(it.document, wish.command))
+        if (it.document.id == request.id && is_repeat(it.document, request.command))
         {
             return wave_change{it.document, false, "started before"};
         }
-        if (it.document.id == wish.id)
+        if (it.document.id == request.id)
         {
-            return refusal(error_code::conflict, "wave " + wish.id + " exists already");
+            return refusal(error_code::conflict, "wave " + request.id + " exists already");
         }
     }
-    const auto hosts = select_hosts(pools, wish.which);
-    const auto reasons = why_impossible(wish, hosts, config, pools, waves);
+    const auto hosts = select_hosts(pools, request.selection);
+    const auto reasons = find_refusal_reasons(request, hosts, config, pools, waves);
     if (!reasons.empty())
     {
-        return refusal(error_code::invalid, "wave " + wish.id + " is refused: " + join(reasons));
+        return refusal(error_code::invalid, "wave " + request.id + " is refused: " + join(reasons));
     }
     wave_document w;
-    w.id = wish.id;
+    w.id = request.id;
     w.hosts = hosts;
-    w.policy = wish.policy;
+    w.policy = request.policy;
     w.started_ms = core::to_unix_ms(now);
-    w.why = {"operator", "command " + wish.command, w.started_ms};
-    remember(w, wish.command);
+    w.why = {"operator", "command " + request.command, w.started_ms};
+    record_command(w, request.command);
     return wave_change{w, true, std::to_string(hosts.size()) + " hosts"};
 }
 
@@ -211,7 +213,7 @@
     out.next.failures_excused = static_cast<int>(failed.size());
     out.next.phase = wave_phase::growing;
     out.next.why = {"operator", "command " + command + "; " + out.note, core::to_unix_ms(now)};
-    remember(out.next, command);
+    record_command(out.next, command);
     return out;
 }
 
@@ -230,7 +232,7 @@
     out.next.phase = wave_phase::cancelled;
     out.next.ended_ms = core::to_unix_ms(now);
     out.next.why = {"operator", "command " + command, out.next.ended_ms};
-    remember(out.next, command);
+    record_command(out.next, command);
     return out;
 }
 
--- a/libs/fleet/src/waves.cpp
+++ b/libs/fleet/src/waves.cpp
@@ -17,7 +17,8 @@
 namespace
 {
 
-/// A wave may select the whole fleet, and each pool asks for each of its hosts.
+/// Binary search, because a wave may select the whole fleet and each pool queries each of its
+/// hosts.
 bool contains(const std::vector<std::string>& sorted, const std::string& one)
 {
     return std::binary_search(sorted.begin(), sorted.end(), one);
@@ -28,7 +29,7 @@
     return std::tie(a.started_ms, a.id) < std::tie(b.started_ms, b.id);
 }
 
-void count_host(pool_need& n, const host_record& h)
+void count_host(pool_counts& n, const host_record& h)
 {
     const bool failed = h.state == host_state::failed;
     ++n.hosts;
@@ -36,9 +37,9 @@
     n.planned_absent += !failed && is_absent(h) ? 1 : 0;
 }
 
-void count_work(pool_need& n, const host_record& h, const std::vector<wave_view>& waves)
+void count_work(pool_counts& n, const host_record& h, const std::vector<wave_view>& waves)
 {
-    const auto* wave = claimant(h.id, waves);
+    const auto* wave = assigned_wave(h.id, waves);
     if (wave == nullptr || !is_active(*wave))
     {
         return;
@@ -69,7 +70,7 @@
     return contains(w.admitted, host);
 }
 
-const wave_document* claimant(const std::string& host, const std::vector<wave_view>& waves)
+const wave_document* assigned_wave(const std::string& host, const std::vector<wave_view>& waves)
 {
     const wave_document* best = nullptr;
     for (const auto& it : waves)
@@ -83,9 +84,9 @@
     return best;
 }
 
-const wave_document* working_wave(const host_record& h, const std::vector<wave_view>& waves)
+const wave_document* active_wave_for(const host_record& h, const std::vector<wave_view>& waves)
 {
-    const auto* wave = claimant(h.id, waves);
+    const auto* wave = assigned_wave(h.id, waves);
     const bool works = wave != nullptr && is_active(*wave) && h.maintained != wave->id;
     return works ? wave : nullptr;
 }
@@ -95,7 +96,7 @@
 {
     for (const auto& it : d.hosts)
     {
-        const auto* wave = is_guest(it) ? nullptr : working_wave(it, waves);
+        const auto* wave = is_borrowed(it) ? nullptr : active_wave_for(it, waves);
         if (wave != nullptr && !wave->policy.empty())
         {
             return policy_in_force(c, d.pool, wave->policy);
@@ -104,14 +105,14 @@
     return policy_in_force(c, d.pool, "");
 }
 
-pool_need need_of(const pool_document& d, const model::configuration& c)
+pool_counts count_pool(const pool_document& d, const model::configuration& c)
 {
-    pool_need out;
+    pool_counts out;
     const auto budget = budget_of(c, d.pool);
     out.budget = budget ? budget->absent : 0;
     for (const auto& it : d.hosts)
     {
-        if (is_member(it) && !is_guest(it))
+        if (is_member(it) && !is_borrowed(it))
         {
             count_host(out, it);
         }
@@ -119,13 +120,13 @@
     return out;
 }
 
-pool_need need_of(
+pool_counts count_pool(
     const pool_document& d, const std::vector<wave_view>& waves, const model::configuration& c)
 {
-    auto out = need_of(d, c);
+    auto out = count_pool(d, c);
     for (const auto& it : d.hosts)
     {
-        if (is_member(it) && !is_guest(it))
+        if (is_member(it) && !is_borrowed(it))
         {
             count_work(out, it, waves);
         }
@@ -139,7 +140,7 @@
     return found != nullptr && found->spare;
 }
 
-int guests_wanted(
+int borrowed_hosts_wanted(
     const pool_document& d, const std::vector<wave_view>& waves, const model::configuration& c)
 {
     if (is_spare_pool(c, d.pool) || model::find_pool(c, d.pool) == nullptr)
@@ -147,10 +148,10 @@
         return 0;
     }
     const auto p = managing_policy(d, waves, c);
-    return policy_of(p.kind).guests_wanted(p, need_of(d, waves, c));
+    return policy_of(p.kind).borrowed_hosts_wanted(p, count_pool(d, waves, c));
 }
 
-int guests_of(const std::string& pool, const std::vector<pool_view>& pools)
+int count_borrowed_hosts(const std::string& pool, const std::vector<pool_view>& pools)
 {
     int n = 0;
     for (const auto& view : pools)
@@ -159,26 +160,26 @@
         for (const auto& it : view.document.hosts)
         {
             const bool stays = own && it.move_to.empty() && it.state != host_state::failed;
-            n += is_guest(it) && (stays || it.move_to == pool) ? 1 : 0;
+            n += is_borrowed(it) && (stays || it.move_to == pool) ? 1 : 0;
         }
         for (const auto& it : view.document.released)
         {
-            const bool on_its_way = it.to == pool && is_guest(it.host);
+            const bool on_its_way = it.to == pool && is_borrowed(it.host);
             n += on_its_way && owner_of(it.host.id, pools).in_transit ? 1 : 0;
         }
     }
     return n;
 }
 
-std::vector<std::string> pools_short_of_guests(const std::vector<pool_view>& pools,
+std::vector<std::string> pools_short_of_borrowed_hosts(const std::vector<pool_view>& pools,
     const std::vector<wave_view>& waves,
     const model::configuration& c)
 {
     std::vector<std::string> out;
     for (const auto& it : pools)
     {
-        const int wanted = guests_wanted(it.document, waves, c);
-        if (wanted > 0 && guests_of(it.document.pool, pools) < wanted)
+        const int wanted = borrowed_hosts_wanted(it.document, waves, c);
+        if (wanted > 0 && count_borrowed_hosts(it.document.pool, pools) < wanted)
         {
             out.push_back(it.document.pool);
         }
@@ -189,12 +190,12 @@
 
 bool is_lendable(const host_record& h, const std::vector<wave_view>& waves)
 {
-    const auto* wave = working_wave(h, waves);
+    const auto* wave = active_wave_for(h, waves);
     const bool taken_by_wave = wave != nullptr && admits(*wave, h.id);
-    return is_member(h) && !is_guest(h) && h.state == host_state::held && !taken_by_wave;
+    return is_member(h) && !is_borrowed(h) && h.state == host_state::held && !taken_by_wave;
 }
 
-std::vector<std::string> upcoming_hosts(
+std::vector<std::string> hosts_awaiting_maintenance(
     const std::vector<pool_view>& pools, const std::vector<wave_view>& waves)
 {
     std::vector<std::string> out;
@@ -202,7 +203,7 @@
     {
         for (const auto& it : view.document.hosts)
         {
-            if (working_wave(it, waves) != nullptr)
+            if (active_wave_for(it, waves) != nullptr)
             {
                 out.push_back(it.id);
             }
--- a/libs/fleet/tests/move_tests.cpp
+++ b/libs/fleet/tests/move_tests.cpp
@@ -1,4 +1,4 @@
-// Moves of hosts between two documents, cut off at any step.
+// Moves of hosts between two pool documents, interrupted at any step.
 #include "fleet/budget.hpp"
 #include "fleet/ownership.hpp"
 #include "fleet/pool_rules.hpp"
@@ -14,12 +14,13 @@
 namespace
 {
 
-/// Two pools, two members, and a move of h1 from a to b that was wished and not begun.
-struct move_scene
+/// Two pools, two members, and a move of h1 from pool a to pool b that was requested and has not
+/// started.
+struct move_fixture
 {
     fleet_sim::world w;
 
-    move_scene()
+    move_fixture()
     {
         w.config = sample::config();
         w.platform.now_ms = 1'000'000;
@@ -37,7 +38,7 @@
         }
         fleet_sim::set_roster(w, {"e1", "e2"});
         refresh_all();
-        fleet_sim::wish(w, w.members[0], "a", wish_move{"h1", "b", "c1"});
+        fleet_sim::wish(w, w.members[0], "a", move_request{"h1", "b", "c1"});
     }
 
     void refresh_all()
@@ -48,7 +49,8 @@
         }
     }
 
-    /// Lets each member decide, and carries out one step of one of them.
+    /// Lets the members decide, and carries out actions until one of them changes the store.
+    /// \return whether one did.
     bool one_step()
     {
         refresh_all();
@@ -76,47 +78,49 @@
 
 TEST(moves, the_owner_is_the_same_for_readers_of_old_and_new_documents)
 {
-    // A reader gets the two documents at different moments of a move. Whatever old and new
-    // revisions it combines, it sees one owner, and never one that had given the host away in the
-    // newer of the two before the older was written.
-    move_scene scene;
-    std::vector<pool_view> olds_a{*fleet_sim::find_pool(scene.w.kv, "a")};
-    std::vector<pool_view> olds_b{*fleet_sim::find_pool(scene.w.kv, "b")};
-    while (scene.one_step())
+    // A reader may read the two documents at different moments of a move. Whatever old and new
+    // revisions it combines, it must find exactly one owner, and never a pool that had released the
+    // host, according to the newer document, before the older one was written.
+    move_fixture fixture;
+    std::vector<pool_view> views_a{*fleet_sim::find_pool(fixture.w.kv, "a")};
+    std::vector<pool_view> views_b{*fleet_sim::find_pool(fixture.w.kv, "b")};
+    while (fixture.one_step())
     {
-        olds_a.push_back(*fleet_sim::find_pool(scene.w.kv, "a"));
-        olds_b.push_back(*fleet_sim::find_pool(scene.w.kv, "b"));
+        views_a.push_back(*fleet_sim::find_pool(fixture.w.kv, "a"));
+        views_b.push_back(*fleet_sim::find_pool(fixture.w.kv, "b"));
     }
-    CHECK(olds_a.size() >= 4); // draining, released, adopted, forgotten
-    for (std::size_t i = 0; i < olds_a.size(); ++i)
+    CHECK(views_a.size() >= 4); // draining, released, adopted, entry removed
+    for (std::size_t i = 0; i < views_a.size(); ++i)
     {
-        for (std::size_t j = 0; j < olds_b.size(); ++j)
+        for (std::size_t j = 0; j < views_b.size(); ++j)
         {
-            const auto owner = owner_of("h1", {olds_a[i], olds_b[j]});
-            const bool released = owner_of("h1", {olds_a[i]}).pool != "a";
-            const bool adopted = model::find_host(olds_b[j].document, "h1") != nullptr;
-            const bool forgotten = released && owner_of("h1", {olds_a[i]}).ownership == 0;
+            const auto owner = owner_of("h1", {views_a[i], views_b[j]});
+            const bool released = owner_of("h1", {views_a[i]}).pool != "a";
+            const bool adopted = model::find_host(views_b[j].document, "h1") != nullptr;
+            const bool forgotten = released && owner_of("h1", {views_a[i]}).ownership == 0;
             const char* right = released || adopted ? "b" : "a";
-            // a has forgotten and b's view is from before it adopted: told from no document alone.
+            // Pool a has removed its released entry and the view of b is from before the adoption,
+            // so no document names the host.
             STRCMP_EQUAL(forgotten && !adopted ? "" : right, owner.pool.c_str());
         }
     }
 }
 
-TEST(moves, cut_off_after_any_step_goes_on_under_new_deciders)
+TEST(moves, a_move_interrupted_after_any_step_is_completed_by_another_member)
 {
-    // The member that carries the move dies after each write in turn, its answer lost; another one
-    // takes over with nothing but the documents. The host ends in its new pool, once.
+    // The member that carries out the move dies after each write in turn, and the answer to the
+    // write is lost. Another member takes over with nothing but the documents. The host must end up
+    // in its new pool, and in no other.
     for (int cut = 0; cut < 6; ++cut)
     {
-        move_scene scene;
-        auto& w = scene.w;
+        move_fixture fixture;
+        auto& w = fixture.w;
         for (int i = 0; i < cut; ++i)
         {
-            scene.one_step();
+            fixture.one_step();
         }
         w.kv.answers_to_lose = 1;
-        scene.one_step();
+        fixture.one_step();
         w.members.clear();
         w.members.resize(1);
         w.members[0].id = "e3";
@@ -138,8 +142,9 @@
 
 TEST(moves, an_old_entry_is_not_adopted_a_second_time)
 {
-    // b adopted h1, and it has moved on to c since. A decider of b wakes up with a view of a from
-    // before a forgot its entry, and with b's newest document: it must not take h1 in again.
+    // Pool b adopted h1, which has moved on to pool c since. A member that was paused decides for b
+    // with b's newest document and with a view of a from before a removed its released entry. It
+    // must not adopt h1 again.
     const auto config = sample::config();
     model::released_host entry{sample::host("h1"), "b"};
     entry.host.ownership = 2;
@@ -147,27 +152,29 @@
     const auto stale = apply(b, adopt_host{entry, "a", false, false}, {config, sample::now});
     CHECK(!core::is_ok(stale));
     CHECK(b.hosts.empty());
-    // Its own document may be the old one: it still has the host that has since come back.
+    // The member's view of b may be the outdated one: it still contains the host, which has left b
+    // and come back since.
     auto old = sample::pool("b", {sample::host("h1")});
     const auto refused = apply(old, adopt_host{entry, "a", false, true}, {config, sample::now});
     CHECK(core::failure(refused).code == core::error_code::conflict);
     const std::vector<pool_view> documents{{sample::pool("a", {}), 7}};
     CHECK(!is_current({documents, 9}, 10));
-    CHECK(is_settled("h1", "b", 10, {documents, 10}));
-    CHECK(!is_settled("h1", "b", 10, {documents, 9}));
+    CHECK(is_confirmed_exclusive("h1", "b", 10, {documents, 10}));
+    CHECK(!is_confirmed_exclusive("h1", "b", 10, {documents, 9}));
 }
 
 TEST(moves, two_operators_and_a_wave_want_the_same_host)
 {
-    // Each of the three writes from the same revision, in every order. One wins; the others get a
-    // conflict that names the winner, and the host is on one way only.
+    // Each of the three events is applied to the same document, in every order of two. The first
+    // one is accepted; the second one gets a conflict that names the first, and the document stays
+    // unchanged.
     struct contender
     {
         const char* name;
         pool_event event;
     };
-    const contender all[] = {{"command c1", wish_move{"h1", "b", "c1"}},
-        {"command c2", wish_drain{"h1", "c2"}},
+    const contender all[] = {{"command c1", move_request{"h1", "b", "c1"}},
+        {"command c2", drain_request{"h1", "c2"}},
         {"wave w1", start_drain{"h1", "w1", "test"}}};
     const auto config = sample::config();
     for (const auto& first : all)
@@ -190,16 +197,16 @@
 
 TEST(moves, a_host_added_to_two_pools_at_once_ends_in_one)
 {
-    // Two operators add h9 to two pools at the same moment, each seeing no other document that
-    // names it. In whatever order the deciders run and read, exactly one pool has it at the end,
+    // Two operators add h9 to two pools at the same moment, while no other document names it. In
+    // whatever order the members read and decide, exactly one pool must have the host at the end,
     // and never both.
     for (unsigned order = 0; order < 64; ++order)
     {
-        move_scene scene;
-        auto& w = scene.w;
+        move_fixture fixture;
+        auto& w = fixture.w;
         fleet_sim::add_host(w.platform, "h9", "z1", "r1");
-        fleet_sim::wish(w, w.members[0], "a", wish_add{sample::host("h9"), "c8"});
-        fleet_sim::wish(w, w.members[1], "b", wish_add{sample::host("h9"), "c9"});
+        fleet_sim::wish(w, w.members[0], "a", add_request{sample::host("h9"), "c8"});
+        fleet_sim::wish(w, w.members[1], "b", add_request{sample::host("h9"), "c9"});
         for (unsigned i = 0; i < 6; ++i)
         {
             auto& m = w.members[(order >> i) & 1];
--- a/libs/fleet/tests/pool_decider_tests.cpp
+++ b/libs/fleet/tests/pool_decider_tests.cpp
@@ -17,7 +17,7 @@
 
 constexpr core::mono_time start{core::millis{100000}};
 
-/// One pool's owner with all that it sees, to change field by field.
+/// The owner of pool a with the inputs of its decisions, which the tests change field by field.
 struct owner
 {
     model::configuration config = sample::config();
@@ -28,16 +28,16 @@
     ports::live_list live{true, {}};
     std::vector<host_activity> activity;
     core::mono_time now = start;
-    pool_memory memory;
+    pool_timers timers;
 
     std::vector<pool_action> decide()
     {
         const pool_inputs in{
             own, config, waves, true, {pools, as_of}, live, activity, {}, now, sample::now};
-        return decide_pool(in, memory);
+        return decide_pool(in, timers);
     }
 
-    /// Decides, and takes its write as written. \return the actions.
+    /// Decides, and applies the write as if it had succeeded. \return the actions.
     std::vector<pool_action> decide_and_write()
     {
         auto out = decide();
@@ -53,7 +53,7 @@
         return out;
     }
 
-    void set_quiet(const std::string& host, int requests = 0, int jobs = 0, bool certain = true)
+    void set_activity(const std::string& host, int requests = 0, int jobs = 0, bool certain = true)
     {
         activity = {{host, true, certain, requests, jobs}};
     }
@@ -91,7 +91,7 @@
 
 TEST_GROUP(pool_decider){};
 
-TEST(pool_decider, a_drain_is_handed_over_only_when_surely_nothing_is_in_flight)
+TEST(pool_decider, a_drain_is_handed_over_only_when_nothing_is_certainly_in_flight)
 {
     struct row
     {
@@ -119,31 +119,32 @@
     }
 }
 
-TEST(pool_decider, what_is_in_flight_before_the_drain_is_written_says_nothing)
+TEST(pool_decider, a_drain_is_not_confirmed_in_the_decision_that_starts_it)
 {
     // The dispatcher has stopped the host for an earlier drain that was undone, and nothing is in
-    // flight. In one decision the wave starts the next drain: requests may still be granted until
-    // that is written, so the host must not be handed over in the same write.
+    // flight. Then a decision starts the next drain. Permits may still be granted until that drain
+    // is written, so the host must not be handed over in the same write.
     owner o;
     o.admit("fastest", {"h1"});
-    o.set_quiet("h1");
+    o.set_activity("h1");
     o.decide_and_write();
     CHECK(o.h1().state == host_state::draining);
 }
 
 TEST(pool_decider, a_reboot_is_ordered_after_its_write_and_once_across_a_take_over)
 {
-    // The owner writes that h1 is handed over, and its answer is lost. Another takes over, orders
-    // the reboot and sees the host come back. The first wakes up and orders again: under the same
-    // id, which the platform did already, and never for a turn that was not written.
+    // The owner writes that h1 is handed over, and the answer to the write is lost. Another member
+    // takes over, orders the reboot and sees the host come back. Then the first owner resumes and
+    // orders the reboot again. It must use the same id, which the platform has carried out already,
+    // and must never order a reboot that was not written.
     owner first;
     first.admit("fastest", {"h1"});
     first.decide_and_write();
-    first.set_quiet("h1");
+    first.set_activity("h1");
     const auto handing = first.decide();
     CHECK(find<order_reboot>(handing) == nullptr);
     owner second = first;
-    second.memory = {};
+    second.timers = {};
     second.own = {find<write_pool>(handing)->document, 12};
     second.as_of = 12;
     const auto orders = second.decide();
@@ -152,7 +153,7 @@
     STRCMP_EQUAL(command.c_str(), find<order_reboot>(first.decide())->command.c_str());
     LONGS_EQUAL(1, second.h1().boot_count);
 
-    note_reboot_acknowledged(second.memory, "h1", command, second.now);
+    record_reboot_acknowledged(second.timers, "h1", command, second.now);
     CHECK(find<order_reboot>(second.decide()) == nullptr);
     second.now += core::millis{10000};
     second.live.hosts = {{"h1", live_state::live, 2}};
@@ -162,11 +163,11 @@
     CHECK(find<order_reboot>(second.decide()) == nullptr);
 }
 
-TEST(pool_decider, an_earlier_crash_is_not_taken_for_the_reboot)
+TEST(pool_decider, an_earlier_crash_is_not_mistaken_for_the_reboot)
 {
-    // h1 crashed and came back unseen before its drain, and the live list lags: it shows the higher
-    // boot_count only after the reboot was ordered. Serving on the strength of it would have
-    // requests cut off by the reboot that is still to come.
+    // Before its drain, h1 crashed and came back, which the live list shows late: the higher
+    // boot_count appears only after the reboot was ordered. If the host served again because of it,
+    // the reboot that is still to come would cut off requests.
     struct row
     {
         bool acknowledged;
@@ -186,7 +187,7 @@
         o.decide();
         if (it.acknowledged)
         {
-            note_reboot_acknowledged(o.memory, "h1", "reboot/h1/1/1", o.now);
+            record_reboot_acknowledged(o.timers, "h1", "reboot/h1/1/1", o.now);
         }
         o.now += core::millis{it.waited_ms};
         o.live.hosts = {{"h1", live_state::live, 2}};
@@ -195,11 +196,11 @@
     }
 }
 
-TEST(pool_decider, a_failure_undoes_the_drains_that_it_leaves_no_room_for)
+TEST(pool_decider, a_failure_undoes_drains_that_exceed_the_budget_with_it)
 {
     struct row
     {
-        host_state h1; ///< the planned absence, zone z1
+        host_state h1; ///< state of the planned absence, in zone z1
         int absent;
         host_state after;
     };
@@ -215,8 +216,8 @@
         o.own.document.hosts[0] = sample::host_in(it.h1, drain_purpose::maintenance);
         o.own.document.hosts[0].command = "c1";
         o.live.hosts = {{"h2", live_state::down, 1}};
-        // Handing a drained host over in the same decision must not slip past the failure.
-        o.set_quiet("h1", 1);
+        // The same decision must not hand a drained host over before it counts the failure.
+        o.set_activity("h1", 1);
         o.decide_and_write();
         CHECK(o.own.document.hosts[1].state == host_state::failed);
         CHECK(o.h1().state == it.after);
@@ -253,15 +254,16 @@
 
 TEST(pool_decider, a_change_of_policy_strands_no_host)
 {
-    // The pool holds a buffer host, has a guest and drains a host when its policy changes: the
-    // drain goes on, the buffer host serves and the guest goes home.
+    // The pool holds a buffer host, has a borrowed host and drains a host when its policy changes.
+    // The drain must continue, the buffer host must serve, and the borrowed host must return to the
+    // pool that lent it.
     owner o;
     o.config = sample::config(2, 1);
     o.config.pools[0].policy = "one_by_one";
     o.config.policies[0].fixed_buffer = 1;
-    auto guest = sample::host("g1", "z3");
-    guest.lent_by = "s";
-    o.own.document.hosts = {sample::host("h1"), sample::host("h2", "z2"), guest};
+    auto borrowed = sample::host("g1", "z3");
+    borrowed.lent_by = "s";
+    o.own.document.hosts = {sample::host("h1"), sample::host("h2", "z2"), borrowed};
     o.decide_and_write();
     CHECK(o.own.document.hosts[1].state == host_state::held);
     o.admit("", {"h1"});
@@ -270,7 +272,7 @@
     CHECK(o.own.document.hosts[1].state == host_state::serving);
     o.config.pools[0].policy = "fastest";
     o.decide_and_write();
-    o.now += fleet_settings{}.guest_stay;
+    o.now += fleet_settings{}.surplus_host_retention;
     o.decide_and_write();
     CHECK(o.h1().state == host_state::draining);
     CHECK(o.own.document.hosts[1].state == host_state::serving);
@@ -278,7 +280,7 @@
     STRCMP_EQUAL("s", o.own.document.hosts[2].move_to.c_str());
 }
 
-TEST(pool_decider, least_buffer_waits_for_a_guest_and_not_for_ever)
+TEST(pool_decider, least_buffer_waits_a_limited_time_for_a_borrowed_host)
 {
     owner o;
     o.admit("least_buffer", {"h1"});
@@ -294,8 +296,8 @@
     o.own = {sample::pool("s", {sample::host_in(host_state::held, drain_purpose::none, "s1")}), 10};
     o.pools = {{sample::pool("a", {sample::host("h1")}), 7}, {sample::pool("b", {}), 8}};
     o.admit("least_buffer", {"h1"});
-    CHECK(o.decide().size() == 1); // only the dispatcher is told: what is in flight is not known
-    o.set_quiet("s1");
+    CHECK(o.decide().size() == 1); // only stop_host, because the work in flight is not known
+    o.set_activity("s1");
     o.decide_and_write();
     CHECK(o.own.document.hosts.empty());
     STRCMP_EQUAL("a", o.own.document.released[0].to.c_str());
@@ -303,28 +305,29 @@
     LONGS_EQUAL(2, o.own.document.released[0].host.ownership);
 }
 
-TEST(pool_decider, a_forgotten_host_is_struck_off_when_nobody_can_send_to_it)
+TEST(pool_decider, a_forgotten_host_is_removed_when_no_member_can_send_to_it)
 {
-    // An operator forgets a host that failed and adds it to another pool, while the owner of the
-    // first has not heard of either and still sends to it: two pools would use it at once.
+    // An operator forgets a failed host and adds it to another pool, while the owner of the first
+    // pool has read neither the failure nor the command and still sends to the host. If the host
+    // were removed at once, two pools would use it at the same time.
     owner o;
     o.own.document.hosts[0] = sample::host_in(host_state::failed);
     const rule_context c{o.config, sample::now};
-    apply(o.own.document, wish_forget{"h1", "c1", true}, c);
-    o.set_quiet("h1", 0, 0, false);
+    apply(o.own.document, forget_request{"h1", "c1", true}, c);
+    o.set_activity("h1", 0, 0, false);
     o.decide_and_write();
     LONGS_EQUAL(2, o.own.document.hosts.size());
-    o.set_quiet("h1");
+    o.set_activity("h1");
     o.decide_and_write();
     LONGS_EQUAL(1, o.own.document.hosts.size());
 }
 
-TEST(pool_decider, a_slow_drain_is_reported_and_jobs_get_the_time_that_is_left)
+TEST(pool_decider, a_slow_drain_is_reported_and_jobs_get_the_remaining_time)
 {
     owner o;
     o.admit("fastest", {"h1"});
     o.decide_and_write();
-    o.set_quiet("h1", 2, 1);
+    o.set_activity("h1", 2, 1);
     o.decide();
     o.now += core::millis{119000};
     auto actions = o.decide();
@@ -343,7 +346,7 @@
     o.own.document.hosts[0].command = "reboot/h1/1/1";
     o.own.document.hosts[0].wave = "w1";
     o.decide();
-    note_reboot_acknowledged(o.memory, "h1", "reboot/h1/1/1", o.now);
+    record_reboot_acknowledged(o.timers, "h1", "reboot/h1/1/1", o.now);
     o.now += sample::policy(model::policy_kind::one_by_one).return_timeout;
     o.decide_and_write();
     CHECK(o.h1().state == host_state::failed);
--- a/libs/fleet/tests/pool_rules_tests.cpp
+++ b/libs/fleet/tests/pool_rules_tests.cpp
@@ -55,22 +55,22 @@
     const auto leaving = drain_purpose::leaving;
     using s = host_state;
     const row rows[] = {
-        {s::serving, none, wish_drain{"h1", "c1"}, "changed", s::draining},
-        {s::held, none, wish_drain{"h1", "c1"}, "changed", s::draining},
-        {s::draining, move, wish_drain{"h1", "c1"}, "conflict", s::draining},
-        {s::failed, none, wish_drain{"h1", "c1"}, "conflict", s::failed},
-        {s::serving, none, wish_drain{"h9", "c1"}, "not_found", s::serving},
-        {s::serving, none, wish_leave{"h1", "c1"}, "changed", s::draining},
-        {s::rebooting, maintenance, wish_leave{"h1", "c1"}, "conflict", s::rebooting},
-        {s::serving, none, wish_add{sample::host("h1"), "c1"}, "unchanged", s::serving},
-        {s::serving, none, wish_move{"h1", "b", "c1"}, "changed", s::draining},
-        {s::serving, none, wish_move{"h1", "nowhere", "c1"}, "not_found", s::serving},
-        {s::serving, none, wish_move{"h1", "a", "c1"}, "unchanged", s::serving},
-        {s::rebooting, maintenance, wish_move{"h1", "b", "c1"}, "conflict", s::rebooting},
-        {s::draining, move, wish_undo{"h1", "c1"}, "changed", s::serving},
-        {s::drained, maintenance, wish_undo{"h1", "c1"}, "changed", s::serving},
-        {s::rebooting, maintenance, wish_undo{"h1", "c1"}, "conflict", s::rebooting},
-        {s::draining, leaving, wish_undo{"h1", "c1"}, "conflict", s::draining},
+        {s::serving, none, drain_request{"h1", "c1"}, "changed", s::draining},
+        {s::held, none, drain_request{"h1", "c1"}, "changed", s::draining},
+        {s::draining, move, drain_request{"h1", "c1"}, "conflict", s::draining},
+        {s::failed, none, drain_request{"h1", "c1"}, "conflict", s::failed},
+        {s::serving, none, drain_request{"h9", "c1"}, "not_found", s::serving},
+        {s::serving, none, leave_request{"h1", "c1"}, "changed", s::draining},
+        {s::rebooting, maintenance, leave_request{"h1", "c1"}, "conflict", s::rebooting},
+        {s::serving, none, add_request{sample::host("h1"), "c1"}, "unchanged", s::serving},
+        {s::serving, none, move_request{"h1", "b", "c1"}, "changed", s::draining},
+        {s::serving, none, move_request{"h1", "nowhere", "c1"}, "not_found", s::serving},
+        {s::serving, none, move_request{"h1", "a", "c1"}, "unchanged", s::serving},
+        {s::rebooting, maintenance, move_request{"h1", "b", "c1"}, "conflict", s::rebooting},
+        {s::draining, move, undo_request{"h1", "c1"}, "changed", s::serving},
+        {s::drained, maintenance, undo_request{"h1", "c1"}, "changed", s::serving},
+        {s::rebooting, maintenance, undo_request{"h1", "c1"}, "conflict", s::rebooting},
+        {s::draining, leaving, undo_request{"h1", "c1"}, "conflict", s::draining},
         {s::serving, none, host_down{"h1", 5}, "changed", s::failed},
         {s::serving, none, host_down{"h1", 4}, "unchanged", s::serving},
         {s::rebooting, maintenance, host_down{"h1", 5}, "unchanged", s::rebooting},
@@ -86,8 +86,8 @@
         {s::draining, leaving, host_live{"h1", 5, false}, "changed", s::serving},
         {s::serving, none, start_drain{"h1", "w1", ""}, "changed", s::draining},
         {s::draining, move, start_drain{"h1", "w1", ""}, "conflict", s::draining},
-        {s::draining, maintenance, confirm_quiet{"h1"}, "changed", s::drained},
-        {s::serving, none, confirm_quiet{"h1"}, "unchanged", s::serving},
+        {s::draining, maintenance, confirm_drained{"h1"}, "changed", s::drained},
+        {s::serving, none, confirm_drained{"h1"}, "unchanged", s::serving},
         {s::drained, maintenance, hand_over{"h1"}, "changed", s::rebooting},
         {s::draining, maintenance, hand_over{"h1"}, "conflict", s::draining},
         {s::drained, move, hand_over{"h1"}, "conflict", s::drained},
@@ -95,18 +95,18 @@
         {s::rebooting, maintenance, return_timeout{"h1", ""}, "changed", s::failed},
         {s::drained, move, release_host{"h1", false}, "unavailable", s::drained},
         {s::draining, move, release_host{"h1", true}, "conflict", s::draining},
-        {s::serving, none, wish_forget{"h1", "c1", true}, "conflict", s::serving},
-        {s::failed, none, wish_forget{"h1", "c1", false}, "unavailable", s::failed},
-        {s::failed, none, wish_forget{"h1", "c1", true}, "changed", s::failed},
+        {s::serving, none, forget_request{"h1", "c1", true}, "conflict", s::serving},
+        {s::failed, none, forget_request{"h1", "c1", false}, "unavailable", s::failed},
+        {s::failed, none, forget_request{"h1", "c1", true}, "changed", s::failed},
         {s::failed, leaving, host_live{"h1", 6, true}, "unchanged", s::failed},
-        {s::failed, leaving, wish_undo{"h1", "c1"}, "changed", s::failed},
-        {s::failed, leaving, drop_host{"h1", false}, "unavailable", s::failed},
-        {s::failed, none, drop_host{"h1", true}, "conflict", s::failed},
+        {s::failed, leaving, undo_request{"h1", "c1"}, "changed", s::failed},
+        {s::failed, leaving, remove_failed_host{"h1", false}, "unavailable", s::failed},
+        {s::failed, none, remove_failed_host{"h1", true}, "conflict", s::failed},
         {s::serving, none, hold_host{"h1", ""}, "changed", s::held},
         {s::draining, move, hold_host{"h1", ""}, "unchanged", s::draining},
         {s::held, none, unhold_host{"h1", ""}, "changed", s::serving},
         {s::serving, none, lend_host{"h1", "b", "", true}, "conflict", s::serving},
-        {s::serving, none, send_guest_on{"h1", "b", ""}, "conflict", s::serving},
+        {s::serving, none, reassign_borrowed_host{"h1", "b", ""}, "conflict", s::serving},
     };
     const auto config = sample::config();
     for (const auto& it : rows)
@@ -126,9 +126,9 @@
 {
     struct row
     {
-        host_state h2;     ///< zone z1
-        host_state h3;     ///< zone z2
-        bool guest_serves; ///< in zone z2
+        host_state h2;        ///< zone z1
+        host_state h3;        ///< zone z2
+        bool borrowed_serves; ///< in zone z2
         int absent;
         int per_zone;
         const char* drain_h1; ///< zone z1
@@ -153,66 +153,66 @@
             {sample::host("h1"),
                 sample::host_in(it.h2, drain_purpose::none, "h2", "z1"),
                 sample::host_in(it.h3, drain_purpose::none, "h3", "z2")});
-        if (it.guest_serves)
+        if (it.borrowed_serves)
         {
             d.hosts.push_back(sample::host("g1", "z2"));
             d.hosts.back().lent_by = "s";
         }
         const auto config = sample::config(it.absent, it.per_zone);
         const std::string place = "row " + std::to_string(&it - rows);
-        const auto out = apply(d, wish_drain{"h1", "c1"}, {config, sample::now});
+        const auto out = apply(d, drain_request{"h1", "c1"}, {config, sample::now});
         STRCMP_EQUAL_TEXT(it.drain_h1, outcome(out), place.c_str());
     }
 }
 
 TEST(pool_rules, a_command_has_its_effect_once)
 {
-    // An operator's answer is lost and the command comes again, after others have undone it: the
-    // repeat must not drain the host a second time.
+    // The answer to an operator's command is lost and the command is repeated after another
+    // operator has undone the drain. The repeat must not drain the host a second time.
     const auto config = sample::config();
     auto d = sample::pool("a", {sample::host("h1"), sample::host("h2", "z2")});
     const rule_context c{config, sample::now};
-    STRCMP_EQUAL("changed", outcome(apply(d, wish_drain{"h1", "c1"}, c)));
-    STRCMP_EQUAL("unchanged", outcome(apply(d, wish_drain{"h1", "c1"}, c)));
-    STRCMP_EQUAL("changed", outcome(apply(d, wish_undo{"h1", "c2"}, c)));
-    STRCMP_EQUAL("unchanged", outcome(apply(d, wish_drain{"h1", "c1"}, c)));
+    STRCMP_EQUAL("changed", outcome(apply(d, drain_request{"h1", "c1"}, c)));
+    STRCMP_EQUAL("unchanged", outcome(apply(d, drain_request{"h1", "c1"}, c)));
+    STRCMP_EQUAL("changed", outcome(apply(d, undo_request{"h1", "c2"}, c)));
+    STRCMP_EQUAL("unchanged", outcome(apply(d, drain_request{"h1", "c1"}, c)));
     CHECK(d.hosts[0].state == host_state::serving);
-    for (std::size_t i = 0; i < 2 * remembered_commands; ++i)
+    for (std::size_t i = 0; i < 2 * max_recorded_commands; ++i)
     {
         const auto id = std::to_string(i);
-        apply(d, wish_drain{"h1", "d" + id}, c);
-        apply(d, wish_undo{"h1", "u" + id}, c);
+        apply(d, drain_request{"h1", "d" + id}, c);
+        apply(d, undo_request{"h1", "u" + id}, c);
     }
-    LONGS_EQUAL(remembered_commands, d.commands.size());
+    LONGS_EQUAL(max_recorded_commands, d.commands.size());
 }
 
-TEST(pool_rules, a_host_that_operators_let_go_is_not_brought_back_by_the_live_list)
+TEST(pool_rules, a_host_that_operators_drain_to_leave_is_not_put_back_by_the_live_list)
 {
     const auto config = sample::config();
     auto d = sample::pool("a", {sample::host("h1"), sample::host("h2", "z2")});
     const rule_context c{config, sample::now};
-    apply(d, wish_leave{"h1", "c1"}, c);
+    apply(d, leave_request{"h1", "c1"}, c);
     STRCMP_EQUAL("unchanged", outcome(apply(d, host_live{"h1", 1, false}, c)));
-    STRCMP_EQUAL("changed", outcome(apply(d, wish_undo{"h1", "c2"}, c)));
-    apply(d, wish_leave{"h1", "c3"}, c);
-    apply(d, confirm_quiet{"h1"}, c);
-    STRCMP_EQUAL("changed", outcome(apply(d, wish_forget{"h1", "c4", true}, c)));
+    STRCMP_EQUAL("changed", outcome(apply(d, undo_request{"h1", "c2"}, c)));
+    apply(d, leave_request{"h1", "c3"}, c);
+    apply(d, confirm_drained{"h1"}, c);
+    STRCMP_EQUAL("changed", outcome(apply(d, forget_request{"h1", "c4", true}, c)));
     LONGS_EQUAL(1, d.hosts.size());
 }
 
-TEST(pool_rules, a_refusal_names_what_stands_in_the_way)
+TEST(pool_rules, a_refusal_names_the_blocking_hosts_and_plans)
 {
     const auto config = sample::config();
     auto d = sample::pool("a", {sample::host("h1"), sample::host("h2", "z2")});
     const rule_context c{config, sample::now};
     apply(d, start_drain{"h2", "w7", "test"}, c);
-    const auto out = apply(d, wish_drain{"h1", "c1"}, c);
+    const auto out = apply(d, drain_request{"h1", "c1"}, c);
     STRCMP_CONTAINS("h2 (draining for maintenance, zone z2)", core::failure(out).message.c_str());
-    const auto busy = apply(d, wish_move{"h2", "b", "c2"}, c);
+    const auto busy = apply(d, move_request{"h2", "b", "c2"}, c);
     STRCMP_CONTAINS("wave w7", core::failure(busy).message.c_str());
 }
 
-TEST(pool_rules, maintenance_is_noted_only_for_the_wave_whose_reboot_was_seen)
+TEST(pool_rules, maintenance_is_recorded_only_for_the_wave_whose_reboot_was_seen)
 {
     struct row
     {
@@ -226,7 +226,7 @@
     {
         auto d = sample::pool("a", {sample::host("h1")});
         apply(d, start_drain{"h1", "w1", "test"}, c);
-        apply(d, confirm_quiet{"h1"}, c);
+        apply(d, confirm_drained{"h1"}, c);
         if (it.reboots)
         {
             apply(d, hand_over{"h1"}, c);
@@ -239,7 +239,7 @@
     }
 }
 
-TEST(pool_rules, broken_invariants_are_seen)
+TEST(pool_rules, violated_invariants_are_reported)
 {
     std::vector<std::string> seen;
     auto before =
--- a/libs/fleet/tests/random_run_tests.cpp
+++ b/libs/fleet/tests/random_run_tests.cpp
@@ -1,7 +1,7 @@
-// Long random runs: several deciders with stale views, pauses, lost answers, outages, failures,
-// waves, moves and operators' commands, with the promises checked after every step.
+// Long random runs: several members decide from stale views, with pauses, lost answers, outages,
+// failures, waves, moves and operators' commands. The promises are checked after every step.
 //
-// CAMPHORHITCH_SEED tries another seed, CAMPHORHITCH_STEPS another number of steps a run.
+// CAMPHORHITCH_SEED sets another seed, CAMPHORHITCH_STEPS another number of steps per run.
 #include "core/invariant.hpp"
 #include "fleet_sim/random_fleet.hpp"
 
--- a/libs/fleet/tests/sample.hpp
+++ b/libs/fleet/tests/sample.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Small pools, hosts and configurations for the tests.
+/// Small pools, hosts and configurations for tests.
 #pragma once
 
 #include "fleet/pool_rules.hpp"
@@ -58,8 +58,8 @@
     return out;
 }
 
-/// Pools a and b with the given budget, a spare pool s, and one policy of each kind, which pools
-/// name by its kind.
+/// \return pools a and b with the given budget, a spare pool s, and one policy of each kind, named
+/// after its kind.
 inline model::configuration config(int absent = 1, int per_zone = 1)
 {
     model::configuration out;
--- a/libs/fleet/tests/wave_tests.cpp
+++ b/libs/fleet/tests/wave_tests.cpp
@@ -15,15 +15,15 @@
 namespace
 {
 
-/// One wave over pools a and b of four hosts each, in two zones, and two spare hosts.
-struct wave_scene
+/// One wave over pools a and b of four hosts each, in two zones, and a spare pool of one host.
+struct wave_fixture
 {
     model::configuration config = sample::config(2, 1);
     std::vector<pool_view> pools;
     wave_view own;
     std::vector<wave_view> waves;
 
-    explicit wave_scene(std::string policy)
+    explicit wave_fixture(std::string policy)
     {
         for (const auto* name : {"a", "b"})
         {
@@ -55,7 +55,7 @@
         return pools[0].document.hosts[0];
     }
 
-    /// Decides and takes the write as written. \return the hosts admitted by it.
+    /// Decides, and applies the write as if it had succeeded. \return the newly admitted hosts.
     std::string decide()
     {
         const auto before = own.document.admitted;
@@ -75,7 +75,7 @@
         return text;
     }
 
-    /// All admitted hosts come back maintained, but \p failing ones fail.
+    /// Marks all admitted hosts as maintained, except that the hosts in \p failing fail.
     void finish_turns(const std::vector<std::string>& failing = {})
     {
         for (const auto& id : own.document.admitted)
@@ -104,7 +104,8 @@
         const char* policy;
         std::vector<std::string> batches;
     };
-    // Spare hosts come first: they are empty. The budget is two a pool, one a zone of it.
+    // Spare hosts come first, because they are empty. The budget is two hosts per pool and one host
+    // per zone of a pool.
     const row rows[] = {
         {"one_by_one", {"s0", "a0", "a1", "b0", "b1", "a2", "a3", "b2", "b3"}},
         {"least_buffer", {"s0", "a0", "a1", "a2", "a3", "b0", "b1", "b2", "b3"}},
@@ -112,16 +113,16 @@
     };
     for (const auto& it : rows)
     {
-        wave_scene scene(it.policy);
+        wave_fixture fixture(it.policy);
         for (const auto& batch : it.batches)
         {
-            STRCMP_EQUAL(batch.c_str(), scene.decide().c_str());
-            STRCMP_EQUAL("", scene.decide().c_str());
-            scene.finish_turns();
+            STRCMP_EQUAL(batch.c_str(), fixture.decide().c_str());
+            STRCMP_EQUAL("", fixture.decide().c_str());
+            fixture.finish_turns();
         }
-        scene.decide();
-        CHECK(scene.own.document.phase == wave_phase::done);
-        STRCMP_EQUAL("9 maintained, 0 failed, 0 gone", scene.own.document.why.weighed.c_str());
+        fixture.decide();
+        CHECK(fixture.own.document.phase == wave_phase::done);
+        STRCMP_EQUAL("9 maintained, 0 failed, 0 gone", fixture.own.document.why.weighed.c_str());
     }
 }
 
@@ -155,114 +156,116 @@
 
 TEST(waves, a_canary_that_does_not_come_back_halts_and_its_return_resumes)
 {
-    wave_scene scene("fastest");
-    scene.decide();
-    scene.finish_turns({"s0"});
-    STRCMP_EQUAL("", scene.decide().c_str());
-    CHECK(scene.own.document.phase == wave_phase::halted);
-    STRCMP_EQUAL("not back: s0", scene.own.document.why.weighed.c_str());
-    STRCMP_EQUAL("", scene.decide().c_str());
-    scene.host("s0").state = host_state::held;
-    scene.host("s0").maintained = "w1";
-    scene.host("s0").wave.clear();
-    STRCMP_EQUAL("a0 a2 b0 b2", scene.decide().c_str());
-    CHECK(scene.own.document.phase == wave_phase::growing);
+    wave_fixture fixture("fastest");
+    fixture.decide();
+    fixture.finish_turns({"s0"});
+    STRCMP_EQUAL("", fixture.decide().c_str());
+    CHECK(fixture.own.document.phase == wave_phase::halted);
+    STRCMP_EQUAL("not back: s0", fixture.own.document.why.weighed.c_str());
+    STRCMP_EQUAL("", fixture.decide().c_str());
+    fixture.host("s0").state = host_state::held;
+    fixture.host("s0").maintained = "w1";
+    fixture.host("s0").wave.clear();
+    STRCMP_EQUAL("a0 a2 b0 b2", fixture.decide().c_str());
+    CHECK(fixture.own.document.phase == wave_phase::growing);
 }
 
 TEST(waves, correlated_failures_halt_until_operators_resume_over_them)
 {
-    // What the wave installs breaks hosts: two of a batch don't come back, a third dies after it
-    // had. Operators resume over the first two; the third one counts anew.
-    wave_scene scene("fastest");
-    scene.decide();
-    scene.finish_turns();
-    scene.decide();
-    scene.finish_turns({"a0", "b0"});
-    STRCMP_EQUAL("", scene.decide().c_str());
-    CHECK(scene.own.document.phase == wave_phase::halted);
-    const auto out = resume_wave(scene.own.document, "c2", scene.pools, sample::now);
-    scene.own.document = core::value(out).next;
-    LONGS_EQUAL(2, scene.own.document.failures_excused);
-    CHECK(!core::value(resume_wave(scene.own.document, "c2", scene.pools, sample::now)).changed);
-    // The zones of the two are used up by them; the other zones go on.
-    STRCMP_EQUAL("a3 b3", scene.decide().c_str());
-    scene.host("a2").state = host_state::failed;
-    scene.host("b2").state = host_state::failed;
-    scene.decide();
-    CHECK(scene.own.document.phase == wave_phase::halted);
-    STRCMP_EQUAL("hosts_not_back", scene.own.document.why.rule.c_str());
-    scene.host("a2").state = host_state::serving;
-    scene.host("a0").state = host_state::serving;
-    scene.decide();
-    CHECK(scene.own.document.phase == wave_phase::growing);
-    LONGS_EQUAL(2, scene.own.document.failures_excused);
+    // The wave installs something that breaks hosts: two hosts of a batch don't come back, and
+    // other hosts fail after they came back. Operators resume the wave over the first two failures;
+    // later failures count again.
+    wave_fixture fixture("fastest");
+    fixture.decide();
+    fixture.finish_turns();
+    fixture.decide();
+    fixture.finish_turns({"a0", "b0"});
+    STRCMP_EQUAL("", fixture.decide().c_str());
+    CHECK(fixture.own.document.phase == wave_phase::halted);
+    const auto out = resume_wave(fixture.own.document, "c2", fixture.pools, sample::now);
+    fixture.own.document = core::value(out).next;
+    LONGS_EQUAL(2, fixture.own.document.failures_excused);
+    CHECK(
+        !core::value(resume_wave(fixture.own.document, "c2", fixture.pools, sample::now)).changed);
+    // The two failures use up the budgets of their zones; the wave continues in the other zones.
+    STRCMP_EQUAL("a3 b3", fixture.decide().c_str());
+    fixture.host("a2").state = host_state::failed;
+    fixture.host("b2").state = host_state::failed;
+    fixture.decide();
+    CHECK(fixture.own.document.phase == wave_phase::halted);
+    STRCMP_EQUAL("hosts_not_back", fixture.own.document.why.rule.c_str());
+    fixture.host("a2").state = host_state::serving;
+    fixture.host("a0").state = host_state::serving;
+    fixture.decide();
+    CHECK(fixture.own.document.phase == wave_phase::growing);
+    LONGS_EQUAL(2, fixture.own.document.failures_excused);
 }
 
-TEST(waves, what_waits_without_room_is_withdrawn_and_does_not_hold_up_the_rest)
+TEST(waves, an_admitted_host_without_headroom_is_withdrawn_and_does_not_block_others)
 {
-    wave_scene scene("one_by_one");
-    scene.decide();
-    scene.finish_turns();
-    STRCMP_EQUAL("a0", scene.decide().c_str());
-    // Before pool a starts the drain, a host of the same zone fails by itself.
-    scene.host("a1").state = host_state::failed;
-    STRCMP_EQUAL("b0", scene.decide().c_str());
-    LONGS_EQUAL(2, scene.own.document.admitted.size());
+    wave_fixture fixture("one_by_one");
+    fixture.decide();
+    fixture.finish_turns();
+    STRCMP_EQUAL("a0", fixture.decide().c_str());
+    // Before pool a starts the drain, another host of the same zone fails.
+    fixture.host("a1").state = host_state::failed;
+    STRCMP_EQUAL("b0", fixture.decide().c_str());
+    LONGS_EQUAL(2, fixture.own.document.admitted.size());
 }
 
-TEST(waves, a_wave_without_room_says_so_and_goes_on_when_there_is_some)
+TEST(waves, a_wave_without_headroom_halts_and_continues_when_there_is_some)
 {
-    wave_scene scene("fastest");
-    scene.decide();
-    scene.finish_turns();
+    wave_fixture fixture("fastest");
+    fixture.decide();
+    fixture.finish_turns();
     for (const auto* id : {"a0", "a2", "b0", "b2"})
     {
-        scene.host(id).state = host_state::failed;
+        fixture.host(id).state = host_state::failed;
     }
-    STRCMP_EQUAL("", scene.decide().c_str());
-    CHECK(scene.own.document.phase == wave_phase::halted);
-    STRCMP_EQUAL("budget_blocked", scene.own.document.why.rule.c_str());
-    STRCMP_CONTAINS("a0 (failed, zone z1)", scene.own.document.why.weighed.c_str());
-    scene.host("a0").state = host_state::serving;
-    STRCMP_EQUAL("a0", scene.decide().c_str());
-    CHECK(scene.own.document.phase == wave_phase::growing);
+    STRCMP_EQUAL("", fixture.decide().c_str());
+    CHECK(fixture.own.document.phase == wave_phase::halted);
+    STRCMP_EQUAL("budget_blocked", fixture.own.document.why.rule.c_str());
+    STRCMP_CONTAINS("a0 (failed, zone z1)", fixture.own.document.why.weighed.c_str());
+    fixture.host("a0").state = host_state::serving;
+    STRCMP_EQUAL("a0", fixture.decide().c_str());
+    CHECK(fixture.own.document.phase == wave_phase::growing);
 }
 
-TEST(waves, a_wave_says_which_hosts_it_waits_for)
+TEST(waves, a_wave_records_which_hosts_it_waits_for)
 {
-    wave_scene scene("fastest");
-    scene.decide();
-    for (auto& view : scene.pools)
+    wave_fixture fixture("fastest");
+    fixture.decide();
+    for (auto& view : fixture.pools)
     {
         for (auto& it : view.document.hosts)
         {
             it.maintained = it.id == "a0" ? "" : "w1";
         }
     }
-    scene.host("a0").lent_by = "s";
-    scene.decide();
-    STRCMP_EQUAL("waits_for_others", scene.own.document.why.rule.c_str());
-    STRCMP_CONTAINS("a0", scene.own.document.why.weighed.c_str());
-    const auto revision = scene.own.revision;
-    scene.decide();
-    LONGS_EQUAL(revision, scene.own.revision);
-    scene.host("a0").lent_by.clear();
-    STRCMP_EQUAL("a0", scene.decide().c_str());
+    fixture.host("a0").lent_by = "s";
+    fixture.decide();
+    STRCMP_EQUAL("waits_for_others", fixture.own.document.why.rule.c_str());
+    STRCMP_CONTAINS("a0", fixture.own.document.why.weighed.c_str());
+    const auto revision = fixture.own.revision;
+    fixture.decide();
+    LONGS_EQUAL(revision, fixture.own.revision);
+    fixture.host("a0").lent_by.clear();
+    STRCMP_EQUAL("a0", fixture.decide().c_str());
 }
 
-TEST(waves, hosts_that_are_gone_or_stay_failed_do_not_hold_the_end_up)
+TEST(waves, hosts_that_are_gone_or_stay_failed_do_not_delay_the_end)
 {
-    wave_scene scene("fastest");
-    scene.config.pools[0].budget = {2, 2};
-    scene.pools[1].document.hosts.clear();
-    scene.host("a3").state = host_state::failed;
-    for (int i = 0; i < 9 && scene.own.document.phase != wave_phase::done; ++i)
+    wave_fixture fixture("fastest");
+    fixture.config.pools[0].budget = {2, 2};
+    fixture.pools[1].document.hosts.clear();
+    fixture.host("a3").state = host_state::failed;
+    for (int i = 0; i < 9 && fixture.own.document.phase != wave_phase::done; ++i)
     {
-        scene.decide();
-        scene.finish_turns();
+        fixture.decide();
+        fixture.finish_turns();
     }
-    STRCMP_EQUAL("4 maintained, 1 failed, 4 gone", scene.own.document.why.weighed.c_str());
-    LONGS_EQUAL(4, summarize(scene.own.document, scene.pools).done);
+    STRCMP_EQUAL("4 maintained, 1 failed, 4 gone", fixture.own.document.why.weighed.c_str());
+    LONGS_EQUAL(4, summarize(fixture.own.document, fixture.pools).done);
 }
 
 TEST(waves, impossible_waves_are_refused_with_every_reason)
@@ -272,7 +275,7 @@
         int absent;
         int per_zone;
         bool failed; ///< a0 and a2, one in each zone
-        wave_wish wish;
+        wave_start_request request;
         const char* reason;
     };
     const row rows[] = {
@@ -287,52 +290,54 @@
     };
     for (const auto& it : rows)
     {
-        wave_scene scene("fastest");
-        for (auto& pool : scene.config.pools)
+        wave_fixture fixture("fastest");
+        for (auto& pool : fixture.config.pools)
         {
             pool.budget = {it.absent, it.per_zone};
         }
         for (const auto* id : {"a0", "a2"})
         {
-            scene.host(id).state = it.failed ? host_state::failed : host_state::serving;
+            fixture.host(id).state = it.failed ? host_state::failed : host_state::serving;
         }
         const bool overlaps = std::string{it.reason}.find("wave w1") == 0;
-        const auto waves = overlaps ? std::vector<wave_view>{scene.own} : std::vector<wave_view>{};
-        const auto out = start_wave(it.wish, scene.config, scene.pools, waves, sample::now);
+        const auto waves =
+            overlaps ? std::vector<wave_view>{fixture.own} : std::vector<wave_view>{};
+        const auto out = start_wave(it.request, fixture.config, fixture.pools, waves, sample::now);
         STRCMP_CONTAINS(it.reason, core::failure(out).message.c_str());
     }
 }
 
-TEST(waves, commands_have_their_effect_once_and_conflicts_are_told)
+TEST(waves, commands_take_effect_once_and_conflicts_are_refused)
 {
-    wave_scene scene("fastest");
+    wave_fixture fixture("fastest");
     const auto again = start_wave(
-        {"w1", {}, "fastest", "c1"}, scene.config, scene.pools, {scene.own}, sample::now);
+        {"w1", {}, "fastest", "c1"}, fixture.config, fixture.pools, {fixture.own}, sample::now);
     CHECK(!core::value(again).changed);
-    const auto not_halted = resume_wave(scene.own.document, "c5", scene.pools, sample::now);
+    const auto not_halted = resume_wave(fixture.own.document, "c5", fixture.pools, sample::now);
     STRCMP_CONTAINS("canary, not halted", core::failure(not_halted).message.c_str());
-    const auto cancelled = core::value(cancel_wave(scene.own.document, "c6", sample::now)).next;
+    const auto cancelled = core::value(cancel_wave(fixture.own.document, "c6", sample::now)).next;
     CHECK(cancelled.phase == wave_phase::cancelled);
     CHECK(!core::value(cancel_wave(cancelled, "c6", sample::now)).changed);
-    scene.own.document = cancelled;
-    STRCMP_EQUAL("", scene.decide().c_str());
+    fixture.own.document = cancelled;
+    STRCMP_EQUAL("", fixture.decide().c_str());
 }
 
 TEST(waves, only_the_first_of_two_waves_takes_a_host)
 {
-    // Two operators start overlapping waves at the same moment, neither seeing the other. Were each
-    // to maintain the host again after the other, it would never end.
-    wave_scene scene("fastest");
-    auto second = scene.own;
+    // Two operators start overlapping waves at the same moment, neither of which was visible to the
+    // other command. If each wave maintained the host again after the other, neither would ever
+    // end.
+    wave_fixture fixture("fastest");
+    auto second = fixture.own;
     second.document.id = "w0";
     second.document.started_ms += 1;
-    const std::vector<wave_view> both{second, scene.own};
-    const auto h = scene.host("a0");
-    STRCMP_EQUAL("w1", working_wave(h, both)->id.c_str());
+    const std::vector<wave_view> both{second, fixture.own};
+    const auto h = fixture.host("a0");
+    STRCMP_EQUAL("w1", active_wave_for(h, both)->id.c_str());
     auto maintained = h;
     maintained.maintained = "w1";
-    CHECK(working_wave(maintained, both) == nullptr);
-    const wave_inputs in{second, scene.config, scene.pools, true, both, sample::now};
+    CHECK(active_wave_for(maintained, both) == nullptr);
+    const wave_inputs in{second, fixture.config, fixture.pools, true, both, sample::now};
     const auto out = decide_wave(in);
     CHECK(out->document.admitted.empty());
     STRCMP_EQUAL("waits_for_others", out->document.why.rule.c_str());
@@ -342,10 +347,10 @@
 
 TEST(waves, upcoming_hosts_are_those_not_maintained_yet)
 {
-    wave_scene scene("fastest");
-    scene.decide();
-    scene.finish_turns();
-    const auto left = upcoming_hosts(scene.pools, {scene.own});
+    wave_fixture fixture("fastest");
+    fixture.decide();
+    fixture.finish_turns();
+    const auto left = hosts_awaiting_maintenance(fixture.pools, {fixture.own});
     LONGS_EQUAL(8, left.size());
     CHECK(std::find(left.begin(), left.end(), "s0") == left.end());
 }
--- a/programs/camphorhitchd/src/config_service.cpp
+++ b/programs/camphorhitchd/src/config_service.cpp
@@ -15,7 +15,7 @@
 {
 
 /// Commands remembered for repeats; an operator repeats within minutes, not after so many changes.
-constexpr std::size_t remembered_commands = 64;
+constexpr std::size_t max_recorded_commands = 64;
 
 bool contains(const std::vector<std::string>& all, const std::string& one)
 {
@@ -64,7 +64,7 @@
     }
     version = ++next.version;
     next.commands.push_back(command);
-    if (next.commands.size() > remembered_commands)
+    if (next.commands.size() > max_recorded_commands)
     {
         next.commands.erase(next.commands.begin());
     }
--- a/programs/camphorhitchd/src/explanations.cpp
+++ b/programs/camphorhitchd/src/explanations.cpp
@@ -32,7 +32,7 @@
     std::string out = "host " + id + " of pool " + owner.pool + " is " +
                       std::string(core::name_of(model::host_state_names, host->state)) + "\n" +
                       decision_line(host->why);
-    if (const auto* wave = fleet::claimant(id, parts.fleet.waves()))
+    if (const auto* wave = fleet::assigned_wave(id, parts.fleet.waves()))
     {
         out += "  wave " + wave->id + " is to maintain it" +
                (fleet::admits(*wave, id)
--- a/programs/camphorhitchd/src/fleet_service.cpp
+++ b/programs/camphorhitchd/src/fleet_service.cpp
@@ -313,7 +313,7 @@
             rebooting_.erase(it.command);
             if (status == ports::platform_status::ok)
             {
-                fleet::note_reboot_acknowledged(
+                fleet::record_reboot_acknowledged(
                     memory_[pool], it.host, it.command, context_.scheduler.now());
             }
         });
--- a/programs/camphorhitchd/src/fleet_service.hpp
+++ b/programs/camphorhitchd/src/fleet_service.hpp
@@ -68,7 +68,7 @@
     std::vector<fleet::pool_view> pools_;
     std::vector<fleet::wave_view> waves_;
     ports::live_list live_;
-    std::map<std::string, fleet::pool_memory> memory_;
+    std::map<std::string, fleet::pool_timers> memory_;
     std::set<std::string> writing_;   ///< keys with a write under way
     std::set<std::string> rebooting_; ///< commands under way
     bool reading_live_list_ = false;
--- a/programs/camphorhitchd/src/fleet_setup.cpp
+++ b/programs/camphorhitchd/src/fleet_setup.cpp
@@ -200,7 +200,7 @@
             {
                 const auto id = w->command + "/" + host.id;
                 const auto what = fleet::apply(document,
-                    fleet::wish_add{host, id},
+                    fleet::add_request{host, id},
                     {parts_.config.current(), context_.scheduler.wall_now()});
                 if (!core::is_ok(what))
                 {
--- a/programs/camphorhitchd/src/statement_runner.cpp
+++ b/programs/camphorhitchd/src/statement_runner.cpp
@@ -273,8 +273,8 @@
             {
                 return core::failure(changed);
             }
-            *note = core::value(changed).what.note;
-            return core::value(changed).what.changed
+            *note = core::value(changed).outcome.note;
+            return core::value(changed).outcome.changed
                        ? std::optional<std::string>{model::encode(core::value(changed).next)}
                        : std::optional<std::string>{};
         },
@@ -286,7 +286,7 @@
     const language::move_statement& s, const place& at, result_callback done)
 {
     change_host(
-        s.host.text, fleet::wish_move{s.host.text, s.pool.text, at.command}, std::move(done));
+        s.host.text, fleet::move_request{s.host.text, s.pool.text, at.command}, std::move(done));
 }
 
 void statement_runner::run_one(
@@ -294,7 +294,7 @@
 {
     if (s.leaving && s.by == language::drain_by::host)
     {
-        change_host(s.what.text, fleet::wish_leave{s.what.text, at.command}, std::move(done));
+        change_host(s.what.text, fleet::leave_request{s.what.text, at.command}, std::move(done));
         return;
     }
     if (s.leaving)
@@ -304,7 +304,7 @@
     }
     if (s.by == language::drain_by::host && !s.wave)
     {
-        change_host(s.what.text, fleet::wish_drain{s.what.text, at.command}, std::move(done));
+        change_host(s.what.text, fleet::drain_request{s.what.text, at.command}, std::move(done));
         return;
     }
     start_wave(wish_of(s, at.command), std::move(done));
@@ -313,7 +313,8 @@
 void statement_runner::run_one(
     const language::start_wave_statement& s, const place& at, result_callback done)
 {
-    fleet::wave_wish wish{s.id.text, {}, s.policy ? s.policy->text : std::string{}, at.command};
+    fleet::wave_start_request wish{
+        s.id.text, {}, s.policy ? s.policy->text : std::string{}, at.command};
     if (!s.where.empty())
     {
         const auto hosts = make_table(language::table_kind::hosts, parts_);
@@ -325,9 +326,9 @@
         }
         for (const auto n : std::get<std::vector<std::size_t>>(rows))
         {
-            wish.which.hosts.push_back(std::get<std::string>(hosts.rows[n].front()));
+            wish.selection.hosts.push_back(std::get<std::string>(hosts.rows[n].front()));
         }
-        if (wish.which.hosts.empty())
+        if (wish.selection.hosts.empty())
         {
             done(bad(core::error_code::not_found, "no host matches the conditions"));
             return;
@@ -336,7 +337,7 @@
     start_wave(wish, std::move(done));
 }
 
-void statement_runner::start_wave(const fleet::wave_wish& wish, result_callback done)
+void statement_runner::start_wave(const fleet::wave_start_request& wish, result_callback done)
 {
     write_wave_start(context_,
         parts_.fleet,
--- a/programs/camphorhitchd/src/statement_runner.hpp
+++ b/programs/camphorhitchd/src/statement_runner.hpp
@@ -62,7 +62,7 @@
         const language::submit_job_statement& s, const place& at, const result_callback& done);
     void ask_peers(const language::why_statement& s, result_callback done);
     void change_host(const std::string& host, fleet::pool_event event, result_callback done);
-    void start_wave(const fleet::wave_wish& wish, result_callback done);
+    void start_wave(const fleet::wave_start_request& wish, result_callback done);
 
     context& context_;
     operator_parts parts_;
--- a/programs/camphorhitchd/src/wave_commands.cpp
+++ b/programs/camphorhitchd/src/wave_commands.cpp
@@ -56,32 +56,34 @@
 
 } // namespace
 
-fleet::wave_wish wish_of(const language::drain_statement& s, const std::string& command)
+fleet::wave_start_request wish_of(const language::drain_statement& s, const std::string& command)
 {
-    fleet::wave_wish wish;
+    fleet::wave_start_request wish;
     wish.id = s.wave ? s.wave->text : s.what.text + "-" + command.substr(0, 8);
     wish.policy = s.policy ? s.policy->text : std::string{};
     wish.command = command;
     switch (s.by)
     {
     case language::drain_by::host:
-        wish.which.hosts = {s.what.text};
+        wish.selection.hosts = {s.what.text};
         break;
     case language::drain_by::zone:
-        wish.which.zones = {s.what.text};
+        wish.selection.zones = {s.what.text};
         break;
     case language::drain_by::rack:
-        wish.which.racks = {s.what.text};
+        wish.selection.racks = {s.what.text};
         break;
     case language::drain_by::pool:
-        wish.which.pools = {s.what.text};
+        wish.selection.pools = {s.what.text};
         break;
     }
     return wish;
 }
 
-void write_wave_start(
-    context& c, const fleet_service& fleet, const fleet::wave_wish& wish, wave_callback done)
+void write_wave_start(context& c,
+    const fleet_service& fleet,
+    const fleet::wave_start_request& wish,
+    wave_callback done)
 {
     const auto note = std::make_shared<std::string>();
     update_document(
--- a/programs/camphorhitchd/src/wave_commands.hpp
+++ b/programs/camphorhitchd/src/wave_commands.hpp
@@ -22,10 +22,12 @@
 /// Told a note for people, or why the command had no effect.
 using wave_callback = std::function<void(core::result<std::string>)>;
 
-fleet::wave_wish wish_of(const language::drain_statement& s, const std::string& command);
+fleet::wave_start_request wish_of(const language::drain_statement& s, const std::string& command);
 
-void write_wave_start(
-    context& c, const fleet_service& fleet, const fleet::wave_wish& wish, wave_callback done);
+void write_wave_start(context& c,
+    const fleet_service& fleet,
+    const fleet::wave_start_request& wish,
+    wave_callback done);
 void write_wave_change(context& c,
     const fleet_service& fleet,
     const std::string& id,
--- a/testing/fleet_sim/include/fleet_sim/world.hpp
+++ b/testing/fleet_sim/include/fleet_sim/world.hpp
@@ -40,7 +40,7 @@
     std::int64_t as_of = 0; ///< store revision of the last read; 0: never read
     std::int64_t epoch = 0; ///< adopted
     std::int64_t confirmed_ms = 0;
-    std::map<std::string, fleet::pool_memory> memory;
+    std::map<std::string, fleet::pool_timers> memory;
     std::map<std::string, std::int64_t> taken_over_ms; ///< by pool that it owns
     std::deque<pending_step> pending;
 };
--- a/testing/fleet_sim/src/random_fleet.cpp
+++ b/testing/fleet_sim/src/random_fleet.cpp
@@ -102,31 +102,31 @@
     switch (s.c % 7)
     {
     case 6:
-        wish(f.w, m, owner.pool, wish_leave{id, id_of_command});
+        wish(f.w, m, owner.pool, leave_request{id, id_of_command});
         break;
     case 0:
-        wish(f.w, m, owner.pool, wish_drain{id, id_of_command});
+        wish(f.w, m, owner.pool, drain_request{id, id_of_command});
         break;
     case 1:
     case 2:
-        wish(f.w, m, owner.pool, wish_move{id, to, id_of_command});
+        wish(f.w, m, owner.pool, move_request{id, to, id_of_command});
         break;
     case 3:
-        wish(f.w, m, owner.pool, wish_undo{id, id_of_command});
+        wish(f.w, m, owner.pool, undo_request{id, id_of_command});
         break;
     case 4:
         if (const auto* known = find_host(f.w.kv, id); !known || known->state == host_state::failed)
         {
             const auto* view = find_pool(f.w.kv, owner.pool);
             const bool settled =
-                view && is_settled(id, owner.pool, view->revision, {m.pools, m.as_of});
-            const wish_forget wish_of{id, id_of_command, settled};
+                view && is_confirmed_exclusive(id, owner.pool, view->revision, {m.pools, m.as_of});
+            const forget_request wish_of{id, id_of_command, settled};
             wish(f.w, m, owner.pool, wish_of);
             f.forgotten.insert(id); // the write may stand though its answer was lost
         }
         break;
     default:
-        wish(f.w, m, to, wish_add{record_of(host(f, s.b)), id_of_command});
+        wish(f.w, m, to, add_request{record_of(host(f, s.b)), id_of_command});
         break;
     }
 }
@@ -147,10 +147,11 @@
         return;
     }
     const char* policies[] = {"", "one_by_one", "least_buffer", "fastest"};
-    wave_wish wish{"w" + std::to_string(++f.waves), {}, policies[s.c % 4], command(f, s.c)};
+    wave_start_request wish{
+        "w" + std::to_string(++f.waves), {}, policies[s.c % 4], command(f, s.c)};
     if (s.c % 3 == 0)
     {
-        wish.which.zones = {"z" + std::to_string(s.c % 2)};
+        wish.selection.zones = {"z" + std::to_string(s.c % 2)};
     }
     const auto out = start_wave(wish, f.w.config, m.pools, m.waves, now);
     if (core::is_ok(out) && core::value(out).changed)
@@ -243,7 +244,7 @@
                 wish(f.w,
                     m,
                     view.document.pool,
-                    wish_undo{it.id, "c" + std::to_string(++f.commands)});
+                    undo_request{it.id, "c" + std::to_string(++f.commands)});
             }
         }
     }
@@ -388,8 +389,8 @@
         for (const auto& it : view.document.hosts)
         {
             const bool fit = it.state == host_state::serving || it.state == host_state::held;
-            const bool lost =
-                !fit || !is_member(it) || is_guest(it) || (spare && it.state != host_state::held);
+            const bool lost = !fit || !is_member(it) || is_borrowed(it) ||
+                              (spare && it.state != host_state::held);
             const auto state = std::string{name_of(model::host_state_names, it.state)};
             text += lost ? " " + it.id + " (" + state + ")" : "";
         }
--- a/testing/fleet_sim/src/world.cpp
+++ b/testing/fleet_sim/src/world.cpp
@@ -90,7 +90,8 @@
     return out;
 }
 
-void decide_one_pool(world& w, sim_member& m, const pool_view& own, const fleet::live_lookup& all)
+void decide_one_pool(
+    world& w, sim_member& m, const pool_view& own, const fleet::live_list_index& all)
 {
     const auto live = all.of(own.document);
     const auto seen = activity(w, m, own);
@@ -132,7 +133,7 @@
 void carry_out(world& w, sim_member& m, const pending_step& step, const fleet::order_reboot& a)
 {
     reboot(w.platform, a.host, a.command);
-    fleet::note_reboot_acknowledged(m.memory[step.pool], a.host, a.command, mono(w));
+    fleet::record_reboot_acknowledged(m.memory[step.pool], a.host, a.command, mono(w));
 }
 
 /// Jobs that end in time stay; the others go to hosts of the pool, best to those not to come.
@@ -140,7 +141,7 @@
 {
     const auto* view = find_view(m, step.pool);
     auto& from = w.platform.hosts.at(a.host);
-    const auto upcoming = fleet::upcoming_hosts(m.pools, m.waves);
+    const auto upcoming = fleet::hosts_awaiting_maintenance(m.pools, m.waves);
     const std::int64_t until = w.platform.now_ms + a.time_left.count();
     sim_host* best = nullptr;
     const auto later = [&](const std::string& id)
@@ -269,7 +270,7 @@
 
 void decide(world& w, sim_member& m)
 {
-    const fleet::live_lookup live(live_list(w.platform));
+    const fleet::live_list_index live(live_list(w.platform));
     for (const auto& [pool, since] : m.taken_over_ms)
     {
         if (const auto* own = find_view(m, pool))
@@ -327,7 +328,7 @@
         return false;
     }
     const auto out = fleet::change(view->document, e, *m.config, wall(w));
-    if (!core::is_ok(out) || !core::value(out).what.changed)
+    if (!core::is_ok(out) || !core::value(out).outcome.changed)
     {
         return false;
     }
