--- a/bench/dispatch_policy/src/permits_policy.cpp
+++ b/bench/dispatch_policy/src/permits_policy.cpp
@@ -110,7 +110,7 @@
         asked.klass = request.klass;
         asked.idempotent = request.idempotent;
         asked.time_left = request.deadline;
-        act(id, begin(it.flow, sender_of(it), asked, world_.events.now()));
+        act(id, start_flow(it.flow, sender_of(it), asked, world_.events.now()));
     }
 
     request_sender& sender_of(const request_state& it)
@@ -149,7 +149,7 @@
 
     void set_timer(std::uint64_t id, request_state& it)
     {
-        const auto when = wake_at(it.flow);
+        const auto when = next_timer(it.flow);
         if (when == it.timer || when == core::mono_time::max())
         {
             return;
@@ -167,7 +167,7 @@
             });
     }
 
-    void perform(std::uint64_t id, const ask_permit& action)
+    void perform(std::uint64_t id, const request_permit& action)
     {
         const auto sender = requests_.at(id).request.sender;
         asks_[{std::to_string(sender), "1", action.message.request}] = id;
@@ -194,7 +194,7 @@
     {
         const auto& it = requests_.at(id);
         const auto index = std::stoi(action.host);
-        const auto ask = it.flow.ask;
+        const auto ask = it.flow.permit_request_id;
         world_.count_send(index);
         world_.events.after(action.total_timeout,
             [this, id, ask] { end_call(id, ask, ports::call_end::interrupted, {}); });
@@ -220,7 +220,7 @@
     {
         const auto at = requests_.find(id);
         if (at == requests_.end() || at->second.flow.phase != flow_phase::sending ||
-            at->second.flow.ask != ask)
+            at->second.flow.permit_request_id != ask)
         {
             return;
         }
@@ -244,7 +244,7 @@
     {
     }
 
-    void perform(std::uint64_t, const ask_claim&)
+    void perform(std::uint64_t, const request_claim&)
     {
     }
 
@@ -307,7 +307,7 @@
     std::vector<core::mono_time> ticks_;
     std::vector<request_sender> senders_;
     std::map<std::uint64_t, request_state> requests_;
-    std::map<ask_key, std::uint64_t> asks_;
+    std::map<permit_request_key, std::uint64_t> asks_;
     std::uint64_t next_ = 1;
 };
 
@@ -321,7 +321,7 @@
 run_result run_permits_patient(const load_settings& load)
 {
     sender_settings settings;
-    settings.patience_samples = std::numeric_limits<std::uint64_t>::max();
+    settings.min_timeout_samples = std::numeric_limits<std::uint64_t>::max();
     return permit_world{load, settings, false}.run("patient");
 }
 
--- a/libs/dispatch/include/dispatch/caller_request.hpp
+++ b/libs/dispatch/include/dispatch/caller_request.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What an entry host makes of a caller's HTTP request.
+/// Reads the properties of a caller's HTTP request at its entry host.
 #pragma once
 
 #include "core/findings.hpp"
@@ -21,12 +21,12 @@
 inline constexpr std::string_view idempotency_key = "Idempotency-Key";
 inline constexpr std::string_view idempotent = "Camphorhitch-Idempotent"; ///< true or false
 inline constexpr std::string_view request_class = "Camphorhitch-Class";   ///< quick, normal, long
-inline constexpr std::string_view deadline = "Camphorhitch-Deadline-Ms";
-inline constexpr std::string_view expected = "Camphorhitch-Expected-Ms"; ///< run time
+inline constexpr std::string_view deadline = "Camphorhitch-Deadline-Ms";  ///< time allowed, in ms
+inline constexpr std::string_view expected = "Camphorhitch-Expected-Ms";  ///< run time, in ms
 
-// From hop to hop; a target that calls on passes them on.
-inline constexpr std::string_view time_left = "Camphorhitch-Time-Left-Ms";
-inline constexpr std::string_view retry = "Camphorhitch-Retry"; ///< earlier attempts, by anybody
+// From hop to hop. A target that makes further calls passes these fields on.
+inline constexpr std::string_view time_left = "Camphorhitch-Time-Left-Ms"; ///< in ms
+inline constexpr std::string_view retry = "Camphorhitch-Retry"; ///< number of earlier attempts
 
 // To callers.
 inline constexpr std::string_view outcome = "Camphorhitch-Outcome";
@@ -37,22 +37,24 @@
 
 } // namespace fields
 
-/// Longest idempotency key that is taken, in characters.
-inline constexpr std::size_t longest_key = 200;
+/// Maximum length of an idempotency key, in characters.
+inline constexpr std::size_t max_key_length = 200;
 
+/// The properties of a caller's request that the dispatch depends on.
 struct caller_request
 {
     std::string pool;
     ports::request_class klass = ports::request_class::normal;
-    std::string key;             ///< claim key, scoped by pool; empty: the request brought none
-    std::uint64_t body_hash = 0; ///< of method, path, query and body
+    std::string key;             ///< claim key "pool/key"; empty: no idempotency key was given
+    std::uint64_t body_hash = 0; ///< hash of method, path, query and body
     bool idempotent = false;     ///< may be sent again after a send that may have run
-    core::millis time_left{0};
-    core::millis expected{0};
-    int earlier_attempts = 0; ///< by the caller or hops before us
+    core::millis time_left{0};   ///< until the deadline
+    core::millis expected{0};    ///< run time that the caller expects; 0: not given
+    int earlier_attempts = 0;    ///< attempts by the caller or by previous hops
 };
 
-/// Reads the fields above. All that is wrong with them is reported together.
+/// Reads the header fields above.
+/// \return the request, or one finding for each invalid field.
 std::variant<caller_request, core::findings> read_caller_request(
     const ports::http_request& request, const model::pool_config& pool);
 
--- a/libs/dispatch/src/admission.cpp
+++ b/libs/dispatch/src/admission.cpp
@@ -8,11 +8,12 @@
 namespace
 {
 
-constexpr double sample_weight = 0.05; // of the newest wait
+constexpr double sample_weight = 0.05; // weight of the newest wait in the mean
 constexpr double us_per_second = 1e6;
-constexpr double deviations_waited = 8; // beyond the mean: hardly a run takes longer
+/// Mean deviations above the mean run time; hardly any run takes longer.
+constexpr double run_time_deviations = 8;
 
-core::micros whole(double us)
+core::micros to_micros(double us)
 {
     return core::micros{static_cast<std::int64_t>(us)};
 }
@@ -42,8 +43,10 @@
     d.retries.filled = now;
 }
 
-/// Retries of a failing pool multiply its load just when it can carry least. The bucket bounds them
-/// to a share of first attempts, whoever sends them.
+/// Takes a token for a retry, or adds the share of a token that a first attempt earns. Retries
+/// multiply the load of a failing pool when it can carry the least load. The token bucket limits
+/// the retries of all senders together to a share of the first attempts. \return whether the
+/// request may go on.
 bool take_retry_token(pool_dispatcher& d, bool retry, core::mono_time now)
 {
     refill(d, now);
@@ -64,7 +67,7 @@
 {
     const auto missing = 1 - d.retries.tokens;
     const auto rate = d.settings.retries_per_second;
-    return rate > 0 ? whole(missing / rate * us_per_second) : d.settings.longest_retry_after;
+    return rate > 0 ? to_micros(missing / rate * us_per_second) : d.settings.max_retry_after;
 }
 
 } // namespace
@@ -73,7 +76,7 @@
     const pool_dispatcher& d, ports::request_class klass, core::millis declared)
 {
     const auto& run = d.times[index_of(klass)].run;
-    return run.samples > 0 ? mean_run(run) : core::micros{declared};
+    return run.samples > 0 ? mean_run_time(run) : core::micros{declared};
 }
 
 core::micros expected_wait(const pool_dispatcher& d, ports::request_class klass, std::size_t ahead)
@@ -82,29 +85,30 @@
     const auto slots = std::max(1, serving_slots(d));
     const auto guess = times.run.mean_us / slots;
     const auto each = times.per_position_us > 0 ? times.per_position_us : guess;
-    return whole(each * static_cast<double>(ahead));
+    return to_micros(each * static_cast<double>(ahead));
 }
 
-core::micros expected_linger(const pool_dispatcher& d, std::optional<ports::request_class> klass)
+core::micros expected_run_after_disconnect(
+    const pool_dispatcher& d, std::optional<ports::request_class> klass)
 {
-    const core::micros longest{d.settings.silent_linger};
+    const core::micros longest{d.settings.max_run_after_disconnect};
     if (!klass || d.times[index_of(*klass)].run.samples == 0)
     {
         return longest;
     }
-    return std::min(longest, long_run(d.times[index_of(*klass)].run, deviations_waited));
+    return std::min(longest, long_run_time(d.times[index_of(*klass)].run, run_time_deviations));
 }
 
 core::millis bounded_retry_after(const pool_dispatcher& d, core::micros wait)
 {
     const auto it = std::chrono::duration_cast<core::millis>(wait);
-    return std::clamp(it, d.settings.shortest_retry_after, d.settings.longest_retry_after);
+    return std::clamp(it, d.settings.min_retry_after, d.settings.max_retry_after);
 }
 
-void note_wait(pool_dispatcher& d, const waiting_request& request, core::mono_time now)
+void record_wait(pool_dispatcher& d, const waiting_request& request, core::mono_time now)
 {
     const auto waited = static_cast<double>((now - request.arrived).count());
-    const auto position = static_cast<double>(std::max<std::size_t>(1, request.ahead));
+    const auto position = static_cast<double>(std::max<std::size_t>(1, request.queue_position));
     auto& mean = d.times[index_of(request.klass)].per_position_us;
     mean += (mean == 0 ? 1.0 : sample_weight) * (waited / position - mean);
 }
--- a/libs/dispatch/src/builder.cpp
+++ b/libs/dispatch/src/builder.cpp
@@ -7,36 +7,36 @@
 
 dispatcher_builder& dispatcher_builder::pool(model::pool_config it)
 {
-    made_.pool = std::move(it);
+    built_.pool = std::move(it);
     return *this;
 }
 
 dispatcher_builder& dispatcher_builder::settings(dispatcher_settings it)
 {
-    made_.settings = it;
+    built_.settings = it;
     return *this;
 }
 
 dispatcher_builder& dispatcher_builder::epoch(ports::epoch_number it)
 {
-    made_.epoch = it;
+    built_.epoch = it;
     return *this;
 }
 
 dispatcher_builder& dispatcher_builder::first_permit(std::uint64_t it)
 {
-    made_.next_permit = it;
+    built_.next_permit = it;
     return *this;
 }
 
 std::variant<pool_dispatcher, core::findings> dispatcher_builder::build() const
 {
-    auto wrong = check(made_.settings, "dispatcher settings");
-    if (made_.pool.name.empty())
+    auto wrong = check(built_.settings, "dispatcher settings");
+    if (built_.pool.name.empty())
     {
         wrong.push_back({{"dispatcher", "", 0, 0}, "the pool has no name", ""});
     }
-    if (made_.next_permit == 0)
+    if (built_.next_permit == 0)
     {
         wrong.push_back({{"dispatcher", "", 0, 0}, "permit 0 means none", ""});
     }
@@ -44,7 +44,7 @@
     {
         return wrong;
     }
-    auto out = made_;
+    auto out = built_;
     out.retries.tokens = out.settings.retry_burst;
     return out;
 }
--- a/libs/dispatch/src/caller_request.cpp
+++ b/libs/dispatch/src/caller_request.cpp
@@ -15,8 +15,8 @@
 
 constexpr std::array<std::string_view, 5> idempotent_methods{
     "GET", "HEAD", "PUT", "DELETE", "OPTIONS"};
-constexpr std::int64_t longest_time_ms = 86400000; // a day: beyond it, a figure is a mistake
-constexpr std::int64_t most_attempts = 1000;
+constexpr std::int64_t max_time_ms = 86400000; // one day; a longer time is a mistake
+constexpr std::int64_t max_attempts = 1000;
 constexpr char first_printable = ' ';
 constexpr char delete_sign = 0x7f;
 
@@ -72,10 +72,10 @@
     }
     const bool printable = std::all_of(
         text->begin(), text->end(), [](char c) { return c >= first_printable && c < delete_sign; });
-    if (text->empty() || text->size() > longest_key || !printable)
+    if (text->empty() || text->size() > max_key_length || !printable)
     {
         wrong.push_back(wrong_field(fields::idempotency_key,
-            "must have 1 to " + std::to_string(longest_key) + " printable characters"));
+            "must have 1 to " + std::to_string(max_key_length) + " printable characters"));
     }
     return *text;
 }
@@ -110,12 +110,13 @@
     return core::stable_hash(request.body, out);
 }
 
-/// The caller's deadline and the time that a hop before us has left: the shorter one counts.
+/// \return the time until the deadline: the shorter of the caller's deadline and the time that the
+/// previous hop has left, at most the class's maximum.
 core::millis read_time(
     const ports::http_request& request, const model::class_limits& limits, core::findings& wrong)
 {
-    const auto own = read_number(request, fields::deadline, longest_time_ms, wrong);
-    const auto carried = read_number(request, fields::time_left, longest_time_ms, wrong);
+    const auto own = read_number(request, fields::deadline, max_time_ms, wrong);
+    const auto carried = read_number(request, fields::time_left, max_time_ms, wrong);
     const auto longest = limits.longest.count();
     const auto asked = std::min(own.value_or(longest), carried.value_or(longest));
     return own || carried ? core::millis{std::min(asked, longest)} : limits.deadline;
@@ -136,9 +137,9 @@
     out.body_hash = hash_of(request);
     out.time_left = read_time(request, limits_of(pool, out.klass), wrong);
     out.expected =
-        core::millis{read_number(request, fields::expected, longest_time_ms, wrong).value_or(0)};
+        core::millis{read_number(request, fields::expected, max_time_ms, wrong).value_or(0)};
     out.earlier_attempts =
-        static_cast<int>(read_number(request, fields::retry, most_attempts, wrong).value_or(0));
+        static_cast<int>(read_number(request, fields::retry, max_attempts, wrong).value_or(0));
     if (!wrong.empty())
     {
         return wrong;
--- a/libs/dispatch/src/dispatcher.cpp
+++ b/libs/dispatch/src/dispatcher.cpp
@@ -18,12 +18,12 @@
 {
 
 std::deque<waiting_request>::iterator find_waiting(
-    std::deque<waiting_request>& queue, const ask_key& key)
+    std::deque<waiting_request>& queue, const permit_request_key& key)
 {
     return std::find_if(queue.begin(), queue.end(), [&](const auto& it) { return it.key == key; });
 }
 
-bool is_waiting(pool_dispatcher& d, const ask_key& key)
+bool is_waiting(pool_dispatcher& d, const permit_request_key& key)
 {
     return std::any_of(d.queues.begin(),
         d.queues.end(),
@@ -41,12 +41,12 @@
     it.deadline = now + std::min(request.time_left, limits_of(d.pool, request.klass).longest);
     it.expected = request.expected;
     it.avoid = request.avoid;
-    it.ahead = queue.size() + 1;
-    d.wake = std::min(d.wake, it.deadline);
+    it.queue_position = queue.size() + 1;
+    d.next_wakeup_at = std::min(d.next_wakeup_at, it.deadline);
     queue.push_back(std::move(it));
 }
 
-void note_outcome(pool_dispatcher& d,
+void record_outcome(pool_dispatcher& d,
     const permit_record& permit,
     const ports::permit_return& back,
     core::mono_time now)
@@ -55,67 +55,69 @@
     switch (back.outcome)
     {
     case ports::permit_outcome::unused:
-        note_unused(target, permit.probe);
+        record_unused(target, permit.probe);
         break;
     case ports::permit_outcome::answered:
-        note_success(d, target, permit.probe);
+        record_success(d, target, permit.probe);
         if (permit.klass)
         {
-            note_run(d.times[index_of(*permit.klass)].run, back.elapsed);
+            record_run_time(d.times[index_of(*permit.klass)].run, back.elapsed);
         }
         break;
     case ports::permit_outcome::failed:
     case ports::permit_outcome::silent:
-        note_failure(d, target, permit.probe, now);
+        record_failure(d, target, permit.probe, now);
         break;
     }
 }
 
-/// A call that ended unheard may still run at the target, which would then see one request more
-/// than its slots. Its slot stays taken for as long as such requests mostly run. Not for longer:
-/// under overload many calls are cut at their deadlines, and slots that wait for the worst case
-/// were the overload's cause for the next requests. A drain waits for the worst case.
-void linger(pool_dispatcher& d, permit_record& permit, core::mono_time now)
-{
-    permit.lingering = true;
-    permit.bound = now + d.settings.silent_linger;
-    permit.slot_until = now + expected_linger(d, permit.klass);
-    d.wake = std::min(d.wake, permit.slot_until);
+/// Keeps the slot of a returned permit whose request may still be running at the target. If the
+/// slot were freed at once, the target could get one request more than it has slots. The slot stays
+/// taken for as long as nearly all such requests run, and not longer: under overload many calls are
+/// cut at their deadlines, and slots that wait for the worst case would prolong the overload for
+/// the next requests. A drain waits for the worst case.
+void keep_slot_while_running(pool_dispatcher& d, permit_record& permit, core::mono_time now)
+{
+    permit.may_still_run = true;
+    permit.expires_at = now + d.settings.max_run_after_disconnect;
+    permit.slot_free_at = now + expected_run_after_disconnect(d, permit.klass);
+    d.next_wakeup_at = std::min(d.next_wakeup_at, permit.slot_free_at);
 }
 
-void give_back(pool_dispatcher& d,
-    std::map<ask_key, permit_record>::iterator it,
+void accept_return(pool_dispatcher& d,
+    std::map<permit_request_key, permit_record>::iterator it,
     const ports::permit_return& back,
     core::mono_time now)
 {
-    close_given_up(d, it->first, now);
-    if (it->second.lingering)
+    close_withdrawn_request(d, it->first, now);
+    if (it->second.may_still_run)
     {
         return;
     }
-    note_outcome(d, it->second, back, now);
+    record_outcome(d, it->second, back, now);
     if (back.outcome == ports::permit_outcome::silent)
     {
-        linger(d, it->second, now);
+        keep_slot_while_running(d, it->second, now);
         return;
     }
     release(d, it);
 }
 
-/// \return the answer to an ask that came before. Without it a repeat would get a second permit,
-/// and the sender, which knows of one only, would never return the other.
+/// \return the answer to a permit request that was answered before. Without it a repeat would get a
+/// second permit, and the sender, which has a record of one permit only, would never return the
+/// other.
 std::optional<ports::permit_reply> earlier_answer(
-    const pool_dispatcher& d, const ask_key& key, core::mono_time now)
+    const pool_dispatcher& d, const permit_request_key& key, core::mono_time now)
 {
     const auto held = d.permits.find(key);
     if (held != d.permits.end())
     {
-        return held->second.lingering
-                   ? refusal_reply(refusal::given_up, d.settings.shortest_retry_after)
+        return held->second.may_still_run
+                   ? refusal_reply(refusal::withdrawn, d.settings.min_retry_after)
                    : held->second.reply;
     }
-    const auto over = d.closed.find(key);
-    if (over != d.closed.end() && over->second.until > now)
+    const auto over = d.closed_requests.find(key);
+    if (over != d.closed_requests.end() && over->second.until > now)
     {
         return over->second.reply;
     }
@@ -124,7 +126,7 @@
 
 } // namespace
 
-bool ask_key::operator<(const ask_key& other) const
+bool permit_request_key::operator<(const permit_request_key& other) const
 {
     return std::tie(request, member, incarnation) <
            std::tie(other.request, other.member, other.incarnation);
@@ -139,7 +141,7 @@
     pool_dispatcher& d, const ports::permit_request& request, core::mono_time now)
 {
     permit_answers out;
-    const ask_key key{request.member, request.incarnation, request.request};
+    const permit_request_key key{request.member, request.incarnation, request.request};
     if (is_waiting(d, key))
     {
         return out;
@@ -149,7 +151,7 @@
         out.push_back({key, *earlier});
         return out;
     }
-    // A sender that knows a newer roster may follow another owner, whose permits we can't count.
+    // A sender with a newer roster may use permits of another owner, which this owner can't count.
     if (!d.hosts_known || !is_ready(d) || request.epoch > d.epoch)
     {
         refuse(d, key, refusal::not_ready, d.settings.not_ready_retry_after, now, out);
@@ -162,14 +164,14 @@
         return out;
     }
     enqueue(d, request, now);
-    serve(d, now, out);
+    grant_waiting(d, now, out);
     return out;
 }
 
 permit_answers on_return(pool_dispatcher& d, const ports::permit_return& back, core::mono_time now)
 {
     permit_answers out;
-    const ask_key key{back.member, back.incarnation, back.request};
+    const permit_request_key key{back.member, back.incarnation, back.request};
     for (auto& queue : d.queues)
     {
         const auto it = find_waiting(queue, key);
@@ -181,14 +183,14 @@
     const auto held = d.permits.find(key);
     if (held != d.permits.end())
     {
-        give_back(d, held, back, now);
+        accept_return(d, held, back, now);
     }
     else if (back.permit == 0)
     {
-        close_given_up(d, key, now); // the ask itself may come later than its own withdrawal
+        close_withdrawn_request(d, key, now); // the request may arrive after its own withdrawal
     }
-    forget_unused(d, now);
-    serve(d, now, out);
+    remove_unused_targets(d, now);
+    grant_waiting(d, now, out);
     return out;
 }
 
@@ -199,7 +201,7 @@
     core::mono_time now)
 {
     permit_answers out;
-    const auto its_own = [&](const ask_key& it)
+    const auto its_own = [&](const permit_request_key& it)
     {
         return it.member == member && it.incarnation == incarnation;
     };
@@ -209,18 +211,18 @@
     }
     if (proven)
     {
-        note_gone(d, member, incarnation, now);
+        record_process_ended(d, member, incarnation, now);
     }
     for (auto& [key, permit] : d.permits)
     {
-        if (proven && !permit.lingering && its_own(key))
+        if (proven && !permit.may_still_run && its_own(key))
         {
-            note_unused(d.targets.at(permit.host), permit.probe);
-            close_given_up(d, key, now);
-            linger(d, permit, now);
+            record_unused(d.targets.at(permit.host), permit.probe);
+            close_withdrawn_request(d, key, now);
+            keep_slot_while_running(d, permit, now);
         }
     }
-    serve(d, now, out);
+    grant_waiting(d, now, out);
     return out;
 }
 
@@ -228,20 +230,20 @@
 {
     permit_answers out;
     expire_permits(d, now);
-    expire_reserves(d, now);
-    if (!d.take_over.missing.empty() && d.take_over.answers_by <= now)
+    expire_reservations(d, now);
+    if (!d.take_over.missing_reports.empty() && d.take_over.report_deadline <= now)
     {
-        end_waiting_for_reports(d, now);
+        stop_waiting_for_reports(d, now);
     }
-    forget_unused(d, now);
-    serve(d, now, out);
-    d.wake = earliest_wake(d, now);
+    remove_unused_targets(d, now);
+    grant_waiting(d, now, out);
+    d.next_wakeup_at = earliest_wakeup(d, now);
     return out;
 }
 
 core::mono_time next_wakeup(const pool_dispatcher& d)
 {
-    return d.wake;
+    return d.next_wakeup_at;
 }
 
 std::size_t waiting(const pool_dispatcher& d, ports::request_class klass)
--- a/libs/dispatch/src/flow_answers.cpp
+++ b/libs/dispatch/src/flow_answers.cpp
@@ -27,8 +27,9 @@
         std::string{fields::outcome}, std::string{core::name_of(caller_outcome_names, outcome)});
 }
 
-/// Rounded up: a caller that comes back too early is refused again.
-std::string in_seconds(core::millis it)
+/// \return the time in whole seconds, rounded up, because a caller that retries too early is
+/// refused again.
+std::string whole_seconds(core::millis it)
 {
     return std::to_string((it.count() + ms_per_second - 1) / ms_per_second);
 }
@@ -44,7 +45,7 @@
     case refusal::expired:
         return status_timeout;
     case refusal::no_target:
-    case refusal::given_up:
+    case refusal::withdrawn:
     case refusal::not_ready:
         break;
     }
@@ -58,7 +59,7 @@
     const char* text;
 };
 
-/// What a call that was not sent is told, by the claim's rule.
+/// \return the status and text for a call that was not sent, by the claim's reason.
 const claim_row& row_of(claims::outcome_reason reason)
 {
     using enum claims::outcome_reason;
@@ -103,7 +104,8 @@
     set_outcome(out.response, outcome);
     if (retry_after.count() > 0)
     {
-        out.response.fields.emplace_back(std::string{fields::retry_after}, in_seconds(retry_after));
+        out.response.fields.emplace_back(
+            std::string{fields::retry_after}, whole_seconds(retry_after));
     }
     out.response.body = text + "\n";
     return out;
@@ -137,21 +139,21 @@
         "It was sent and may have run; sending it again was refused.");
 }
 
-answer_caller claim_answer(const claims::outcome_report& told)
+answer_caller claim_answer(const claims::outcome_report& report)
 {
-    if (told.kind == claims::outcome::answered)
+    if (report.kind == claims::outcome::answered)
     {
-        auto out = target_answer(told.response);
+        auto out = target_answer(report.response);
         out.response.fields.emplace_back(std::string{fields::replayed}, "true");
         return out;
     }
-    const auto& row = row_of(told.reason);
+    const auto& row = row_of(report.reason);
     const auto outcome =
-        told.kind == claims::outcome::not_run ? caller_outcome::not_run : caller_outcome::unknown;
+        report.kind == claims::outcome::not_run ? caller_outcome::not_run : caller_outcome::unknown;
     auto out = own_answer(row.status,
         outcome,
-        told.retry_after,
-        std::string{core::name_of(claims::outcome_reason_names, told.reason)},
+        report.retry_after,
+        std::string{core::name_of(claims::outcome_reason_names, report.reason)},
         row.text);
     if (outcome == caller_outcome::unknown)
     {
--- a/libs/dispatch/src/flow_answers.hpp
+++ b/libs/dispatch/src/flow_answers.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What a caller is told: the table of statuses, outcomes and Retry-After.
+/// Answers to callers: status, outcome and Retry-After.
 #pragma once
 
 #include "dispatch/request_flow.hpp"
@@ -7,27 +7,28 @@
 namespace camphorhitch::dispatch
 {
 
-/// An answer of our own.
+/// \return an answer that this entry host makes itself.
 /// \param reason name of the rule that decided.
-/// \param text a sentence for a person.
+/// \param text explanation for people, in one sentence.
 answer_caller own_answer(int status,
     caller_outcome outcome,
     core::millis retry_after,
     const std::string& reason,
     const std::string& text);
 
-/// A refusal, by the rule that the owner gave. Nothing of this request has run.
+/// \return the answer to a request that was refused by the owner's rule \p reason and has not run.
 answer_caller not_run_answer(
     const std::string& reason, core::millis retry_after, const sender_settings& settings);
 
-/// The target's own answer.
+/// \return the target's own response as an answer.
 answer_caller target_answer(ports::http_response response);
 
-/// The answer when a request was sent and may have run, and a second send was refused.
+/// \return the answer to a request that was sent and may have run, and whose retry was refused.
 answer_caller unknown_answer(const answer_caller& refused);
 
-/// What the claim's rules say of a call that was not sent. "Not run" is said only where it holds
-/// for earlier calls with the key too: a caller would take it for the whole truth and charge again.
-answer_caller claim_answer(const claims::outcome_report& told);
+/// \return the answer to a call that was not sent because of its claim. The outcome is "not run"
+/// only if it holds for earlier calls with the same key too. Otherwise the caller would conclude
+/// that no call with the key has run, and would, for example, charge a customer again.
+answer_caller claim_answer(const claims::outcome_report& report);
 
 } // namespace camphorhitch::dispatch
--- a/libs/dispatch/src/flow_claim.cpp
+++ b/libs/dispatch/src/flow_claim.cpp
@@ -9,7 +9,8 @@
 namespace
 {
 
-/// A large answer would fill the message and the holders' memory; that it ran is what matters.
+/// Removes a large answer from the report, because it would fill the message and the holders'
+/// memory. The fact that the request ran is kept.
 void trim_answer(ports::claim_finish& finish, std::size_t most_bytes)
 {
     if (finish.entry.body.size() > most_bytes)
@@ -30,18 +31,18 @@
     it.executor = sender.member + "/" + sender.incarnation;
     it.number = sender.next_number++;
     it.deadline = flow.deadline;
-    ask_for_claim(flow, sender, now, out);
+    issue_claim_request(flow, sender, now, out);
 }
 
-void ask_for_claim(
+void issue_claim_request(
     request_flow& flow, const request_sender& sender, core::mono_time now, flow_actions& out)
 {
     flow.phase = flow_phase::claiming;
-    flow.claim_asked_at = now;
-    out.emplace_back(ask_claim{claims::make_claim(*flow.claim, sender.epoch)});
+    flow.claim_requested_at = now;
+    out.emplace_back(request_claim{claims::make_claim(*flow.claim, sender.epoch)});
 }
 
-void tell_end(
+void end_flow(
     request_flow& flow, const request_sender& sender, core::mono_time now, flow_actions& out)
 {
     flow.phase = flow_phase::ended;
@@ -53,8 +54,8 @@
     if (finish)
     {
         trim_answer(*finish, sender.settings.answer_kept_bytes);
-        flow.phase = flow_phase::telling;
-        flow.pause_until = now + sender.settings.claims.finish_delay;
+        flow.phase = flow_phase::finishing_claim;
+        flow.retry_at = now + sender.settings.claims.finish_delay;
         out.emplace_back(finish_claim{std::move(*finish)});
     }
 }
@@ -66,30 +67,30 @@
     core::mono_time now)
 {
     flow_actions out;
-    const bool over = flow.phase == flow_phase::telling || flow.phase == flow_phase::ended;
+    const bool over = flow.phase == flow_phase::finishing_claim || flow.phase == flow_phase::ended;
     if (!flow.claim || (flow.phase != flow_phase::claiming && !over))
     {
         return out;
     }
     const auto step = claims::on_claim_reply(
-        *flow.claim, sender.settings.claims, status, reply, flow.claim_asked_at, now);
+        *flow.claim, sender.settings.claims, status, reply, flow.claim_requested_at, now);
     if (over)
     {
-        tell_end(flow, sender, now, out);
+        end_flow(flow, sender, now, out);
         return out;
     }
     if (const auto* again = std::get_if<claims::ask_again>(&step))
     {
-        pause_in(flow, flow_phase::claim_pause, again->delay, now);
+        wait_for_retry(flow, flow_phase::claim_retry_wait, again->delay, now);
     }
-    else if (const auto* told = std::get_if<claims::outcome_report>(&step))
+    else if (const auto* report = std::get_if<claims::outcome_report>(&step))
     {
-        answer(flow, claim_answer(*told), out);
-        tell_end(flow, sender, now, out);
+        answer_once(flow, claim_answer(*report), out);
+        end_flow(flow, sender, now, out);
     }
     else
     {
-        ask_for_permit(flow, sender, true, now, out);
+        issue_permit_request(flow, sender, true, now, out);
     }
     return out;
 }
@@ -100,12 +101,12 @@
     const ports::ack& ack,
     core::mono_time now)
 {
-    if (flow.phase == flow_phase::telling && status == ports::peer_status::ok)
+    if (flow.phase == flow_phase::finishing_claim && status == ports::peer_status::ok)
     {
         claims::on_finish_ack(*flow.claim, ack);
-        const bool told =
+        const bool acknowledged =
             !claims::due_finish(*flow.claim, sender.settings.claims, sender.epoch, now);
-        flow.phase = told ? flow_phase::ended : flow_phase::telling;
+        flow.phase = acknowledged ? flow_phase::ended : flow_phase::finishing_claim;
     }
     return {};
 }
--- a/libs/dispatch/src/flow_send.cpp
+++ b/libs/dispatch/src/flow_send.cpp
@@ -19,13 +19,14 @@
 
 bool may_send_again(const request_flow& flow, const request_sender& sender, core::mono_time now)
 {
-    return flow.sends < sender.settings.most_attempts && now < flow.deadline && flow.caller_waits;
+    return flow.sends < sender.settings.max_attempts && now < flow.deadline &&
+           flow.caller_is_waiting;
 }
 
 void send_again(request_flow& flow, request_sender& sender, core::mono_time now, flow_actions& out)
 {
     flow.avoid.push_back(flow.permit.host);
-    ask_for_permit(flow, sender, true, now, out);
+    issue_permit_request(flow, sender, true, now, out);
 }
 
 void on_answered(request_flow& flow,
@@ -37,13 +38,13 @@
     const bool failed = outcome.response.status >= status_server_error;
     if (failed && flow.request.idempotent && may_send_again(flow, sender, now))
     {
-        flow.kept = outcome.response;
-        flow.retrying = true;
+        flow.fallback_response = outcome.response;
+        flow.is_retry = true;
         send_again(flow, sender, now, out);
         return;
     }
-    answer(flow, target_answer(outcome.response), out);
-    tell_end(flow, sender, now, out);
+    answer_once(flow, target_answer(outcome.response), out);
+    end_flow(flow, sender, now, out);
 }
 
 void on_not_sent(request_flow& flow, request_sender& sender, core::mono_time now, flow_actions& out)
@@ -53,7 +54,7 @@
         send_again(flow, sender, now, out);
         return;
     }
-    end_unsent(flow,
+    end_not_in_flight(flow,
         sender,
         own_answer(status_unavailable,
             caller_outcome::not_run,
@@ -67,9 +68,9 @@
 answer_caller lost_answer(
     const request_flow& flow, const request_sender& sender, core::mono_time now)
 {
-    if (flow.kept)
+    if (flow.fallback_response)
     {
-        return target_answer(*flow.kept);
+        return target_answer(*flow.fallback_response);
     }
     return own_answer(now >= flow.deadline ? status_timeout : status_bad_gateway,
         caller_outcome::unknown,
@@ -83,15 +84,15 @@
     flow.may_have_run = true;
     if (flow.request.idempotent && may_send_again(flow, sender, now))
     {
-        flow.retrying = true;
+        flow.is_retry = true;
         send_again(flow, sender, now, out);
         return;
     }
-    answer(flow, lost_answer(flow, sender, now), out);
-    tell_end(flow, sender, now, out);
+    answer_once(flow, lost_answer(flow, sender, now), out);
+    end_flow(flow, sender, now, out);
 }
 
-/// Returns the permit of the send, and remembers the send if the target may be running it on.
+/// Returns the permit of the send, and records the send if the target may still be running it.
 void end_send(request_flow& flow,
     request_sender& sender,
     ports::permit_outcome outcome,
@@ -99,15 +100,17 @@
     core::mono_time now,
     flow_actions& out)
 {
-    give_permit_back(flow, sender, flow.permit, flow.ask, outcome, elapsed, out);
+    issue_permit_return(flow, sender, flow.permit, flow.permit_request_id, outcome, elapsed, out);
     if (outcome == ports::permit_outcome::answered)
     {
-        note_run(sender.runs[flow.request.pool][index_of(flow.request.klass)], elapsed);
+        record_run_time(
+            sender.measured_times[flow.request.pool][index_of(flow.request.klass)], elapsed);
     }
     if (outcome == ports::permit_outcome::silent)
     {
-        const auto until = now + sender.settings.silent_linger;
-        flow.cuts.push_back({flow.ask, flow.permit, flow.sent_at, until});
+        const auto until = now + sender.settings.max_run_after_disconnect;
+        flow.interrupted_sends.push_back(
+            {flow.permit_request_id, flow.permit, flow.sent_at, until});
     }
 }
 
@@ -127,31 +130,31 @@
     return ports::permit_outcome::failed;
 }
 
-/// A request is left to finish past its deadline: its result may be remembered, and its slot is
-/// known to be free. But a connection that went silent swallows a request and never says so. A call
-/// that takes longer than nearly all others may be such a one: it is cut while there is time to
-/// send again, if the request may run twice.
+/// A request may finish after its deadline, so that its result can be stored and the owner learns
+/// when the slot is free. But a dead connection drops a request without any error. A call that
+/// takes longer than nearly all others may be on such a connection, so an idempotent request is cut
+/// while there is time to send it again.
 core::millis call_timeout(const request_flow& flow, const request_sender& sender, core::millis left)
 {
     const auto& settings = sender.settings;
     const auto whole = left + settings.result_grace;
-    const auto known = sender.runs.find(flow.request.pool);
-    if (!flow.request.idempotent || flow.sends + 1 >= settings.most_attempts ||
-        known == sender.runs.end())
+    const auto known = sender.measured_times.find(flow.request.pool);
+    if (!flow.request.idempotent || flow.sends + 1 >= settings.max_attempts ||
+        known == sender.measured_times.end())
     {
         return whole;
     }
     const auto& run = known->second[index_of(flow.request.klass)];
-    if (run.samples < settings.patience_samples)
+    if (run.samples < settings.min_timeout_samples)
     {
         return whole;
     }
-    const auto patience =
-        std::chrono::duration_cast<core::millis>(long_run(run, settings.patience_deviations));
-    const auto enough = std::max(patience, settings.least_patience);
-    // Cut later, the second send would hardly have the time that it needs; and a target may run on
-    // what was cut for longer than its slot is left alone.
-    return enough * 2 <= left && enough <= settings.silent_linger ? enough : whole;
+    const auto early_timeout =
+        std::chrono::duration_cast<core::millis>(long_run_time(run, settings.timeout_deviations));
+    const auto enough = std::max(early_timeout, settings.min_early_timeout);
+    // With a longer time-out, the second send would hardly have enough time, and a target might run
+    // the interrupted request for longer than its slot stays taken.
+    return enough * 2 <= left && enough <= settings.max_run_after_disconnect ? enough : whole;
 }
 
 } // namespace
@@ -191,7 +194,7 @@
     out.emplace_back(std::move(it));
 }
 
-void stop_sending(
+void cancel_sending(
     request_flow& flow, request_sender& sender, core::mono_time now, flow_actions& out)
 {
     out.emplace_back(cancel_send{});
@@ -200,9 +203,10 @@
     flow.may_have_run = true;
 }
 
-void time_out_sending(request_flow& flow, const request_sender& sender, flow_actions& out)
+void answer_timeout_while_sending(
+    request_flow& flow, const request_sender& sender, flow_actions& out)
 {
-    answer(flow,
+    answer_once(flow,
         own_answer(status_timeout,
             caller_outcome::unknown,
             sender.settings.retry_after,
--- a/libs/dispatch/src/health.cpp
+++ b/libs/dispatch/src/health.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr double sample_weight = 0.1; // of the newest request in a target's failure ratio
+constexpr double sample_weight = 0.1; // weight of the newest request in the failure ratio
 
 void add_sample(target_health& health, bool failed)
 {
@@ -17,15 +17,16 @@
     health.failures_in_a_row = failed ? health.failures_in_a_row + 1 : 0;
 }
 
+/// Health of the serving targets of a pool.
 struct pool_health
 {
     int serving = 0;
     int ejected = 0;
-    int others = 0; ///< serving targets that are not ejected, but for the one asked about
-    double others_failing = 0; ///< their mean failure ratio
+    int others = 0;            ///< targets not ejected, without the excluded one
+    double others_failing = 0; ///< mean failure ratio of those targets
 };
 
-pool_health look_at_pool(const pool_dispatcher& d, const target_state* but)
+pool_health summarize_pool(const pool_dispatcher& d, const target_state* but)
 {
     pool_health out;
     for (const auto& [name, it] : d.targets)
@@ -46,24 +47,26 @@
     return out;
 }
 
-int most_ejected(const pool_dispatcher& d, const pool_health& all)
+int max_ejected(const pool_dispatcher& d, const pool_health& all)
 {
-    return static_cast<int>(all.serving * d.settings.health.most_ejected);
+    return static_cast<int>(all.serving * d.settings.health.max_ejected_share);
 }
 
 bool fails_too_often(const target_health& health, const health_settings& limits)
 {
     return health.failures_in_a_row >= limits.failures_in_a_row ||
-           (health.samples >= limits.least_samples && health.failure_ratio >= limits.failure_ratio);
+           (health.samples >= limits.min_samples && health.failure_ratio >= limits.failure_ratio);
 }
 
-/// A fault that all targets share (a bad release, a database gone) would eject one after the other
-/// and put the whole load on the last ones; the callers would see refusals in place of the
-/// targets' own errors. So a target is ejected only while others do better, and never most of them.
+/// \return whether \p target may be ejected. A fault that all targets share, such as a bad release
+/// or a database outage, would eject one target after the other and put the whole load on the last
+/// ones, and callers would get refusals instead of the targets' own errors. So a target is ejected
+/// only while the other targets fail less often than pool_failure_ratio, and the share of ejected
+/// targets is limited.
 bool may_eject(const pool_dispatcher& d, const target_state& target)
 {
-    const auto all = look_at_pool(d, &target);
-    return all.ejected < most_ejected(d, all) &&
+    const auto all = summarize_pool(d, &target);
+    return all.ejected < max_ejected(d, all) &&
            all.others_failing < d.settings.health.pool_failure_ratio;
 }
 
@@ -72,17 +75,17 @@
     auto& health = target.health;
     const auto& limits = d.settings.health;
     const bool again = health.probe_interval.count() > 0;
-    health.probe_interval =
-        again ? std::min(health.probe_interval * 2, limits.longest_probe) : limits.first_probe;
+    health.probe_interval = again ? std::min(health.probe_interval * 2, limits.max_probe_interval)
+                                  : limits.first_probe_delay;
     health.state = health_state::ejected;
     health.probe_at = now + health.probe_interval;
     health.allowance = 0;
     health.answers_since_return = 0;
     d.counters.ejections += 1;
-    d.wake = std::min(d.wake, health.probe_at);
+    d.next_wakeup_at = std::min(d.next_wakeup_at, health.probe_at);
 }
 
-void let_back(target_health& health)
+void start_recovery(target_health& health)
 {
     health.state = health_state::recovering;
     health.allowance = 1;
@@ -113,7 +116,7 @@
     return target.health.state == health_state::ejected && health_limit(target, now) > 0;
 }
 
-void note_success(pool_dispatcher& d, target_state& target, bool probe)
+void record_success(pool_dispatcher& d, target_state& target, bool probe)
 {
     auto& health = target.health;
     if (health.state == health_state::ejected)
@@ -121,9 +124,9 @@
         if (probe)
         {
             health.probing = false;
-            let_back(health);
+            start_recovery(health);
         }
-        return; // an answer to a request from before the ejection proves nothing new
+        return; // a request sent before the ejection shows nothing about the current health
     }
     add_sample(health, false);
     health.answers_since_return += 1;
@@ -133,13 +136,13 @@
         health.state =
             health.allowance == target.slots ? health_state::healthy : health_state::recovering;
     }
-    if (health.answers_since_return >= d.settings.health.steady_after)
+    if (health.answers_since_return >= d.settings.health.stable_after_answers)
     {
         health.probe_interval = core::millis{0};
     }
 }
 
-void note_failure(pool_dispatcher& d, target_state& target, bool probe, core::mono_time now)
+void record_failure(pool_dispatcher& d, target_state& target, bool probe, core::mono_time now)
 {
     auto& health = target.health;
     if (health.state == health_state::ejected)
@@ -159,24 +162,24 @@
     }
 }
 
-void note_unused(target_state& target, bool probe)
+void record_unused(target_state& target, bool probe)
 {
     target.health.probing = target.health.probing && !probe;
 }
 
-void bound_ejections(pool_dispatcher& d)
+void limit_ejections(pool_dispatcher& d)
 {
-    auto all = look_at_pool(d, nullptr);
+    auto all = summarize_pool(d, nullptr);
     for (auto& [name, it] : d.targets)
     {
-        if (all.ejected <= most_ejected(d, all))
+        if (all.ejected <= max_ejected(d, all))
         {
             return;
         }
         if (it.serving && it.health.state == health_state::ejected)
         {
             it.health.probing = false;
-            let_back(it.health);
+            start_recovery(it.health);
             all.ejected -= 1;
         }
     }
--- a/libs/dispatch/src/run_times.cpp
+++ b/libs/dispatch/src/run_times.cpp
@@ -8,16 +8,16 @@
 namespace
 {
 
-constexpr double sample_weight = 0.05; // of the newest run
+constexpr double sample_weight = 0.05; // weight of the newest run in mean and deviation
 
-core::micros whole(double us)
+core::micros to_micros(double us)
 {
     return core::micros{static_cast<std::int64_t>(us)};
 }
 
 } // namespace
 
-void note_run(run_times& times, core::micros elapsed)
+void record_run_time(run_times& times, core::micros elapsed)
 {
     const auto sample = static_cast<double>(elapsed.count());
     const auto weight = times.samples == 0 ? 1.0 : sample_weight;
@@ -27,14 +27,14 @@
     times.samples += 1;
 }
 
-core::micros mean_run(const run_times& times)
+core::micros mean_run_time(const run_times& times)
 {
-    return whole(times.mean_us);
+    return to_micros(times.mean_us);
 }
 
-core::micros long_run(const run_times& times, double deviations)
+core::micros long_run_time(const run_times& times, double deviations)
 {
-    return whole(times.mean_us + deviations * times.deviation_us);
+    return to_micros(times.mean_us + deviations * times.deviation_us);
 }
 
 } // namespace camphorhitch::dispatch
--- a/libs/dispatch/src/scheduling.cpp
+++ b/libs/dispatch/src/scheduling.cpp
@@ -16,19 +16,19 @@
 namespace
 {
 
-constexpr std::array<ports::request_class, class_count> by_urgency{
+constexpr std::array<ports::request_class, class_count> classes_by_urgency{
     ports::request_class::quick, ports::request_class::normal, ports::request_class::long_running};
 
-/// The invariant of permits: recounted from the permits themselves, not from the counters that the
-/// choice was made by.
+/// Checks that a target has no more permits than slots. The permits themselves are counted, not the
+/// counters that the choice was based on.
 void check_target(const pool_dispatcher& d, const target_state& target, core::mono_time now)
 {
     int held = 0;
     for (const auto& [key, it] : d.permits)
     {
-        held += it.counted && it.host == target.host ? 1 : 0;
+        held += it.holds_slot && it.host == target.host ? 1 : 0;
     }
-    for (const auto& it : target.reserves)
+    for (const auto& it : target.reservations)
     {
         held += it.until > now ? it.slots : 0;
     }
@@ -46,7 +46,7 @@
     permit_record made;
     made.host = target.host;
     made.klass = request.klass;
-    made.bound = std::max(request.deadline, now) + use_after_deadline(settings);
+    made.expires_at = std::max(request.deadline, now) + use_after_deadline(settings);
     made.probe = would_probe(target, now);
     made.reply.verdict = ports::permit_verdict::granted;
     made.reply.permit = d.next_permit++;
@@ -57,19 +57,19 @@
     target.in_use[index_of(request.klass)] += 1;
     d.counters.granted += 1;
     d.counters.probes += made.probe ? 1 : 0;
-    d.wake = std::min(d.wake, made.bound);
+    d.next_wakeup_at = std::min(d.next_wakeup_at, made.expires_at);
     out.push_back({request.key, made.reply});
     d.permits.insert_or_assign(request.key, std::move(made));
     check_target(d, target, now);
 }
 
-/// Grants the first request of the queue that has a target. Those that wait only for a target which
-/// they don't avoid are passed over.
+/// Grants the first request of the queue that a target can take. Requests whose only free targets
+/// are targets that they avoid are skipped.
 bool grant_one_of(
     pool_dispatcher& d, ports::request_class klass, core::mono_time now, permit_answers& out)
 {
     auto& queue = d.queues[index_of(klass)];
-    if (queue.empty() || !any_room(d, klass, now))
+    if (queue.empty() || !has_free_target(d, klass, now))
     {
         return false;
     }
@@ -79,7 +79,7 @@
         {
             if (now > it->arrived)
             {
-                note_wait(d, *it, now);
+                record_wait(d, *it, now);
             }
             grant(d, *target, *it, now, out);
             queue.erase(it);
@@ -105,10 +105,11 @@
         [](int n, const auto& it) { return n + (it.second.serving ? it.second.slots : 0); });
 }
 
-/// A less urgent class would wait for ever beside a steady stream of quick requests. A request that
-/// waited for a share of its deadline goes first, as long as its class holds few slots: so the
-/// class moves on, and an overload of aged requests can't push the quick ones out.
-bool aged_goes_first(const pool_dispatcher& d, ports::request_class klass, core::mono_time now)
+/// \return whether the first request of the class is granted before quicker classes. A less urgent
+/// class would starve beside a steady stream of quick requests. So a request that has waited for
+/// aged_share of its deadline goes first while its class uses few slots. The class makes progress
+/// in this way, and an overload of aged requests can't displace the quick ones.
+bool goes_first_by_age(const pool_dispatcher& d, ports::request_class klass, core::mono_time now)
 {
     const auto& queue = d.queues[index_of(klass)];
     if (klass == ports::request_class::quick || queue.empty())
@@ -125,36 +126,37 @@
 
 bool grant_next(pool_dispatcher& d, core::mono_time now, permit_answers& out)
 {
-    for (const auto klass : by_urgency)
+    for (const auto klass : classes_by_urgency)
     {
-        if (aged_goes_first(d, klass, now) && grant_one_of(d, klass, now, out))
+        if (goes_first_by_age(d, klass, now) && grant_one_of(d, klass, now, out))
         {
             return true;
         }
     }
-    return std::any_of(by_urgency.begin(),
-        by_urgency.end(),
+    return std::any_of(classes_by_urgency.begin(),
+        classes_by_urgency.end(),
         [&](ports::request_class klass) { return grant_one_of(d, klass, now, out); });
 }
 
-/// Whether a request that waited can't be answered in time any more: running it would take a slot
-/// for nothing. One that has just come runs whatever the mean run time says; if it didn't, a mean
-/// above the deadlines would refuse all that come, and nothing would run to bring the mean down.
-bool is_late(const pool_dispatcher& d, const waiting_request& it, core::mono_time now)
+/// \return whether a request that has waited can't be answered in time any more, so that running it
+/// would waste a slot. A request that has just arrived runs regardless of the mean run time.
+/// Otherwise a mean above the deadlines would cause every request to be refused, and no request
+/// would run to bring the mean down.
+bool cannot_finish_in_time(const pool_dispatcher& d, const waiting_request& it, core::mono_time now)
 {
     const bool waited = now > it.arrived;
     const auto run = waited ? expected_service(d, it.klass, core::millis{0}) : core::micros{0};
     return now + run >= it.deadline;
 }
 
-void refuse_late(pool_dispatcher& d, core::mono_time now, permit_answers& out)
+void refuse_overdue(pool_dispatcher& d, core::mono_time now, permit_answers& out)
 {
     for (auto& queue : d.queues)
     {
         for (std::size_t i = 0; i < queue.size();)
         {
             const auto& it = queue[i];
-            if (!is_late(d, it, now))
+            if (!cannot_finish_in_time(d, it, now))
             {
                 ++i;
                 continue;
@@ -166,15 +168,19 @@
     }
 }
 
-void close_ask(
-    pool_dispatcher& d, const ask_key& key, const ports::permit_reply& reply, core::mono_time now)
+void close_request(pool_dispatcher& d,
+    const permit_request_key& key,
+    const ports::permit_reply& reply,
+    core::mono_time now)
 {
-    while (!d.closed_order.empty() && d.closed[d.closed_order.front()].until <= now)
+    while (!d.closed_order.empty() && d.closed_requests[d.closed_order.front()].until <= now)
     {
-        d.closed.erase(d.closed_order.front());
+        d.closed_requests.erase(d.closed_order.front());
         d.closed_order.pop_front();
     }
-    if (d.closed.emplace(key, closed_ask{now + d.settings.answer_memory, reply}).second)
+    if (d.closed_requests
+            .emplace(key, closed_request{now + d.settings.closed_request_retention, reply})
+            .second)
     {
         d.closed_order.push_back(key);
     }
@@ -210,13 +216,13 @@
     return out;
 }
 
-void close_given_up(pool_dispatcher& d, const ask_key& key, core::mono_time now)
+void close_withdrawn_request(pool_dispatcher& d, const permit_request_key& key, core::mono_time now)
 {
-    close_ask(d, key, refusal_reply(refusal::given_up, d.settings.shortest_retry_after), now);
+    close_request(d, key, refusal_reply(refusal::withdrawn, d.settings.min_retry_after), now);
 }
 
 void refuse(pool_dispatcher& d,
-    const ask_key& key,
+    const permit_request_key& key,
     refusal why,
     core::millis retry_after,
     core::mono_time now,
@@ -226,33 +232,33 @@
     d.counters.refused += 1;
     if (why != refusal::not_ready)
     {
-        close_ask(d, key, reply, now);
+        close_request(d, key, reply, now);
     }
     out.push_back({key, reply});
 }
 
 void free_slot(pool_dispatcher& d, permit_record& permit)
 {
-    if (!permit.counted)
+    if (!permit.holds_slot)
     {
         return;
     }
-    permit.counted = false;
+    permit.holds_slot = false;
     const auto target = d.targets.find(permit.host);
     core::require(target != d.targets.end(), "permit on a target that is not known", permit.host);
     auto& count =
-        permit.klass ? target->second.in_use[index_of(*permit.klass)] : target->second.taken_over;
+        permit.klass ? target->second.in_use[index_of(*permit.klass)] : target->second.inherited;
     core::require(count > 0, "more permits returned than granted", permit.host);
     count -= 1;
 }
 
-void release(pool_dispatcher& d, std::map<ask_key, permit_record>::iterator it)
+void release(pool_dispatcher& d, std::map<permit_request_key, permit_record>::iterator it)
 {
     free_slot(d, it->second);
     d.permits.erase(it);
 }
 
-void serve(pool_dispatcher& d, core::mono_time now, permit_answers& out)
+void grant_waiting(pool_dispatcher& d, core::mono_time now, permit_answers& out)
 {
     if (!d.hosts_known || !is_ready(d))
     {
@@ -263,7 +269,7 @@
         refuse_all_waiting(d, refusal::no_target, now, out);
         return;
     }
-    refuse_late(d, now, out);
+    refuse_overdue(d, now, out);
     while (grant_next(d, now, out))
     {
     }
--- a/libs/dispatch/src/take_over.cpp
+++ b/libs/dispatch/src/take_over.cpp
@@ -11,9 +11,9 @@
 namespace
 {
 
-void reserve_for(pool_dispatcher& d, const permit_holder& gone, core::mono_time until)
+void reserve_slots_for(pool_dispatcher& d, const permit_holder& holder, core::mono_time until)
 {
-    for (const auto& it : gone.last_reported)
+    for (const auto& it : holder.last_reported)
     {
         if (it.pool != d.pool.name)
         {
@@ -21,22 +21,25 @@
         }
         auto& target = d.targets[it.host];
         target.host = it.host;
-        target.reserves.push_back({1, until});
+        target.reservations.push_back({1, until});
     }
 }
 
-/// What a member that can't be asked may have in flight ends by the longest request's time, or soon
-/// when its process is gone and its connections with it.
-void count_as_unheard(pool_dispatcher& d, const permit_holder& holder, core::mono_time now)
+/// Counts the permits that a member without a report may hold. Its requests in flight end by the
+/// time of the longest request, or soon if its process and thus its connections have ended.
+void count_without_report(pool_dispatcher& d, const permit_holder& holder, core::mono_time now)
 {
-    const auto until = holder.gone ? now + d.settings.silent_linger : d.take_over.gone_by;
-    reserve_for(d, holder, until);
-    d.take_over.unheard[{holder.member, holder.incarnation}] = until;
-    d.wake = std::min(d.wake, until);
+    const auto until = holder.process_ended ? now + d.settings.max_run_after_disconnect
+                                            : d.take_over.in_flight_until;
+    reserve_slots_for(d, holder, until);
+    d.take_over.uncounted_until[{holder.member, holder.incarnation}] = until;
+    d.next_wakeup_at = std::min(d.next_wakeup_at, until);
 }
 
-void take_permit(
-    pool_dispatcher& d, const ask_key& key, const ports::held_permit& held, core::mono_time now)
+void adopt_permit(pool_dispatcher& d,
+    const permit_request_key& key,
+    const ports::held_permit& held,
+    core::mono_time now)
 {
     if (held.pool != d.pool.name || d.permits.count(key) != 0)
     {
@@ -44,17 +47,17 @@
     }
     auto& target = d.targets[held.host];
     target.host = held.host;
-    target.taken_over += 1;
+    target.inherited += 1;
     permit_record it;
     it.host = held.host;
-    it.bound = std::max(now, now + longest_use(d) - held.age);
+    it.expires_at = std::max(now, now + max_use_time(d) - held.age);
     it.reply.verdict = ports::permit_verdict::granted;
     it.reply.host = held.host;
-    d.wake = std::min(d.wake, it.bound);
+    d.next_wakeup_at = std::min(d.next_wakeup_at, it.expires_at);
     d.permits.emplace(key, std::move(it));
 }
 
-bool owned(const model::former_roster& then, const std::string& member, const std::string& pool)
+bool was_owner(const model::former_roster& then, const std::string& member, const std::string& pool)
 {
     const model::roster_document roster{then.epoch, then.members, {}};
     const auto* owner = membership::owner_of_pool(roster, pool);
@@ -63,7 +66,7 @@
 
 } // namespace
 
-core::millis longest_use(const pool_dispatcher& d)
+core::millis max_use_time(const pool_dispatcher& d)
 {
     const auto longest =
         std::max({d.pool.quick.longest, d.pool.normal.longest, d.pool.long_running.longest});
@@ -74,93 +77,93 @@
 {
     auto& state = d.take_over;
     d.epoch = plan.epoch;
-    state.missing.clear();
-    for (const auto& it : plan.asked)
+    state.missing_reports.clear();
+    for (const auto& it : plan.queried_members)
     {
-        state.missing.emplace(it.member, it);
+        state.missing_reports.emplace(it.member, it);
     }
-    state.answers_by = plan.answers_by;
-    state.gone_by = std::max(now, plan.answers_by) + longest_use(d);
-    state.unheard.clear();
-    for (const auto& it : plan.former)
+    state.report_deadline = plan.report_deadline;
+    state.in_flight_until = std::max(now, plan.report_deadline) + max_use_time(d);
+    state.uncounted_until.clear();
+    for (const auto& it : plan.previous_members)
     {
-        count_as_unheard(d, it, now);
+        count_without_report(d, it, now);
     }
-    d.wake = std::min({d.wake, state.answers_by, state.gone_by});
+    d.next_wakeup_at = std::min({d.next_wakeup_at, state.report_deadline, state.in_flight_until});
 }
 
-void hasten_take_over(pool_dispatcher& d, core::mono_time answers_by)
+void advance_report_deadline(pool_dispatcher& d, core::mono_time report_deadline)
 {
     auto& state = d.take_over;
-    if (state.missing.empty() || answers_by >= state.answers_by)
+    if (state.missing_reports.empty() || report_deadline >= state.report_deadline)
     {
         return;
     }
-    state.answers_by = answers_by;
-    state.gone_by = answers_by + longest_use(d);
-    d.wake = std::min(d.wake, answers_by);
+    state.report_deadline = report_deadline;
+    state.in_flight_until = report_deadline + max_use_time(d);
+    d.next_wakeup_at = std::min(d.next_wakeup_at, report_deadline);
 }
 
-void end_waiting_for_reports(pool_dispatcher& d, core::mono_time now)
+void stop_waiting_for_reports(pool_dispatcher& d, core::mono_time now)
 {
-    for (const auto& [name, it] : d.take_over.missing)
+    for (const auto& [name, it] : d.take_over.missing_reports)
     {
-        count_as_unheard(d, it, now);
+        count_without_report(d, it, now);
     }
-    d.take_over.missing.clear();
+    d.take_over.missing_reports.clear();
 }
 
-void note_gone(pool_dispatcher& d,
+void record_process_ended(pool_dispatcher& d,
     const std::string& member,
     const std::string& incarnation,
     core::mono_time now)
 {
-    const auto missing = d.take_over.missing.find(member);
-    if (missing != d.take_over.missing.end() && missing->second.incarnation == incarnation)
+    const auto it = d.take_over.missing_reports.find(member);
+    if (it != d.take_over.missing_reports.end() && it->second.incarnation == incarnation)
     {
-        auto holder = missing->second;
-        holder.gone = true;
-        d.take_over.missing.erase(missing);
-        count_as_unheard(d, holder, now);
+        auto holder = it->second;
+        holder.process_ended = true;
+        d.take_over.missing_reports.erase(it);
+        count_without_report(d, holder, now);
     }
-    // One that had left the roster before: with its process its connections are gone too. Without
-    // this a drain would wait for the longest request after each planned replacement of a member.
-    const auto former = d.take_over.unheard.find({member, incarnation});
-    if (former != d.take_over.unheard.end())
+    // The process may have left the roster before it ended; its connections ended with it. Without
+    // this, a drain would wait for the longest request after each planned replacement of a member.
+    const auto previous = d.take_over.uncounted_until.find({member, incarnation});
+    if (previous != d.take_over.uncounted_until.end())
     {
-        former->second = std::min(former->second, now + d.settings.silent_linger);
-        d.wake = std::min(d.wake, former->second);
+        previous->second = std::min(previous->second, now + d.settings.max_run_after_disconnect);
+        d.next_wakeup_at = std::min(d.next_wakeup_at, previous->second);
     }
 }
 
-permit_answers on_held(pool_dispatcher& d,
+permit_answers on_held_report(pool_dispatcher& d,
     const std::string& member,
     const std::string& incarnation,
     const ports::held_reply& reply,
     core::mono_time now)
 {
     permit_answers out;
-    if (reply.epoch < d.epoch || d.take_over.missing.erase(member) == 0)
+    if (reply.epoch < d.epoch || d.take_over.missing_reports.erase(member) == 0)
     {
-        return out; // an older promise, or a report that came after its bound or twice
+        return out; // a report for an older epoch, after the deadline, or a repeated one
     }
     for (const auto& it : reply.permits)
     {
-        take_permit(d, {member, incarnation, it.request}, it, now);
+        adopt_permit(d, {member, incarnation, it.request}, it, now);
     }
     return on_tick(d, now);
 }
 
-bool has_unheard(const pool_dispatcher& d, core::mono_time now)
+bool has_uncounted_permits(const pool_dispatcher& d, core::mono_time now)
 {
-    return std::any_of(d.take_over.unheard.begin(),
-        d.take_over.unheard.end(),
+    return std::any_of(d.take_over.uncounted_until.begin(),
+        d.take_over.uncounted_until.end(),
         [&](const auto& it) { return it.second > now; });
 }
 
 bool is_ready(const pool_dispatcher& d)
 {
-    return d.take_over.missing.empty();
+    return d.take_over.missing_reports.empty();
 }
 
 bool needs_take_over(const model::roster_document& roster,
@@ -175,7 +178,7 @@
     auto oldest_seen = roster.epoch;
     for (const auto& it : roster.history)
     {
-        if (it.epoch > last_owned && !owned(it, member, pool))
+        if (it.epoch > last_owned && !was_owner(it, member, pool))
         {
             return true;
         }
--- a/libs/dispatch/tests/fixture.hpp
+++ b/libs/dispatch/tests/fixture.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// One pool with a few targets, and short ways to ask for permits and give them back.
+/// Fixture: one pool with a few targets, and helpers that request and return permits.
 #pragma once
 
 #include "dispatch/dispatcher.hpp"
@@ -40,6 +40,7 @@
     return out;
 }
 
+/// The dispatcher of pool "quotes".
 struct pool_fixture
 {
     model::pool_document document;
@@ -54,13 +55,15 @@
         set_hosts(d, document, live, at(0));
     }
 
-    permit_answers mark(const std::string& host, model::host_state state, core::mono_time now)
+    /// Sets the state of \p host in the pool document and updates the dispatcher.
+    permit_answers set_state(const std::string& host, model::host_state state, core::mono_time now)
     {
         model::find_host(document, host)->state = state;
         return set_hosts(d, document, live, now);
     }
 
-    ports::permit_request ask(ports::request_class klass = ports::request_class::quick,
+    /// \return a new permit request of member e1, with the next number.
+    ports::permit_request make_request(ports::request_class klass = ports::request_class::quick,
         core::millis time_left = core::millis{2000})
     {
         ports::permit_request out;
@@ -80,15 +83,15 @@
         return on_request(d, it, now);
     }
 
-    /// Asks and expects a permit at once.
+    /// Requests a permit. \return the answer, or an empty one if the request waits.
     permit_answer granted(
         core::mono_time now, ports::request_class klass = ports::request_class::quick)
     {
-        const auto out = on_request(d, ask(klass), now);
+        const auto out = on_request(d, make_request(klass), now);
         return out.empty() ? permit_answer{} : out.front();
     }
 
-    permit_answers give_back(const permit_answer& it,
+    permit_answers return_permit(const permit_answer& it,
         ports::permit_outcome outcome,
         core::mono_time now,
         core::micros elapsed = core::millis{20})
--- a/libs/dispatch/tests/flow_fixture.hpp
+++ b/libs/dispatch/tests/flow_fixture.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// One request's flow with short ways to feed it events and to look at its actions.
+/// Fixture: the flow of one request, and helpers that pass events to it and inspect its actions.
 #pragma once
 
 #include "dispatch/request_flow.hpp"
@@ -14,7 +14,7 @@
     return core::mono_time{core::millis{ms}};
 }
 
-/// \return the first action of a kind, or nullptr.
+/// \return the first action of type \p Action, or nullptr.
 template <class Action>
 const Action* find(const flow_actions& actions)
 {
@@ -28,6 +28,7 @@
     return nullptr;
 }
 
+/// Kind of the caller's request.
 enum class kind
 {
     idempotent, ///< a GET
@@ -54,7 +55,7 @@
         request.key = it == kind::keyed ? "quotes/k1" : "";
         request.idempotent = it == kind::idempotent;
         request.time_left = core::millis{2000};
-        return begin(flow, sender, request, at_ms(now));
+        return start_flow(flow, sender, request, at_ms(now));
     }
 
     flow_actions claim(ports::claim_verdict verdict,
@@ -81,7 +82,8 @@
         reply.host = host;
         reply.address = "10.0.0.1:80";
         reply.waited = waited;
-        return on_permit(flow, sender, flow.ask, ports::peer_status::ok, reply, fresh, at_ms(now));
+        return on_permit(
+            flow, sender, flow.permit_request_id, ports::peer_status::ok, reply, fresh, at_ms(now));
     }
 
     flow_actions refuse(const char* reason, std::int64_t now)
@@ -90,7 +92,8 @@
         reply.verdict = ports::permit_verdict::refused;
         reply.reason = reason;
         reply.retry_after = core::millis{1500};
-        return on_permit(flow, sender, flow.ask, ports::peer_status::ok, reply, true, at_ms(now));
+        return on_permit(
+            flow, sender, flow.permit_request_id, ports::peer_status::ok, reply, true, at_ms(now));
     }
 
     flow_actions outcome(ports::call_end end, std::int64_t now, int status = 200)
@@ -108,7 +111,7 @@
         return on_timer(flow, sender, at_ms(now));
     }
 
-    /// Brings a flow to its first send.
+    /// Starts the flow and takes it to its first send, at 3 ms.
     flow_actions send(kind it)
     {
         start(it);
--- a/libs/dispatch/tests/flow_tests.cpp
+++ b/libs/dispatch/tests/flow_tests.cpp
@@ -26,13 +26,13 @@
 
 TEST_GROUP(flow){};
 
-TEST(flow, a_keyed_request_claims_before_it_asks_and_sends_on_a_fresh_connection)
+TEST(flow, a_keyed_request_is_claimed_first_and_sent_on_a_fresh_connection)
 {
     flow_fixture f;
     const auto first = f.start(kind::keyed);
-    CHECK(find<ask_claim>(first) != nullptr);
-    CHECK(find<ask_permit>(first) == nullptr);
-    CHECK(find<ask_permit>(f.claim(claim_verdict::granted, 1)) != nullptr);
+    CHECK(find<request_claim>(first) != nullptr);
+    CHECK(find<request_permit>(first) == nullptr);
+    CHECK(find<request_permit>(f.claim(claim_verdict::granted, 1)) != nullptr);
     const auto sent = f.grant(10);
     const auto* it = find<send_request>(sent);
     CHECK(it->fresh_connection);
@@ -42,18 +42,18 @@
     CHECK(find<finish_claim>(done)->message.entry.state == claim_state::done);
     CHECK(find<return_permit>(done)->message.outcome == permit_outcome::answered);
     CHECK_FALSE(has_ended(f.flow));
-    CHECK(find<finish_claim>(f.tick(1000)) != nullptr); // unacknowledged, it is told again
+    CHECK(find<finish_claim>(f.tick(1000)) != nullptr); // unacknowledged, so it is sent again
     on_finish_ack(f.flow, f.sender, ports::peer_status::ok, {true}, at_ms(1001));
     CHECK(has_ended(f.flow));
 }
 
-TEST(flow, a_claims_verdict_decides_what_the_caller_is_told)
+TEST(flow, the_claims_verdict_determines_the_callers_answer)
 {
     struct row
     {
         claim_verdict verdict;
         claim_state state;
-        int status; ///< 0: asked again
+        int status; ///< 0: the claim is requested again
         caller_outcome outcome;
         bool not_sent; ///< the answer says that this call was not sent
     };
@@ -74,10 +74,10 @@
         flow_fixture f;
         f.start(kind::keyed);
         const auto out = f.claim(it.verdict, 1, it.state);
-        CHECK(find<ask_permit>(out) == nullptr);
+        CHECK(find<request_permit>(out) == nullptr);
         if (it.status == 0)
         {
-            CHECK(find<ask_claim>(f.tick(500)) != nullptr);
+            CHECK(find<request_claim>(f.tick(500)) != nullptr);
             continue;
         }
         check_answer(out, it.status, it.outcome);
@@ -86,10 +86,10 @@
     }
 }
 
-// The holders of a key can't be asked until the deadline. An earlier call may have run, so "not
-// run" would be wrong although this call was never sent. A claim that may have been taken is given
-// back, also when its grant comes late.
-TEST(flow, without_a_claim_the_caller_is_never_told_not_run)
+// The holders of a key are unreachable until the deadline. An earlier call may have run, so "not
+// run" would be wrong although this call was never sent. A claim that may have been granted is
+// released, also when its grant arrives late.
+TEST(flow, without_a_claim_the_answer_is_never_not_run)
 {
     flow_fixture f;
     f.start(kind::keyed);
@@ -103,23 +103,23 @@
     CHECK(find<send_request>(late) == nullptr);
 }
 
-// A process is paused between its claim's grant and its permit. The key's holders may have
-// forgotten a claim that old, so it is claimed again, by the same attempt, before the send.
-TEST(flow, a_claim_that_is_too_old_is_made_again)
+// A process is paused between the grants of its claim and its permit. The key's holders may have
+// removed a claim of that age, so the key is claimed again, by the same attempt, before the send.
+TEST(flow, a_claim_that_is_too_old_is_requested_again)
 {
     flow_fixture f;
     f.sender.settings.claims.permit_ttl = core::millis{500};
-    const auto first = find<ask_claim>(f.start(kind::keyed))->message.attempt;
+    const auto first = find<request_claim>(f.start(kind::keyed))->message.attempt;
     f.claim(claim_verdict::granted, 1);
     const auto out = f.grant(600);
     CHECK(find<send_request>(out) == nullptr);
     CHECK(find<return_permit>(out)->message.outcome == permit_outcome::unused);
-    LONGS_EQUAL(first, find<ask_claim>(out)->message.attempt);
+    LONGS_EQUAL(first, find<request_claim>(out)->message.attempt);
     f.claim(claim_verdict::granted, 601);
     CHECK(find<send_request>(f.grant(602)) != nullptr);
 }
 
-TEST(flow, a_refusal_gives_the_claim_back_and_says_not_run)
+TEST(flow, a_refusal_releases_the_claim_and_the_answer_is_not_run)
 {
     struct row
     {
@@ -145,7 +145,7 @@
     }
 }
 
-TEST(flow, how_a_call_ends_decides_on_sending_again)
+TEST(flow, the_end_of_a_call_determines_whether_it_is_sent_again)
 {
     struct row
     {
@@ -153,7 +153,7 @@
         call_end end;
         int status;
         bool again;
-        bool retry; ///< the second ask counts against the retry budget
+        bool retry; ///< the second permit request counts against the retry budget
         permit_outcome told;
     };
     using enum call_end;
@@ -177,7 +177,7 @@
         f.send(it.request);
         const auto out = f.outcome(it.end, 30, it.status);
         CHECK(find<return_permit>(out)->message.outcome == it.told);
-        const auto* again = find<ask_permit>(out);
+        const auto* again = find<request_permit>(out);
         CHECK_EQUAL(it.again, again != nullptr);
         CHECK_EQUAL(it.again, find<answer_caller>(out) == nullptr);
         if (again != nullptr)
@@ -191,7 +191,7 @@
     }
 }
 
-TEST(flow, what_is_lost_is_unknown_and_its_claim_says_so)
+TEST(flow, a_lost_call_is_unknown_to_the_caller_and_in_its_claim)
 {
     flow_fixture f;
     f.send(kind::keyed);
@@ -202,8 +202,8 @@
 }
 
 // The first send of an idempotent request is lost or fails, and the retry is refused. The caller
-// gets the failure that there is, or "unknown": a refusal of the retry is no proof that the first
-// send did not run.
+// must get the target's failure, or "unknown", because the refusal of the retry does not prove that
+// the first send did not run.
 TEST(flow, a_refused_retry_does_not_hide_the_first_send)
 {
     flow_fixture lost;
@@ -217,9 +217,9 @@
     check_answer(failed.refuse("retry-budget", 40), 500, caller_outcome::answered);
 }
 
-// Each hop retries three times and calls the next hop: a failure in the last one would be tried
-// 3 x 3 x 3 times. A request that says it was tried before counts those tries as its own.
-TEST(flow, retries_of_hops_before_us_count)
+// If each hop sends three times and calls the next hop, a failure in the last hop is tried
+// 3 x 3 x 3 times. So a request that carries a number of earlier attempts counts them as its own.
+TEST(flow, attempts_of_previous_hops_count)
 {
     for (const int earlier : {0, 1, 2, 5})
     {
@@ -229,22 +229,22 @@
         request.idempotent = true;
         request.time_left = core::millis{2000};
         request.earlier_attempts = earlier;
-        const auto first = begin(f.flow, f.sender, request, at_ms(0));
-        CHECK_EQUAL(earlier > 0, find<ask_permit>(first)->message.retry);
+        const auto first = start_flow(f.flow, f.sender, request, at_ms(0));
+        CHECK_EQUAL(earlier > 0, find<request_permit>(first)->message.retry);
         int sends = 0;
         while (!has_ended(f.flow))
         {
             sends += find<send_request>(f.grant(sends + 1)) != nullptr ? 1 : 0;
             f.outcome(call_end::answered, sends + 1, 503);
         }
-        LONGS_EQUAL(std::max(1, f.sender.settings.most_attempts - earlier), sends);
+        LONGS_EQUAL(std::max(1, f.sender.settings.max_attempts - earlier), sends);
     }
 }
 
-// A process is paused between its ask and the reply, or its reply was long under way, or a new
-// owner has been told that older permits are refused. The host may be in maintenance by now. The
-// permit goes back unused and the flow asks anew.
-TEST(flow, a_permit_that_may_not_hold_any_more_is_not_used)
+// A process is paused between its permit request and the reply, or the reply was delayed, or this
+// process has promised a new owner to refuse older permits. The host may be in maintenance by now.
+// The permit must be returned unused, and the flow must request another one.
+TEST(flow, a_permit_that_may_be_invalid_is_not_used)
 {
     struct row
     {
@@ -258,7 +258,7 @@
     const row rows[] = {
         {999, millis{0}, true, false, true},
         {1000, millis{0}, true, false, false},
-        {1500, millis{1000}, true, false, true}, // it waited in the queue: it is not old
+        {1500, millis{1000}, true, false, true}, // granted after a wait in the queue, so not old
         {1500, millis{400}, true, false, false},
         {10, millis{0}, false, false, false},
         {10, millis{0}, true, true, false},
@@ -277,29 +277,30 @@
         if (!it.sent)
         {
             CHECK(find<return_permit>(out)->message.outcome == permit_outcome::unused);
-            const auto before = f.flow.ask;
+            const auto before = f.flow.permit_request_id;
             const auto again = f.tick(it.reply_ms + 100);
-            CHECK(find<ask_permit>(again)->message.request != before);
+            CHECK(find<request_permit>(again)->message.request != before);
             CHECK(find<send_request>(f.grant(it.reply_ms + 110)) != nullptr);
         }
     }
 }
 
-// The ask for a permit gets no answer, but it may have been granted. The same number asks for that
-// same permit, and its age counts from the first ask.
-TEST(flow, an_unanswered_ask_is_repeated_by_its_number)
+// A permit request gets no answer, but it may have been granted. The repeat under the same number
+// gets that same permit, and the age of the permit counts from the first request.
+TEST(flow, an_unanswered_permit_request_is_repeated_under_its_number)
 {
     flow_fixture f;
-    const auto first = find<ask_permit>(f.start(kind::idempotent))->message.request;
+    const auto first = find<request_permit>(f.start(kind::idempotent))->message.request;
     on_permit(f.flow, f.sender, first, ports::peer_status::unreachable, {}, true, at_ms(600));
     const auto again = f.tick(700);
-    LONGS_EQUAL(first, find<ask_permit>(again)->message.request);
+    LONGS_EQUAL(first, find<request_permit>(again)->message.request);
     CHECK(find<send_request>(f.grant(1100)) == nullptr);
 }
 
 // The deadline passes while the flow waits for a permit or for the target's answer. The caller is
-// answered at once. A withdrawn ask is told to the owner. What is in flight is left to finish: a
-// keyed request's answer is remembered for a repeat, and the slot is known to be free.
+// answered at once. The permit request is withdrawn at the owner. A request in flight is left to
+// finish, so that the answer of a keyed request is stored for a repeat and the owner learns when
+// the slot is free.
 TEST(flow, at_the_deadline_the_caller_is_answered_at_once)
 {
     flow_fixture waiting;
@@ -316,7 +317,7 @@
         const auto told = f.tick(2000);
         check_answer(told, 504, caller_outcome::unknown);
         CHECK(find<cancel_send>(told) == nullptr);
-        CHECK(wake_at(f.flow) == core::mono_time::max());
+        CHECK(next_timer(f.flow) == core::mono_time::max());
         const auto late = f.outcome(call_end::answered, 4000, 201);
         CHECK(find<answer_caller>(late) == nullptr);
         CHECK(find<return_permit>(late)->message.outcome == permit_outcome::answered);
@@ -326,10 +327,11 @@
     }
 }
 
-// Something between the hosts has forgotten a connection: what is written into it is swallowed. A
-// request that may run twice is cut once it takes longer than nearly all others do, and sent again
-// while there is time. One that may not is on a fresh connection and gets its whole time.
-TEST(flow, a_call_that_takes_longer_than_nearly_all_is_cut_if_it_may_be_sent_again)
+// A device between the hosts has dropped the state of an idle connection, so that data written to
+// the connection is lost without any error. An idempotent request is cut when it takes longer than
+// nearly all others, and sent again while there is time. Other requests are sent on a fresh
+// connection and get their whole time.
+TEST(flow, an_idempotent_call_that_takes_longer_than_nearly_all_is_cut)
 {
     struct row
     {
@@ -337,25 +339,25 @@
         int earlier_attempts;
         std::uint64_t samples;
         int timeout_ms;
-        double slower = 1; ///< than a mean of 400 ms and a deviation of 20 ms
+        double slower = 1; ///< factor on a mean of 400 ms and a deviation of 20 ms
         int linger_ms = 3000;
     };
     const row rows[] = {
         {kind::idempotent, 0, 100, 800},
         {kind::idempotent, 1, 100, 800},
-        {kind::idempotent, 2, 100, 6997}, // nothing comes after the last attempt
+        {kind::idempotent, 2, 100, 6997}, // no attempt follows the last one
         {kind::idempotent, 0, 99, 6997},
-        {kind::idempotent, 0, 100, 6997, 2.0},      // a run so long leaves no time for another one
-        {kind::idempotent, 0, 100, 6997, 1.0, 700}, // nor may its target run on for so long
+        {kind::idempotent, 0, 100, 6997, 2.0},      // no time would be left for another send
+        {kind::idempotent, 0, 100, 6997, 1.0, 700}, // the target could run on for longer
         {kind::plain, 0, 100, 6997},
         {kind::keyed, 0, 100, 6997},
     };
     for (const auto& it : rows)
     {
         flow_fixture f;
-        f.sender.runs["quotes"][index_of(ports::request_class::normal)] = {
+        f.sender.measured_times["quotes"][index_of(ports::request_class::normal)] = {
             it.slower * 400e3, it.slower * 20e3, it.samples};
-        f.sender.settings.silent_linger = core::millis{it.linger_ms};
+        f.sender.settings.max_run_after_disconnect = core::millis{it.linger_ms};
         f.start(it.request);
         f.flow.sends = it.earlier_attempts;
         f.claim(claim_verdict::granted, 1);
@@ -363,14 +365,14 @@
     }
 }
 
-TEST(flow, a_caller_that_goes_away_ends_what_may_be_ended)
+TEST(flow, a_disconnected_caller_ends_the_flow_unless_it_may_not_be_cut)
 {
     struct row
     {
         kind request;
         bool sent;
         bool ends;
-        bool cut;
+        bool cancelled;
     };
     const row rows[] = {
         {kind::idempotent, false, true, false},
@@ -383,39 +385,39 @@
     {
         flow_fixture f;
         it.sent ? f.send(it.request) : f.start(it.request);
-        const auto out = on_caller_gone(f.flow, f.sender, at_ms(10));
-        CHECK_EQUAL(
-            it.ends, f.flow.phase == flow_phase::ended || f.flow.phase == flow_phase::telling);
-        CHECK_EQUAL(it.cut, find<cancel_send>(out) != nullptr);
+        const auto out = on_caller_disconnected(f.flow, f.sender, at_ms(10));
+        CHECK_EQUAL(it.ends,
+            f.flow.phase == flow_phase::ended || f.flow.phase == flow_phase::finishing_claim);
+        CHECK_EQUAL(it.cancelled, find<cancel_send>(out) != nullptr);
         CHECK(find<answer_caller>(out) == nullptr);
-        CHECK_EQUAL(it.sent, !held_by(f.flow, at_ms(10)).empty());
+        CHECK_EQUAL(it.sent, !held_permits(f.flow, at_ms(10)).empty());
     }
 }
 
-// A call was cut while the target worked on it, and the pool's owner changes. The new owner learns
-// of the request that may still run from the report alone, so it is reported until the target has
-// stopped; then the permit comes back to the new owner.
-TEST(flow, a_cut_send_is_reported_until_the_target_has_stopped)
+// A call is cut while the target is working on it, and then the pool's owner changes. The new owner
+// learns of the request that may still run only from the report, so the request must be reported
+// until the target has stopped. Then the permit is returned to the new owner.
+TEST(flow, an_interrupted_send_is_reported_until_the_target_has_stopped)
 {
     flow_fixture f;
     f.send(kind::idempotent);
-    const auto ask = f.flow.ask;
-    on_caller_gone(f.flow, f.sender, at_ms(2000));
+    const auto permit_request_id = f.flow.permit_request_id;
+    on_caller_disconnected(f.flow, f.sender, at_ms(2000));
     CHECK_FALSE(has_ended(f.flow));
-    LONGS_EQUAL(ask, held_by(f.flow, at_ms(2100)).front().request);
-    const auto stopped = at_ms(2000) + f.sender.settings.silent_linger;
-    CHECK(wake_at(f.flow) == stopped);
+    LONGS_EQUAL(permit_request_id, held_permits(f.flow, at_ms(2100)).front().request);
+    const auto stopped = at_ms(2000) + f.sender.settings.max_run_after_disconnect;
+    CHECK(next_timer(f.flow) == stopped);
     const auto out = on_timer(f.flow, f.sender, stopped);
-    LONGS_EQUAL(ask, find<return_permit>(out)->message.request);
+    LONGS_EQUAL(permit_request_id, find<return_permit>(out)->message.request);
     CHECK(has_ended(f.flow));
 }
 
-TEST(flow, a_new_owner_is_asked_by_a_new_number_and_the_old_ones_permit_goes_back)
+TEST(flow, a_new_owner_gets_a_request_with_a_new_number_and_the_old_permit_is_returned)
 {
     flow_fixture f;
-    const auto first = find<ask_permit>(f.start(kind::idempotent))->message.request;
+    const auto first = find<request_permit>(f.start(kind::idempotent))->message.request;
     const auto second = on_owner_changed(f.flow, f.sender, at_ms(5));
-    CHECK(find<ask_permit>(second)->message.request != first);
+    CHECK(find<request_permit>(second)->message.request != first);
     ports::permit_reply late;
     late.verdict = ports::permit_verdict::granted;
     late.permit = 3;
@@ -477,7 +479,7 @@
     STRCMP_EQUAL("quick", out.front().suggestion.c_str());
 }
 
-TEST(caller_request, the_body_hash_tells_requests_apart)
+TEST(caller_request, the_body_hash_distinguishes_requests)
 {
     const ports::http_request one{"POST", "/a", "", {}, "x"};
     const ports::http_request rows[] = {{"PATCH", "/a", "", {}, "x"},
--- a/libs/dispatch/tests/health_tests.cpp
+++ b/libs/dispatch/tests/health_tests.cpp
@@ -13,7 +13,8 @@
 namespace
 {
 
-/// Sends one request after the other, \p gap_ms apart; hosts in \p failing fail theirs at once.
+/// Sends requests one after the other, \p gap_ms apart. Hosts in \p failing fail them at once.
+/// \return the number of requests sent to each host.
 std::map<std::string, int> send_all(
     pool_fixture& f, const std::vector<std::string>& failing, int from_ms, int requests, int gap_ms)
 {
@@ -26,7 +27,7 @@
         const auto& host = permit.reply.host;
         const bool fails = std::count(failing.begin(), failing.end(), host) > 0;
         sent[host] += 1;
-        f.give_back(permit, fails ? permit_outcome::failed : permit_outcome::answered, now);
+        f.return_permit(permit, fails ? permit_outcome::failed : permit_outcome::answered, now);
     }
     return sent;
 }
@@ -35,8 +36,8 @@
 
 TEST_GROUP(health){};
 
-// A target fails all it gets at once. It is always the least loaded, so without a guard it would
-// draw nearly all requests, and callers would see nearly only failures. It is ejected after five
+// A target fails every request at once. It always has the lowest load, so without ejection it would
+// attract nearly all requests, and callers would get nearly only failures. It is ejected after five
 // failures in a row; then it gets single probes, at growing intervals.
 TEST(health, a_target_that_fails_all_at_once_attracts_no_load)
 {
@@ -47,9 +48,9 @@
     CHECK(sent.at("h1") <= f.d.settings.health.failures_in_a_row + probes_in_20_s);
 }
 
-// The failing target works again. The next probe is answered, and its share grows with each answer
-// until it is as large as that of the others.
-TEST(health, a_target_that_works_again_comes_back)
+// The failing target works again. The next probe is answered, and the target's share of the load
+// grows with each answer until it is as large as that of the other targets.
+TEST(health, a_target_that_works_again_returns_to_service)
 {
     pool_fixture f{2, 8};
     send_all(f, {"h1"}, 0, 100, 10);
@@ -67,7 +68,8 @@
     const auto probe = f.granted(due);
     STRCMP_EQUAL("h1", probe.reply.host.c_str());
     STRCMP_EQUAL("h2", f.granted(due).reply.host.c_str());
-    f.give_back(probe, permit_outcome::unused, due); // it proved nothing: the next one probes
+    // The probe was not sent, so the next request is the probe.
+    f.return_permit(probe, permit_outcome::unused, due);
     STRCMP_EQUAL("h1", f.granted(due).reply.host.c_str());
 }
 
@@ -78,19 +80,20 @@
     {
         const auto permit = f.granted(at(i));
         const bool fails = permit.reply.host == "h1" && i % 4 != 0;
-        f.give_back(permit, fails ? permit_outcome::failed : permit_outcome::answered, at(i));
+        f.return_permit(permit, fails ? permit_outcome::failed : permit_outcome::answered, at(i));
     }
     CHECK(f.d.targets["h1"].health.state == health_state::ejected);
 }
 
-// A database that all targets need is gone: every target fails. Ejecting them one by one would put
-// the load on ever fewer and turn the targets' own errors into refusals. At most half are ejected.
-TEST(health, a_fault_of_the_whole_pool_does_not_eject_it)
+// A database that all targets need is down, so every target fails. Ejecting the targets one by one
+// would put the load on fewer and fewer targets and replace the targets' own errors by refusals. At
+// most half of the targets are ejected.
+TEST(health, a_fault_of_the_whole_pool_does_not_eject_all_targets)
 {
     struct row
     {
         int hosts;
-        int most_ejected;
+        int max_ejected;
     };
     for (const auto& it : {row{1, 0}, row{2, 1}, row{10, 5}})
     {
@@ -106,18 +109,18 @@
         {
             ejected += target.health.state == health_state::ejected ? 1 : 0;
         }
-        CHECK(ejected <= it.most_ejected);
+        CHECK(ejected <= it.max_ejected);
     }
 }
 
-// Half of the pool is ejected when the healthy half is drained for maintenance. The ejected ones
-// must not stay out: they are let back as far as the bound on ejections asks for.
-TEST(health, draining_the_healthy_targets_lets_ejected_ones_back)
+// Half of the pool is ejected when the healthy half is drained for maintenance. Ejections must end
+// until the limit on the share of ejected targets holds again.
+TEST(health, draining_the_healthy_targets_ends_ejections)
 {
     pool_fixture f{4, 8};
     send_all(f, {"h1", "h2"}, 0, 100, 1);
-    f.mark("h3", model::host_state::draining, at(200));
-    f.mark("h4", model::host_state::draining, at(200));
+    f.set_state("h3", model::host_state::draining, at(200));
+    f.set_state("h4", model::host_state::draining, at(200));
     int ejected = 0;
     for (const auto* host : {"h1", "h2"})
     {
--- a/libs/dispatch/tests/random_world.cpp
+++ b/libs/dispatch/tests/random_simulation.cpp
@@ -1,4 +1,4 @@
-#include "random_world.hpp"
+#include "random_simulation.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -13,8 +13,8 @@
 constexpr int slots = 2;
 constexpr std::size_t senders = 3;
 constexpr std::uint32_t key_count = 5;
-constexpr std::uint32_t longest_step_ms = 150;
-constexpr std::size_t most_calls = 400;
+constexpr std::uint32_t max_step_ms = 150;
+constexpr std::size_t max_calls = 400;
 const char* const zones[] = {"a", "b", "a"};
 
 std::unique_ptr<pool_dispatcher> make_owner(ports::epoch_number epoch, std::uint64_t first_permit)
@@ -28,7 +28,7 @@
 
 } // namespace
 
-random_world::random_world() : document_{document_of(hosts, slots)}
+random_simulation::random_simulation() : document_{document_of(hosts, slots)}
 {
     owners_.push_back(make_owner(1, 1));
     set_hosts(*owners_.back(), document_, {}, now_);
@@ -40,30 +40,30 @@
         it.zone = zones[i];
         it.epoch = 1;
         senders_.push_back(it);
-        follows_.push_back(0);
+        known_owner_.push_back(0);
         processes_.push_back(1);
     }
 }
 
-const std::vector<std::string>& random_world::broken() const
+const std::vector<std::string>& random_simulation::violations() const
 {
-    return broken_;
+    return violations_;
 }
 
-const random_world::counts& random_world::happened() const
+const random_simulation::counts& random_simulation::event_counts() const
 {
-    return happened_;
+    return event_counts_;
 }
 
-void random_world::require(bool holds, const std::string& text)
+void random_simulation::require(bool holds, const std::string& text)
 {
     if (!holds)
     {
-        broken_.push_back(text + " at choice " + std::to_string(choices_));
+        violations_.push_back(text + " at choice " + std::to_string(choices_));
     }
 }
 
-void random_world::step(std::uint32_t choice)
+void random_simulation::step(std::uint32_t choice)
 {
     constexpr std::uint32_t kinds = 32;
     const auto arg = choice / kinds;
@@ -71,7 +71,7 @@
     choices_ += 1;
     if (kind < 3)
     {
-        arrive(arg);
+        start_call(arg);
     }
     else if (kind < 18)
     {
@@ -83,7 +83,7 @@
     }
     else if (kind < 22)
     {
-        advance(core::millis{arg % longest_step_ms});
+        advance(core::millis{arg % max_step_ms});
     }
     else if (kind < 27)
     {
@@ -91,24 +91,24 @@
     }
     else if (kind < 28)
     {
-        toggle_mark(arg);
+        toggle_drain(arg);
     }
     else if (kind < 29)
     {
-        caller_goes(arg);
+        disconnect_caller(arg);
     }
     else if (kind < 30)
     {
-        arg % 4 == 0 ? kill_sender(arg / 4) : caller_goes(arg);
+        arg % 4 == 0 ? kill_sender(arg / 4) : disconnect_caller(arg);
     }
     else if (kind < 31 && arg % 4 == 0)
     {
         take_over();
     }
-    look_for_quiet();
+    hand_over_idle_hosts();
 }
 
-void random_world::settle()
+void random_simulation::settle()
 {
     constexpr int rounds = 4000;
     for (int i = 0; i < rounds; ++i)
@@ -121,25 +121,26 @@
         {
             end_run(0);
         }
-        advance(core::millis{longest_step_ms});
+        advance(core::millis{max_step_ms});
     }
     for (const auto& it : calls_)
     {
-        require(it->gone || it->answers == 1, "a caller has not exactly one answer");
-        require(!it->told_not_run || it->runs == 0, "a request ran after 'not run'");
+        require(it->caller_gone || it->answers == 1, "a caller has not exactly one answer");
+        require(!it->answered_not_run || it->runs == 0, "a request ran after 'not run'");
     }
     for (const auto& it : document_.hosts)
     {
-        require(is_quiet(outstanding_on(*owners_.back(), it.id, now_)), "a slot is lost for good");
+        require(is_certainly_idle(outstanding_on(*owners_.back(), it.id, now_)),
+            "a slot is lost permanently");
     }
 }
 
-void random_world::post(std::function<void()> deliver, std::function<void()> lose)
+void random_simulation::post(std::function<void()> deliver, std::function<void()> lose)
 {
     messages_.push_back({std::move(deliver), std::move(lose)});
 }
 
-void random_world::pass_message(std::uint32_t arg, bool lost)
+void random_simulation::pass_message(std::uint32_t arg, bool lost)
 {
     if (messages_.empty())
     {
@@ -151,9 +152,9 @@
     lost ? it.lose() : it.deliver();
 }
 
-void random_world::arrive(std::uint32_t arg)
+void random_simulation::start_call(std::uint32_t arg)
 {
-    if (calls_.size() >= most_calls)
+    if (calls_.size() >= max_calls)
     {
         return;
     }
@@ -169,17 +170,17 @@
     request.time_left = core::millis{100 + arg / 135 % 3000};
     calls_.push_back(std::move(made));
     const auto id = calls_.size() - 1;
-    act(id, begin(calls_[id]->flow, sender_of(id), request, now_));
+    perform_all(id, start_flow(calls_[id]->flow, sender_of(id), request, now_));
 }
 
-void random_world::advance(core::millis by)
+void random_simulation::advance(core::millis by)
 {
     now_ += by;
     for (std::size_t i = 0; i < runs_.size();)
     {
         const bool over = runs_[i].ends <= now_;
-        const bool cut = runs_[i].cut;
-        if (over && cut)
+        const bool disconnected = runs_[i].disconnected;
+        if (over && disconnected)
         {
             runs_.erase(runs_.begin() + static_cast<std::ptrdiff_t>(i));
             continue;
@@ -192,28 +193,28 @@
     }
     for (std::size_t i = 0; i < calls_.size(); ++i)
     {
-        if (is_alive(i) && wake_at(calls_[i]->flow) <= now_)
+        if (is_alive(i) && next_timer(calls_[i]->flow) <= now_)
         {
-            act(i, on_timer(calls_[i]->flow, sender_of(i), now_));
+            perform_all(i, on_timer(calls_[i]->flow, sender_of(i), now_));
         }
     }
     for (std::size_t i = 0; i < owners_.size(); ++i)
     {
         if (next_wakeup(*owners_[i]) <= now_)
         {
-            feed_owner(i, on_tick(*owners_[i], now_));
+            deliver_answers(i, on_tick(*owners_[i], now_));
         }
     }
 }
 
-void random_world::end_run(std::uint32_t arg)
+void random_simulation::end_run(std::uint32_t arg)
 {
     if (runs_.empty())
     {
         return;
     }
     const auto index = arg % runs_.size();
-    if (runs_[index].cut)
+    if (runs_[index].disconnected)
     {
         runs_.erase(runs_.begin() + static_cast<std::ptrdiff_t>(index));
         return;
@@ -235,13 +236,13 @@
     end_run(index, it.end, it.status);
 }
 
-void random_world::end_run(std::size_t index, ports::call_end end, int status)
+void random_simulation::end_run(std::size_t index, ports::call_end end, int status)
 {
     const auto id = runs_[index].call;
     if (end == ports::call_end::interrupted)
     {
-        runs_[index].cut = true; // the target may go on for a while
-        runs_[index].ends = now_ + owners_.back()->settings.silent_linger;
+        runs_[index].disconnected = true; // the target may go on running the request for a while
+        runs_[index].ends = now_ + owners_.back()->settings.max_run_after_disconnect;
     }
     else
     {
@@ -251,73 +252,75 @@
     ports::http_outcome it;
     it.end = end;
     it.response.status = status;
-    it.elapsed = owners_.back()->settings.silent_linger; // targets run on no longer than they run
-    act(id, on_outcome(calls_[id]->flow, sender_of(id), it, now_));
+    // A target runs a request without its connection for no longer than its usual run time.
+    it.elapsed = owners_.back()->settings.max_run_after_disconnect;
+    perform_all(id, on_outcome(calls_[id]->flow, sender_of(id), it, now_));
 }
 
-void random_world::toggle_mark(std::uint32_t arg)
+void random_simulation::toggle_drain(std::uint32_t arg)
 {
     auto& host = document_.hosts[arg % hosts];
     auto& mark = marks_[host.id];
-    mark.marked = !mark.marked;
+    mark.draining = !mark.draining;
     mark.handed_over = false;
     mark.since = now_;
-    host.state = mark.marked ? model::host_state::draining : model::host_state::serving;
+    host.state = mark.draining ? model::host_state::draining : model::host_state::serving;
     for (std::size_t i = 0; i < owners_.size(); ++i)
     {
-        feed_owner(i, set_hosts(*owners_[i], document_, {}, now_));
+        deliver_answers(i, set_hosts(*owners_[i], document_, {}, now_));
     }
 }
 
-void random_world::look_for_quiet()
+void random_simulation::hand_over_idle_hosts()
 {
     for (auto& [host, mark] : marks_)
     {
-        if (!mark.marked || mark.handed_over ||
-            !is_quiet(outstanding_on(*owners_.back(), host, now_)))
+        if (!mark.draining || mark.handed_over ||
+            !is_certainly_idle(outstanding_on(*owners_.back(), host, now_)))
         {
             continue;
         }
         mark.handed_over = true;
-        happened_.handed_over += 1;
+        event_counts_.handed_over += 1;
         const auto& name = host;
         require(std::none_of(
                     runs_.begin(), runs_.end(), [&](const auto& it) { return it.host == name; }),
-            "a quiet host has a request in flight");
+            "an idle host has a request in flight");
     }
 }
 
-void random_world::caller_goes(std::uint32_t arg)
+void random_simulation::disconnect_caller(std::uint32_t arg)
 {
     if (calls_.empty())
     {
         return;
     }
     const auto id = arg % calls_.size();
-    if (is_alive(id) && calls_[id]->answers == 0 && !calls_[id]->gone)
+    if (is_alive(id) && calls_[id]->answers == 0 && !calls_[id]->caller_gone)
     {
-        calls_[id]->gone = true;
-        act(id, on_caller_gone(calls_[id]->flow, sender_of(id), now_));
+        calls_[id]->caller_gone = true;
+        perform_all(id, on_caller_disconnected(calls_[id]->flow, sender_of(id), now_));
     }
 }
 
-/// The process ends and another one starts in its place. Its connections are closed, and the owner
-/// hears of it some time later.
-void random_world::kill_sender(std::uint32_t arg)
+/// Ends the process of a sender and starts another one in its place. The connections of the ended
+/// process are closed, and the owners receive the proof of its end some time later.
+void random_simulation::kill_sender(std::uint32_t arg)
 {
     const auto index = arg % senders;
     auto& sender = senders_[index];
     for (auto& it : calls_)
     {
-        it->gone = it->gone || (it->sender == index && it->process == processes_[index]);
+        it->caller_gone =
+            it->caller_gone || (it->sender == index && it->process == processes_[index]);
     }
     for (auto& it : runs_)
     {
-        if (!it.cut && calls_[it.call]->sender == index)
+        if (!it.disconnected && calls_[it.call]->sender == index)
         {
             calls_[it.call]->runs += 1;
-            it.cut = true;
-            it.ends = now_ + owners_.back()->settings.silent_linger;
+            it.disconnected = true;
+            it.ends = now_ + owners_.back()->settings.max_run_after_disconnect;
         }
     }
     const auto member = sender.member;
@@ -326,79 +329,80 @@
     sender.incarnation = std::to_string(processes_[index]);
     const bool uncounted = !is_ready(*owners_.back());
     std::erase_if(runs_, [&](const auto& it) { return uncounted && !is_alive(it.call); });
-    sender.refuse_below.clear();
-    const auto tell = [this, member, incarnation]
+    sender.min_permit_epochs.clear();
+    const auto report = [this, member, incarnation]
     {
         for (std::size_t i = 0; i < owners_.size(); ++i)
         {
-            feed_owner(i, on_member_lost(*owners_[i], member, incarnation, true, now_));
+            deliver_answers(i, on_member_lost(*owners_[i], member, incarnation, true, now_));
         }
     };
-    post(tell, [] {});
+    post(report, [] {});
 }
 
-/// Another owner for the pool. The old one goes on for those who have not heard of the new one.
-void random_world::take_over()
+/// Makes another owner of the pool. The old owner goes on for senders without the new roster.
+void random_simulation::take_over()
 {
-    constexpr std::size_t most_take_overs = 8;
-    if (!is_ready(*owners_.back()) || owners_.size() > most_take_overs)
+    constexpr std::size_t max_take_overs = 8;
+    if (!is_ready(*owners_.back()) || owners_.size() > max_take_overs)
     {
         return;
     }
-    happened_.take_overs += 1;
-    // What a dead process left running is in nobody's report: a known gap, sharing-slots.md names
-    // it.
+    event_counts_.take_overs += 1;
+    // Requests that a dead process left running are in no member's report. This is a known gap,
+    // which sharing-slots.md describes.
     std::erase_if(runs_, [&](const auto& it) { return !is_alive(it.call); });
     const auto epoch = owners_.back()->epoch + 1;
     owners_.push_back(make_owner(epoch, owners_.back()->next_permit));
     take_over_plan plan;
     plan.epoch = epoch;
-    plan.answers_by = core::mono_time::max() - longest_use(*owners_.back());
+    plan.report_deadline = core::mono_time::max() - max_use_time(*owners_.back());
     for (const auto& it : senders_)
     {
-        plan.asked.push_back({it.member, it.incarnation, false, {}});
+        plan.queried_members.push_back({it.member, it.incarnation, false, {}});
     }
     begin_take_over(*owners_.back(), plan, now_);
     set_hosts(*owners_.back(), document_, {}, now_);
     for (std::size_t i = 0; i < senders; ++i)
     {
-        ask_held(i, owners_.size() - 1);
+        query_held_permits(i, owners_.size() - 1);
     }
 }
 
-void random_world::ask_held(std::size_t sender, std::size_t owner)
+void random_simulation::query_held_permits(std::size_t sender, std::size_t owner)
 {
     const auto again = [this, sender, owner]
     {
-        ask_held(sender, owner);
+        query_held_permits(sender, owner);
     };
-    const auto ask = [this, sender, owner, again]
+    const auto query = [this, sender, owner, again]
     {
         auto& it = senders_[sender];
         ports::held_reply reply;
         reply.epoch = owners_[owner]->epoch;
         on_held_query(it, {reply.epoch, "", {"quotes"}});
         it.epoch = std::max(it.epoch, reply.epoch);
-        follows_[sender] = std::max(follows_[sender], owner);
+        known_owner_[sender] = std::max(known_owner_[sender], owner);
         for (std::size_t i = 0; i < calls_.size(); ++i)
         {
             if (calls_[i]->sender != sender || !is_alive(i))
             {
                 continue;
             }
-            for (const auto& held : held_by(calls_[i]->flow, now_))
+            for (const auto& held : held_permits(calls_[i]->flow, now_))
             {
                 reply.permits.push_back(held);
             }
-            act(i, on_owner_changed(calls_[i]->flow, it, now_));
+            perform_all(i, on_owner_changed(calls_[i]->flow, it, now_));
         }
-        const auto tell = [this, owner, member = it.member, incarnation = it.incarnation, reply]
+        const auto report = [this, owner, member = it.member, incarnation = it.incarnation, reply]
         {
-            feed_owner(owner, on_held(*owners_[owner], member, incarnation, reply, now_));
+            deliver_answers(
+                owner, on_held_report(*owners_[owner], member, incarnation, reply, now_));
         };
-        post(tell, again);
+        post(report, again);
     };
-    post(ask, again);
+    post(query, again);
 }
 
 } // namespace camphorhitch::dispatch::test
--- a/libs/dispatch/tests/random_world_actions.cpp
+++ b/libs/dispatch/tests/random_simulation_actions.cpp
@@ -1,26 +1,26 @@
-#include "random_world.hpp"
+#include "random_simulation.hpp"
 
 #include <algorithm>
 
 namespace camphorhitch::dispatch::test
 {
 
-void random_world::feed_owner(std::size_t owner, const permit_answers& answers)
+void random_simulation::deliver_answers(std::size_t owner, const permit_answers& answers)
 {
     (void)owner;
     for (const auto& it : answers)
     {
-        const auto ask = asks_.find(it.to);
-        if (ask == asks_.end())
+        const auto found = permit_requests_.find(it.to);
+        if (found == permit_requests_.end())
         {
             continue;
         }
-        const auto id = ask->second;
-        const auto hear = [this, id, it](ports::peer_status status, bool fresh)
+        const auto id = found->second;
+        const auto receive = [this, id, it](ports::peer_status status, bool fresh)
         {
             if (is_alive(id))
             {
-                act(id,
+                perform_all(id,
                     on_permit(calls_[id]->flow,
                         sender_of(id),
                         it.to.request,
@@ -31,12 +31,12 @@
             }
         };
         const bool fresh = it.to.request % 16 != 0;
-        post([hear, fresh] { hear(ports::peer_status::ok, fresh); },
-            [hear] { hear(ports::peer_status::unreachable, true); });
+        post([receive, fresh] { receive(ports::peer_status::ok, fresh); },
+            [receive] { receive(ports::peer_status::unreachable, true); });
     }
 }
 
-void random_world::act(std::size_t call, const flow_actions& actions)
+void random_simulation::perform_all(std::size_t call, const flow_actions& actions)
 {
     for (const auto& it : actions)
     {
@@ -44,20 +44,20 @@
     }
 }
 
-void random_world::perform(std::size_t call, const ask_permit& it)
+void random_simulation::perform(std::size_t call, const request_permit& it)
 {
-    const auto owner = follows_[calls_[call]->sender];
-    asks_[{it.message.member, it.message.incarnation, it.message.request}] = call;
+    const auto owner = known_owner_[calls_[call]->sender];
+    permit_requests_[{it.message.member, it.message.incarnation, it.message.request}] = call;
     post([this, owner, message = it.message]
-        { feed_owner(owner, on_request(*owners_[owner], message, now_)); },
-        [this, call, ask = it.message.request]
+        { deliver_answers(owner, on_request(*owners_[owner], message, now_)); },
+        [this, call, number = it.message.request]
         {
             if (is_alive(call))
             {
-                act(call,
+                perform_all(call,
                     on_permit(calls_[call]->flow,
                         sender_of(call),
-                        ask,
+                        number,
                         ports::peer_status::unreachable,
                         {},
                         true,
@@ -66,77 +66,79 @@
         });
 }
 
-void random_world::perform(std::size_t call, const ask_claim& it)
+void random_simulation::perform(std::size_t call, const request_claim& it)
 {
-    const auto hear = [this, call](ports::peer_status status, const ports::claim_reply& reply)
+    const auto receive = [this, call](ports::peer_status status, const ports::claim_reply& reply)
     {
         if (is_alive(call))
         {
-            act(call, on_claim(calls_[call]->flow, sender_of(call), status, reply, now_));
+            perform_all(call, on_claim(calls_[call]->flow, sender_of(call), status, reply, now_));
         }
     };
-    const auto lose = [hear]
+    const auto lose = [receive]
     {
-        hear(ports::peer_status::unreachable, {});
+        receive(ports::peer_status::unreachable, {});
     };
-    const auto decide = [this, hear, lose, message = it.message]
+    const auto decide = [this, receive, lose, message = it.message]
     {
         const auto reply = claim(message);
-        post([hear, reply] { hear(ports::peer_status::ok, reply); }, lose);
+        post([receive, reply] { receive(ports::peer_status::ok, reply); }, lose);
     };
     post(decide, lose);
 }
 
-void random_world::perform(std::size_t call, const send_request& it)
+void random_simulation::perform(std::size_t call, const send_request& it)
 {
     const auto& mark = marks_[it.host];
     const auto& flow = calls_[call]->flow;
     const auto ttl = sender_of(call).settings.permit_ttl;
     require(!mark.handed_over, "a request is sent to a host that was handed over");
-    require(!mark.marked || now_ - mark.since <= ttl, "a request is sent long after the mark");
+    require(!mark.draining || now_ - mark.since <= ttl,
+        "a request is sent to a host that has been draining for too long");
     require(!calls_[call]->keyed || !key_ran(flow.request.key), "a keyed request is sent twice");
     runs_.push_back({call, it.host, false, now_ + it.total_timeout});
-    happened_.sends += 1;
+    event_counts_.sends += 1;
     const auto there = std::count_if(
         runs_.begin(), runs_.end(), [&](const auto& run) { return run.host == it.host; });
     require(there <= document_.hosts.front().slots, "a target has more requests than slots");
 }
 
-void random_world::perform(std::size_t call, const cancel_send&)
+void random_simulation::perform(std::size_t call, const cancel_send&)
 {
     for (auto& it : runs_)
     {
-        if (it.call == call && !it.cut)
+        if (it.call == call && !it.disconnected)
         {
             calls_[call]->runs += 1;
-            it.cut = true;
-            it.ends = now_ + owners_.back()->settings.silent_linger;
+            it.disconnected = true;
+            it.ends = now_ + owners_.back()->settings.max_run_after_disconnect;
         }
     }
 }
 
-void random_world::perform(std::size_t call, const return_permit& it)
+void random_simulation::perform(std::size_t call, const return_permit& it)
 {
-    const auto owner = follows_[calls_[call]->sender];
+    const auto owner = known_owner_[calls_[call]->sender];
     post([this, owner, message = it.message]
-        { feed_owner(owner, on_return(*owners_[owner], message, now_)); },
+        { deliver_answers(owner, on_return(*owners_[owner], message, now_)); },
         [] {});
 }
 
-void random_world::perform(std::size_t call, const finish_claim& it)
+void random_simulation::perform(std::size_t call, const finish_claim& it)
 {
-    const auto hear = [this, call](ports::peer_status status)
+    const auto receive = [this, call](ports::peer_status status)
     {
         if (is_alive(call))
         {
-            act(call, on_finish_ack(calls_[call]->flow, sender_of(call), status, {true}, now_));
+            perform_all(
+                call, on_finish_ack(calls_[call]->flow, sender_of(call), status, {true}, now_));
         }
     };
-    const auto lose = [hear]
+    const auto lose = [receive]
     {
-        hear(ports::peer_status::unreachable);
+        receive(ports::peer_status::unreachable);
     };
-    const auto decide = [this, hear, lose, message = it.message]
+    const auto decide = [this, receive, lose, message = it.message]
     {
         const auto at = keys_.find(message.key);
         if (at != keys_.end() && at->second.attempt == message.attempt &&
@@ -145,27 +147,27 @@
             at->second = message.entry;
             at->second.state = message.not_run ? ports::claim_state::released : message.entry.state;
         }
-        post([hear] { hear(ports::peer_status::ok); }, lose);
+        post([receive] { receive(ports::peer_status::ok); }, lose);
     };
     post(decide, lose);
 }
 
-void random_world::perform(std::size_t call, const answer_caller& it)
+void random_simulation::perform(std::size_t call, const answer_caller& it)
 {
     auto& answered = *calls_[call];
     answered.answers += 1;
-    answered.told_not_run = it.outcome == caller_outcome::not_run;
-    happened_.answered += it.outcome == caller_outcome::answered ? 1 : 0;
-    happened_.not_run += it.outcome == caller_outcome::not_run ? 1 : 0;
-    happened_.unknown += it.outcome == caller_outcome::unknown ? 1 : 0;
-    if (answered.told_not_run && answered.keyed)
+    answered.answered_not_run = it.outcome == caller_outcome::not_run;
+    event_counts_.answered += it.outcome == caller_outcome::answered ? 1 : 0;
+    event_counts_.not_run += it.outcome == caller_outcome::not_run ? 1 : 0;
+    event_counts_.unknown += it.outcome == caller_outcome::unknown ? 1 : 0;
+    if (answered.answered_not_run && answered.keyed)
     {
         require(!key_ran(answered.flow.request.key), "'not run' was said of a key that ran");
     }
 }
 
-/// Both holders of a slot in one, as far as a flow can tell.
-ports::claim_reply random_world::claim(const ports::claim_request& it)
+/// Answers a claim request like the two holders of a slot together.
+ports::claim_reply random_simulation::claim(const ports::claim_request& it)
 {
     auto& entry = keys_[it.key];
     const bool same = entry.executor == it.executor && entry.attempt == it.attempt;
@@ -184,13 +186,14 @@
     return out;
 }
 
-bool random_world::is_alive(std::size_t call) const
+bool random_simulation::is_alive(std::size_t call) const
 {
     return calls_[call]->process == processes_[calls_[call]->sender];
 }
 
-/// Whether a request with that key is running or has run. One that never left does not count.
-bool random_world::key_ran(const std::string& key) const
+/// \return whether a request with that key is running or has run. A request that was never sent
+/// does not count.
+bool random_simulation::key_ran(const std::string& key) const
 {
     const auto same = [&](const call& it)
     {
@@ -203,7 +206,7 @@
                runs_.begin(), runs_.end(), [&](const auto& it) { return same(*calls_[it.call]); });
 }
 
-request_sender& random_world::sender_of(std::size_t call)
+request_sender& random_simulation::sender_of(std::size_t call)
 {
     return senders_[calls_[call]->sender];
 }
--- a/libs/dispatch/tests/random_tests.cpp
+++ b/libs/dispatch/tests/random_tests.cpp
@@ -1,4 +1,4 @@
-#include "random_world.hpp"
+#include "random_simulation.hpp"
 
 #include <rapidcheck.h>
 
@@ -25,33 +25,35 @@
 
 TEST_GROUP(random_runs){};
 
-// Callers come, messages are late, reordered and lost, hosts are marked and come back, processes
-// die, callers go, and the pool changes its owner, in any order. Whatever the order: no target has
-// more requests than slots, none is sent to a host that was handed over or marked long ago, a keyed
-// request runs at most once, "not run" is true, each caller gets one answer, and no slot is lost.
+// In any order, requests arrive, messages are delayed, reordered and lost, hosts are drained and
+// return, processes die, callers disconnect, and the pool's owner changes. The rules must always
+// hold: no target gets more requests than it has slots; no request is sent to a host that was
+// handed over, or that has been draining for longer than the lifetime of a permit; a keyed request
+// runs at most once; a request answered with "not run" does not run; each caller gets one answer;
+// and no slot is lost.
 TEST(random_runs, rules_hold_in_any_order_of_events)
 {
-    random_world::counts all;
+    random_simulation::counts all;
     const bool held = rc::check("rules of dispatch",
         [&]
         {
             const auto choices =
                 *rc::gen::container<std::vector<std::uint32_t>>(static_cast<std::size_t>(steps()),
                     rc::gen::resize(rc::kNominalSize, rc::gen::arbitrary<std::uint32_t>()));
-            random_world world;
+            random_simulation simulation;
             for (const auto it : choices)
             {
-                world.step(it);
-                RC_ASSERT(world.broken() == std::vector<std::string>{});
+                simulation.step(it);
+                RC_ASSERT(simulation.violations() == std::vector<std::string>{});
             }
-            world.settle();
-            RC_ASSERT(world.broken() == std::vector<std::string>{});
-            all.answered += world.happened().answered;
-            all.not_run += world.happened().not_run;
-            all.unknown += world.happened().unknown;
-            all.sends += world.happened().sends;
-            all.handed_over += world.happened().handed_over;
-            all.take_overs += world.happened().take_overs;
+            simulation.settle();
+            RC_ASSERT(simulation.violations() == std::vector<std::string>{});
+            all.answered += simulation.event_counts().answered;
+            all.not_run += simulation.event_counts().not_run;
+            all.unknown += simulation.event_counts().unknown;
+            all.sends += simulation.event_counts().sends;
+            all.handed_over += simulation.event_counts().handed_over;
+            all.take_overs += simulation.event_counts().take_overs;
         });
     CHECK(held);
     std::cout << "answered " << all.answered << ", not run " << all.not_run << ", unknown "
--- a/libs/fleet/include/fleet/pool_decider.hpp
+++ b/libs/fleet/include/fleet/pool_decider.hpp
@@ -29,7 +29,7 @@
 struct host_activity
 {
     std::string host;
-    /// The dispatcher has been told to stop the host and grants no permit for it.
+    /// The dispatcher has carried out stop_host and grants no permit for the host.
     bool stopped = false;
     /// The counts below are complete: this process is fresh and owns the pool, the takeover is
     /// complete, and no permit of a previous owner or of an unresponsive member can be outstanding.
--- a/libs/fleet/include/fleet/pool_events.hpp
+++ b/libs/fleet/include/fleet/pool_events.hpp
@@ -100,8 +100,8 @@
 struct undo_drain
 {
     std::string host;
-    std::string rule;
-    std::string weighed;
+    std::string rule;    ///< name of the rule that decided
+    std::string weighed; ///< as in start_drain
 };
 
 /// Mark a draining host as drained: nothing is in flight on it and no member can send to it.
@@ -173,14 +173,14 @@
 struct hold_host
 {
     std::string host;
-    std::string weighed;
+    std::string weighed; ///< as in start_drain
 };
 
 /// Put a held host back into service.
 struct unhold_host
 {
     std::string host;
-    std::string weighed;
+    std::string weighed; ///< as in start_drain
 };
 
 /// Lend a held host of this spare pool to another pool.
@@ -188,7 +188,7 @@
 {
     std::string host;
     std::string to;
-    std::string weighed;
+    std::string weighed;    ///< as in start_drain
     bool exclusive = false; ///< as in release_host
 };
 
@@ -198,7 +198,7 @@
 {
     std::string host;
     std::string to;
-    std::string weighed;
+    std::string weighed; ///< as in start_drain
 };
 
 /// Any event that apply() accepts.
--- a/libs/fleet/tests/pool_decider_tests.cpp
+++ b/libs/fleet/tests/pool_decider_tests.cpp
@@ -91,7 +91,7 @@
 
 TEST_GROUP(pool_decider){};
 
-TEST(pool_decider, a_drain_is_handed_over_only_when_nothing_is_certainly_in_flight)
+TEST(pool_decider, a_drain_is_handed_over_only_when_certainly_nothing_is_in_flight)
 {
     struct row
     {
--- a/libs/fleet/tests/wave_tests.cpp
+++ b/libs/fleet/tests/wave_tests.cpp
@@ -76,7 +76,7 @@
     }
 
     /// Marks all admitted hosts as maintained, except that the hosts in \p failing fail.
-    void finish_turns(const std::vector<std::string>& failing = {})
+    void complete_maintenance(const std::vector<std::string>& failing = {})
     {
         for (const auto& id : own.document.admitted)
         {
@@ -118,7 +118,7 @@
         {
             STRCMP_EQUAL(batch.c_str(), fixture.decide().c_str());
             STRCMP_EQUAL("", fixture.decide().c_str());
-            fixture.finish_turns();
+            fixture.complete_maintenance();
         }
         fixture.decide();
         CHECK(fixture.own.document.phase == wave_phase::done);
@@ -158,7 +158,7 @@
 {
     wave_fixture fixture("fastest");
     fixture.decide();
-    fixture.finish_turns({"s0"});
+    fixture.complete_maintenance({"s0"});
     STRCMP_EQUAL("", fixture.decide().c_str());
     CHECK(fixture.own.document.phase == wave_phase::halted);
     STRCMP_EQUAL("not back: s0", fixture.own.document.why.weighed.c_str());
@@ -177,9 +177,9 @@
     // later failures count again.
     wave_fixture fixture("fastest");
     fixture.decide();
-    fixture.finish_turns();
+    fixture.complete_maintenance();
     fixture.decide();
-    fixture.finish_turns({"a0", "b0"});
+    fixture.complete_maintenance({"a0", "b0"});
     STRCMP_EQUAL("", fixture.decide().c_str());
     CHECK(fixture.own.document.phase == wave_phase::halted);
     const auto out = resume_wave(fixture.own.document, "c2", fixture.pools, sample::now);
@@ -205,7 +205,7 @@
 {
     wave_fixture fixture("one_by_one");
     fixture.decide();
-    fixture.finish_turns();
+    fixture.complete_maintenance();
     STRCMP_EQUAL("a0", fixture.decide().c_str());
     // Before pool a starts the drain, another host of the same zone fails.
     fixture.host("a1").state = host_state::failed;
@@ -217,7 +217,7 @@
 {
     wave_fixture fixture("fastest");
     fixture.decide();
-    fixture.finish_turns();
+    fixture.complete_maintenance();
     for (const auto* id : {"a0", "a2", "b0", "b2"})
     {
         fixture.host(id).state = host_state::failed;
@@ -262,7 +262,7 @@
     for (int i = 0; i < 9 && fixture.own.document.phase != wave_phase::done; ++i)
     {
         fixture.decide();
-        fixture.finish_turns();
+        fixture.complete_maintenance();
     }
     STRCMP_EQUAL("4 maintained, 1 failed, 4 gone", fixture.own.document.why.weighed.c_str());
     LONGS_EQUAL(4, summarize(fixture.own.document, fixture.pools).done);
@@ -349,7 +349,7 @@
 {
     wave_fixture fixture("fastest");
     fixture.decide();
-    fixture.finish_turns();
+    fixture.complete_maintenance();
     const auto left = hosts_awaiting_maintenance(fixture.pools, {fixture.own});
     LONGS_EQUAL(8, left.size());
     CHECK(std::find(left.begin(), left.end(), "s0") == left.end());
--- a/programs/camphorhitchd/src/explanations.cpp
+++ b/programs/camphorhitchd/src/explanations.cpp
@@ -48,7 +48,7 @@
     if (const auto use = parts.permits.use_of(owner.pool, id))
     {
         out += "  in flight: " + std::to_string(use->permits) + " requests" +
-               (use->unknown ? ", and others may hold permits of a former owner\n" : "\n");
+               (use->uncounted ? ", and others may hold permits of a former owner\n" : "\n");
     }
     return out;
 }
--- a/programs/camphorhitchd/src/fleet_service.cpp
+++ b/programs/camphorhitchd/src/fleet_service.cpp
@@ -212,7 +212,7 @@
             jobs_.tasks_on ? jobs_.tasks_on(own.document.pool, host.id) : std::optional<int>(0);
         // The dispatcher was given this very document before any decision rests on it.
         it.stopped = ready;
-        it.certain = ready && use.has_value() && !use->unknown && tasks.has_value();
+        it.certain = ready && use.has_value() && !use->uncounted && tasks.has_value();
         it.requests = use ? use->permits + use->reserved : 0;
         it.jobs = tasks.value_or(0);
         all.push_back(std::move(it));
--- a/programs/camphorhitchd/src/permit_service.cpp
+++ b/programs/camphorhitchd/src/permit_service.cpp
@@ -155,27 +155,27 @@
     plan.epoch = roster.epoch;
     for (const auto& it : roster.members)
     {
-        plan.asked.push_back({it.id, it.incarnation, false, {}});
+        plan.queried_members.push_back({it.id, it.incarnation, false, {}});
     }
     const auto now = context_.scheduler.now();
     taken_over_at_[pool.name] = now;
     auto& awaited = former_owners_[pool.name];
     awaited.clear();
-    for (const auto& it : members_.recent_formers(dispatch::longest_use(*d)))
+    for (const auto& it : members_.recent_formers(dispatch::max_use_time(*d)))
     {
         if (may_still_grant(it, pool.name))
         {
             awaited.push_back(it);
-            plan.asked.push_back({it.id, it.incarnation, false, {}});
+            plan.queried_members.push_back({it.id, it.incarnation, false, {}});
         }
         else
         {
-            plan.former.push_back({it.id, it.incarnation, members_.is_gone(it), {}});
+            plan.previous_members.push_back({it.id, it.incarnation, members_.is_gone(it), {}});
         }
     }
     // The live members need time to answer even when nobody else can be acting any more: without it
     // all of them would count as silent at once, and drains would wait for the longest request.
-    plan.answers_by = std::max(members_.older_epochs_stopped(), now + ask_patience);
+    plan.report_deadline = std::max(members_.older_epochs_stopped(), now + ask_patience);
     dispatch::begin_take_over(*d, plan, now);
     auto& mine = dispatchers_.emplace(pool.name, std::move(*d)).first->second;
     const auto document = documents_.find(pool.name);
@@ -187,7 +187,7 @@
         "pool_taken_over",
         {{"pool", pool.name},
             {"epoch", std::to_string(roster.epoch)},
-            {"former", std::to_string(plan.former.size())}});
+            {"former", std::to_string(plan.previous_members.size())}});
     ask_members(pool.name);
 }
 
@@ -234,7 +234,7 @@
             {
                 return;
             }
-            answer(dispatch::on_held(
+            answer(dispatch::on_held_report(
                 it->second, to.id, to.incarnation, reply, context_.scheduler.now()));
         };
         if (membership::same_process(to, context_.self))
@@ -319,7 +319,7 @@
         done(not_here(ports::permit_verdict::not_ready));
         return;
     }
-    const dispatch::ask_key key{request.member, request.incarnation, request.request};
+    const dispatch::permit_request_key key{request.member, request.incarnation, request.request};
     waiting_[key] = std::move(done);
     answer(dispatch::on_request(it->second, request, context_.scheduler.now()));
 }
@@ -417,7 +417,7 @@
         if (!dispatch::is_ready(d))
         {
             const auto first = taken_over_at_[pool] + ask_patience;
-            dispatch::hasten_take_over(d, std::max(first, members_.older_epochs_stopped()));
+            dispatch::advance_report_deadline(d, std::max(first, members_.older_epochs_stopped()));
         }
         if (dispatch::next_wakeup(d) <= now)
         {
--- a/programs/camphorhitchd/src/permit_service.hpp
+++ b/programs/camphorhitchd/src/permit_service.hpp
@@ -81,7 +81,7 @@
     std::map<std::string, model::pool_document> documents_;
     std::map<std::string, dispatch::pool_dispatcher> dispatchers_;
     std::map<std::string, ports::epoch_number> last_owned_;
-    std::map<dispatch::ask_key, std::function<void(ports::permit_reply)>> waiting_;
+    std::map<dispatch::permit_request_key, std::function<void(ports::permit_reply)>> waiting_;
     std::vector<pending_return> returns_;
     std::uint64_t next_permit_ = 1;
     ports::timer_id timer_ = 0;
--- a/programs/camphorhitchd/src/request_service.cpp
+++ b/programs/camphorhitchd/src/request_service.cpp
@@ -227,7 +227,7 @@
     r.span.tag("service", r.service);
     note(r, "began pool=" + pool.name);
     const auto now = context_.scheduler.now();
-    run(id, dispatch::begin(r.flow, sender_, std::get<dispatch::caller_request>(asked), now));
+    run(id, dispatch::start_flow(r.flow, sender_, std::get<dispatch::caller_request>(asked), now));
 }
 
 void request_service::run(request_id id, const dispatch::flow_actions& actions)
@@ -247,7 +247,7 @@
     end_if_over(id);
 }
 
-void request_service::step(request_id id, const dispatch::ask_claim& it)
+void request_service::step(request_id id, const dispatch::request_claim& it)
 {
     note(open_.at(id), "asks claim key=" + it.message.key);
     claims_.ask(it.message,
@@ -265,7 +265,7 @@
         });
 }
 
-void request_service::step(request_id id, const dispatch::ask_permit& it)
+void request_service::step(request_id id, const dispatch::request_permit& it)
 {
     note(open_.at(id), "asks permit pool=" + it.message.pool);
     permits_.ask(it.message,
@@ -420,7 +420,7 @@
     }
     const auto id = it->second;
     note(open_.at(id), "caller went away");
-    run(id, dispatch::on_caller_gone(open_.at(id).flow, sender_, context_.scheduler.now()));
+    run(id, dispatch::on_caller_disconnected(open_.at(id).flow, sender_, context_.scheduler.now()));
 }
 
 ports::held_reply request_service::held(const ports::held_query& query)
@@ -436,7 +436,7 @@
     dispatch::on_held_query(sender_, query);
     for (const auto& [id, r] : open_)
     {
-        for (auto& one : dispatch::held_by(r.flow, context_.scheduler.now()))
+        for (auto& one : dispatch::held_permits(r.flow, context_.scheduler.now()))
         {
             if (std::find(query.pools.begin(), query.pools.end(), one.pool) != query.pools.end())
             {
@@ -453,7 +453,7 @@
     std::vector<request_id> due;
     for (const auto& [id, r] : open_)
     {
-        if (dispatch::wake_at(r.flow) <= now)
+        if (dispatch::next_timer(r.flow) <= now)
         {
             due.push_back(id);
         }
--- a/programs/camphorhitchd/src/request_service.hpp
+++ b/programs/camphorhitchd/src/request_service.hpp
@@ -69,8 +69,8 @@
 
     void begin(request_id id, const model::pool_config& pool);
     void run(request_id id, const dispatch::flow_actions& actions);
-    void step(request_id id, const dispatch::ask_claim& it);
-    void step(request_id id, const dispatch::ask_permit& it);
+    void step(request_id id, const dispatch::request_claim& it);
+    void step(request_id id, const dispatch::request_permit& it);
     void step(request_id id, const dispatch::send_request& it);
     void step(request_id id, const dispatch::cancel_send& it);
     void step(request_id id, const dispatch::return_permit& it);
