--- a/libs/claims/src/entries.cpp
+++ b/libs/claims/src/entries.cpp
@@ -9,31 +9,31 @@
 namespace
 {
 
-std::size_t answer_size(const remembered_key& known)
+std::size_t answer_size(const key_record& record)
 {
-    if (!known.answer)
+    if (!record.answer)
     {
         return 0;
     }
-    std::size_t size = known.answer->body.size();
-    for (const auto& [name, text] : known.answer->fields)
+    std::size_t size = record.answer->body.size();
+    for (const auto& [name, text] : record.answer->fields)
     {
         size += name.size() + text.size();
     }
     return size;
 }
 
-bool is_forgotten(const remembered_key& known, const claim_settings& settings, core::mono_time now)
+bool is_expired(const key_record& record, const claim_settings& settings, core::mono_time now)
 {
-    return now - known.changed >= remembered_for(settings);
+    return now - record.changed_at >= key_lifetime(settings);
 }
 
-template <class Drop>
-void erase_keys(claim_slot& slot, Drop drop)
+template <class Predicate>
+void erase_keys_if(claim_slot& slot, Predicate should_erase)
 {
     for (auto it = slot.keys.begin(); it != slot.keys.end();)
     {
-        if (drop(it->second))
+        if (should_erase(it->second))
         {
             slot.answer_bytes -= answer_size(it->second);
             it = slot.keys.erase(it);
@@ -45,50 +45,51 @@
     }
 }
 
-std::shared_ptr<const remembered_answer> answer_of(const ports::claim_entry& entry)
+std::shared_ptr<const stored_answer> make_answer(const ports::claim_entry& entry)
 {
-    auto answer = std::make_shared<remembered_answer>();
+    auto answer = std::make_shared<stored_answer>();
     answer->status = entry.status;
     answer->fields = entry.fields;
     answer->body = entry.body;
     return answer;
 }
 
-bool is_newer(const ports::claim_entry& entry, const remembered_key& known)
+bool is_newer(const ports::claim_entry& entry, const key_record& record)
 {
-    return entry.epoch != known.epoch ? entry.epoch > known.epoch : entry.sequence > known.sequence;
+    return entry.epoch != record.epoch ? entry.epoch > record.epoch
+                                       : entry.sequence > record.sequence;
 }
 
 } // namespace
 
-core::millis remembered_for(const claim_settings& settings)
+core::millis key_lifetime(const claim_settings& settings)
 {
     return settings.key_memory + settings.permit_ttl;
 }
 
-core::millis quarantine_of(const claim_settings& settings)
+core::millis quarantine_time(const claim_settings& settings)
 {
-    return settings.stop_bound + settings.permit_ttl + remembered_for(settings);
+    return settings.stop_bound + settings.permit_ttl + key_lifetime(settings);
 }
 
-ports::claim_entry to_wire(const std::string& key, const remembered_key& known, core::mono_time now)
+ports::claim_entry to_wire(const std::string& key, const key_record& record, core::mono_time now)
 {
     ports::claim_entry entry;
     entry.key = key;
-    entry.body_hash = known.body_hash;
-    entry.state = known.state;
-    entry.executor = known.executor;
-    entry.attempt = known.attempt;
-    entry.epoch = known.epoch;
-    entry.sequence = known.sequence;
-    // Rounded down, and the time on the way is not counted: an entry may live longer, never
-    // shorter.
-    entry.age = std::chrono::floor<core::millis>(now - known.changed);
-    if (known.answer)
+    entry.body_hash = record.body_hash;
+    entry.state = record.state;
+    entry.executor = record.executor;
+    entry.attempt = record.attempt;
+    entry.epoch = record.epoch;
+    entry.sequence = record.sequence;
+    // The age is rounded down and the time of the transfer is not counted: an entry may be kept
+    // longer at the receiver, but never shorter.
+    entry.age = std::chrono::floor<core::millis>(now - record.changed_at);
+    if (record.answer)
     {
-        entry.status = known.answer->status;
-        entry.fields = known.answer->fields;
-        entry.body = known.answer->body;
+        entry.status = record.answer->status;
+        entry.fields = record.answer->fields;
+        entry.body = record.answer->body;
         entry.answer_kept = true;
     }
     return entry;
@@ -99,28 +100,28 @@
     const ports::claim_entry& entry,
     core::mono_time now)
 {
-    if (entry.age >= remembered_for(settings))
+    if (entry.age >= key_lifetime(settings))
     {
         return;
     }
-    auto& known = slot.keys[entry.key];
-    if (known.epoch != 0 && !is_newer(entry, known))
+    auto& record = slot.keys[entry.key];
+    if (record.epoch != 0 && !is_newer(entry, record))
     {
         return;
     }
-    slot.answer_bytes -= answer_size(known);
-    known.body_hash = entry.body_hash;
-    known.state = entry.state;
-    known.executor = entry.executor;
-    known.attempt = entry.attempt;
-    known.epoch = entry.epoch;
-    known.sequence = entry.sequence;
-    known.changed = now - std::max(entry.age, core::millis{0});
-    known.answer = entry.answer_kept ? answer_of(entry) : nullptr;
-    slot.answer_bytes += answer_size(known);
+    slot.answer_bytes -= answer_size(record);
+    record.body_hash = entry.body_hash;
+    record.state = entry.state;
+    record.executor = entry.executor;
+    record.attempt = entry.attempt;
+    record.epoch = entry.epoch;
+    record.sequence = entry.sequence;
+    record.changed_at = now - std::max(entry.age, core::millis{0});
+    record.answer = entry.answer_kept ? make_answer(entry) : nullptr;
+    slot.answer_bytes += answer_size(record);
 }
 
-remembered_key* find_live(
+key_record* find_key(
     claim_slot& slot, const claim_settings& settings, const std::string& key, core::mono_time now)
 {
     const auto it = slot.keys.find(key);
@@ -128,7 +129,7 @@
     {
         return nullptr;
     }
-    if (!is_forgotten(it->second, settings, now))
+    if (!is_expired(it->second, settings, now))
     {
         return &it->second;
     }
@@ -143,40 +144,41 @@
     {
         return true;
     }
-    erase_keys(slot,
-        [&](const auto& known) {
-            return known.state == ports::claim_state::released ||
-                   is_forgotten(known, settings, now);
+    erase_keys_if(slot,
+        [&](const auto& record) {
+            return record.state == ports::claim_state::released ||
+                   is_expired(record, settings, now);
         });
     return slot.keys.size() < settings.keys_per_slot;
 }
 
-void sweep(claim_slot& slot, const claim_settings& settings, core::mono_time now)
+void remove_expired_keys(claim_slot& slot, const claim_settings& settings, core::mono_time now)
 {
-    erase_keys(slot, [&](const auto& known) { return is_forgotten(known, settings, now); });
+    erase_keys_if(slot, [&](const auto& record) { return is_expired(record, settings, now); });
 }
 
-void keep_answer(claim_slot& slot,
+void store_answer(claim_slot& slot,
     const claim_settings& settings,
-    remembered_key& known,
+    key_record& record,
     const ports::claim_entry& entry)
 {
-    slot.answer_bytes -= answer_size(known);
-    known.answer = entry.answer_kept ? answer_of(entry) : nullptr;
-    const auto size = answer_size(known);
+    slot.answer_bytes -= answer_size(record);
+    record.answer = entry.answer_kept ? make_answer(entry) : nullptr;
+    const auto size = answer_size(record);
     if (size > settings.answer_kept_bytes ||
         slot.answer_bytes + size > settings.answer_bytes_per_slot)
     {
-        known.answer.reset();
+        record.answer.reset();
     }
-    slot.answer_bytes += answer_size(known);
+    slot.answer_bytes += answer_size(record);
 }
 
-void stamp(claim_slot& slot, remembered_key& known, ports::epoch_number epoch, core::mono_time now)
+void stamp_change(
+    claim_slot& slot, key_record& record, ports::epoch_number epoch, core::mono_time now)
 {
-    known.epoch = epoch;
-    known.sequence = ++slot.sequence;
-    known.changed = now;
+    record.epoch = epoch;
+    record.sequence = ++slot.sequence;
+    record.changed_at = now;
 }
 
 } // namespace camphorhitch::claims
--- a/libs/claims/src/entries.hpp
+++ b/libs/claims/src/entries.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Entries of a slot: to and from the wire, merged by version, forgotten by age.
+/// Entries of a slot: conversion to and from the wire, merging by version, expiry by age.
 #pragma once
 
 #include "claims/claim_table.hpp"
@@ -7,34 +7,34 @@
 namespace camphorhitch::claims
 {
 
-/// \return the entry as another member may take it over: with its age instead of a time.
-ports::claim_entry to_wire(
-    const std::string& key, const remembered_key& known, core::mono_time now);
+/// \return the entry in the form that another member can merge: with its age instead of a time.
+ports::claim_entry to_wire(const std::string& key, const key_record& record, core::mono_time now);
 
-/// Takes over an entry unless a newer one is known or it is too old to be remembered.
+/// Merges a received entry unless a newer one is stored or the received one has expired.
 void merge_entry(claim_slot& slot,
     const claim_settings& settings,
     const ports::claim_entry& entry,
     core::mono_time now);
 
-/// \return the remembered key, or nullptr; forgets it when its time is over.
-remembered_key* find_live(
+/// \return the record of the key, or nullptr; removes the record when it has expired.
+key_record* find_key(
     claim_slot& slot, const claim_settings& settings, const std::string& key, core::mono_time now);
 
-/// Makes room in a full slot: forgets what is too old and what was released.
-/// \return whether there is room for one more key.
+/// Frees capacity in a full slot by removing expired and released keys.
+/// \return whether one more key can be stored.
 bool make_room(claim_slot& slot, const claim_settings& settings, core::mono_time now);
 
-/// Forgets what is too old.
-void sweep(claim_slot& slot, const claim_settings& settings, core::mono_time now);
+/// Removes all expired keys of the slot.
+void remove_expired_keys(claim_slot& slot, const claim_settings& settings, core::mono_time now);
 
-/// Remembers the answer, or only that there was one when it is too large.
-void keep_answer(claim_slot& slot,
+/// Stores the answer, or only the fact that there was one when the answer is too large.
+void store_answer(claim_slot& slot,
     const claim_settings& settings,
-    remembered_key& known,
+    key_record& record,
     const ports::claim_entry& entry);
 
-/// Stamps a change by the slot's first holder.
-void stamp(claim_slot& slot, remembered_key& known, ports::epoch_number epoch, core::mono_time now);
+/// Stamps a change that this member makes as the slot's first holder.
+void stamp_change(
+    claim_slot& slot, key_record& record, ports::epoch_number epoch, core::mono_time now);
 
 } // namespace camphorhitch::claims
--- a/libs/claims/src/executor.cpp
+++ b/libs/claims/src/executor.cpp
@@ -17,7 +17,7 @@
     a.closed_at = now;
 }
 
-ports::claim_finish finish_of(const attempt& a)
+ports::claim_finish make_finish(const attempt& a)
 {
     ports::claim_finish finish;
     finish.key = a.key;
@@ -30,28 +30,28 @@
     return finish;
 }
 
-void release(attempt& a)
+void release_claim(attempt& a)
 {
-    core::require(!a.sent, "only an attempt that was never sent is released", a.key);
-    a.end = finish_of(a);
-    a.end->not_run = true;
+    core::require(!a.sent, "only an attempt that was never sent may be released", a.key);
+    a.pending_finish = make_finish(a);
+    a.pending_finish->not_run = true;
 }
 
-outcome_report report(outcome kind, outcome_reason reason, core::millis retry_after)
+outcome_report make_report(outcome kind, outcome_reason reason, core::millis retry_after)
 {
-    outcome_report told;
-    told.kind = kind;
-    told.reason = reason;
-    told.retry_after = retry_after;
-    return told;
+    outcome_report report;
+    report.kind = kind;
+    report.reason = reason;
+    report.retry_after = retry_after;
+    return report;
 }
 
-claim_step ask_again_or_give_up(
+claim_step retry_or_give_up(
     attempt& a, const executor_settings& settings, core::millis delay, core::mono_time now)
 {
     if (now + delay < a.deadline)
     {
-        return ask_again{delay};
+        return retry_claim{delay};
     }
     return give_up(a, settings, outcome_reason::not_claimed, now);
 }
@@ -62,24 +62,24 @@
     a.may_be_claimed = true;
     if (now - started >= settings.permit_ttl)
     {
-        return ask_again_or_give_up(a, settings, core::millis{0}, now);
+        return retry_or_give_up(a, settings, core::millis{0}, now);
     }
     a.phase = attempt_phase::granted;
-    a.granted_from = started;
-    return proceed{};
+    a.grant_requested_at = started;
+    return claim_granted{};
 }
 
-outcome_report replay(const ports::claim_entry& entry)
+outcome_report replay_answer(const ports::claim_entry& entry)
 {
     if (!entry.answer_kept)
     {
-        return report(outcome::unknown, outcome_reason::answer_not_kept, core::millis{0});
+        return make_report(outcome::unknown, outcome_reason::answer_not_kept, core::millis{0});
     }
-    auto told = report(outcome::answered, outcome_reason::replayed, core::millis{0});
-    told.response.status = entry.status;
-    told.response.fields = entry.fields;
-    told.response.body = entry.body;
-    return told;
+    auto report = make_report(outcome::answered, outcome_reason::replayed, core::millis{0});
+    report.response.status = entry.status;
+    report.response.fields = entry.fields;
+    report.response.body = entry.body;
+    return report;
 }
 
 claim_step on_known(attempt& a,
@@ -89,25 +89,26 @@
 {
     if (reply.entry.state == ports::claim_state::released)
     {
-        return ask_again_or_give_up(a, settings, settings.ask_delay, now);
+        return retry_or_give_up(a, settings, settings.claim_retry_delay, now);
     }
     a.may_be_claimed = false;
     close(a, now);
     switch (reply.entry.state)
     {
     case ports::claim_state::done:
-        return replay(reply.entry);
+        return replay_answer(reply.entry);
     case ports::claim_state::claimed:
-        return report(outcome::unknown, outcome_reason::running, reply.retry_after);
+        return make_report(outcome::unknown, outcome_reason::running, reply.retry_after);
     default:
-        return report(outcome::unknown, outcome_reason::may_have_run, core::millis{0});
+        return make_report(outcome::unknown, outcome_reason::may_have_run, core::millis{0});
     }
 }
 
-claim_step refused(attempt& a, outcome_reason reason, core::millis retry_after, core::mono_time now)
+claim_step close_as_not_run(
+    attempt& a, outcome_reason reason, core::millis retry_after, core::mono_time now)
 {
     close(a, now);
-    return report(outcome::not_run, reason, retry_after);
+    return make_report(outcome::not_run, reason, retry_after);
 }
 
 claim_step on_reply(attempt& a,
@@ -123,20 +124,20 @@
     case ports::claim_verdict::known:
         return on_known(a, settings, reply, now);
     case ports::claim_verdict::other_body:
-        return refused(a, outcome_reason::other_body, core::millis{0}, now);
+        return close_as_not_run(a, outcome_reason::other_body, core::millis{0}, now);
     case ports::claim_verdict::full:
-        return refused(a, outcome_reason::keys_full, reply.retry_after, now);
+        return close_as_not_run(a, outcome_reason::keys_full, reply.retry_after, now);
     case ports::claim_verdict::quarantined:
     {
-        auto told = give_up(a, settings, outcome_reason::quarantined, now);
-        told.retry_after = reply.retry_after;
-        return told;
+        auto report = give_up(a, settings, outcome_reason::quarantined, now);
+        report.retry_after = reply.retry_after;
+        return report;
     }
     default:
-        // The second holder may have remembered the claim although it could not be granted.
+        // The second holder may have stored the claim although it could not be granted.
         a.may_be_claimed = true;
-        return ask_again_or_give_up(
-            a, settings, std::max(reply.retry_after, settings.ask_delay), now);
+        return retry_or_give_up(
+            a, settings, std::max(reply.retry_after, settings.claim_retry_delay), now);
     }
 }
 
@@ -164,10 +165,11 @@
         status == ports::peer_status::ok && reply.verdict == ports::claim_verdict::granted;
     if (a.phase == attempt_phase::closed)
     {
-        // The grant of a claim that was overtaken by its release: nobody would use the key.
+        // The attempt was closed and released before this grant arrived, so it will never use the
+        // key.
         if (granted && !a.sent)
         {
-            release(a);
+            release_claim(a);
         }
         return {};
     }
@@ -180,28 +182,30 @@
         return on_reply(a, settings, reply, started, now);
     }
     a.may_be_claimed = a.may_be_claimed || status == ports::peer_status::unreachable;
-    return ask_again_or_give_up(a, settings, settings.ask_delay, now);
+    return retry_or_give_up(a, settings, settings.claim_retry_delay, now);
 }
 
 bool may_send(const attempt& a, const executor_settings& settings, bool fresh, core::mono_time now)
 {
     return a.phase == attempt_phase::granted && !a.sent && fresh &&
-           now - a.granted_from < settings.permit_ttl;
+           now - a.grant_requested_at < settings.permit_ttl;
 }
 
 void begin_send(attempt& a, const executor_settings& settings, bool fresh, core::mono_time now)
 {
     core::require(may_send(a, settings, fresh, now),
-        "an attempt is sent once, under a grant that is young enough",
+        "an attempt is sent once, under a grant younger than permit_ttl",
         a.key);
     a.phase = attempt_phase::sending;
     a.sent = true;
 }
 
-std::optional<outcome_report> on_target_end(
+std::optional<outcome_report> on_target_result(
     attempt& a, const ports::http_outcome& result, core::mono_time now)
 {
-    core::require(a.phase == attempt_phase::sending, "only what is being sent can end", a.key);
+    core::require(a.phase == attempt_phase::sending,
+        "only an attempt that is being sent can get a result",
+        a.key);
     if (result.end == ports::call_end::not_sent)
     {
         a.phase = attempt_phase::granted;
@@ -209,52 +213,54 @@
         return std::nullopt;
     }
     close(a, now);
-    a.end = finish_of(a);
+    a.pending_finish = make_finish(a);
     if (result.end != ports::call_end::answered)
     {
-        a.end->entry.state = ports::claim_state::unknown;
-        auto told = report(outcome::unknown, outcome_reason::no_answer, core::millis{0});
-        told.attempt_sent = true;
-        return told;
+        a.pending_finish->entry.state = ports::claim_state::unknown;
+        auto report = make_report(outcome::unknown, outcome_reason::no_answer, core::millis{0});
+        report.attempt_sent = true;
+        return report;
     }
-    a.end->entry.state = ports::claim_state::done;
-    a.end->entry.status = result.response.status;
-    a.end->entry.fields = result.response.fields;
-    a.end->entry.body = result.response.body;
-    a.end->entry.answer_kept = true;
-    auto told = report(outcome::answered, outcome_reason::answered, core::millis{0});
-    told.attempt_sent = true;
-    told.response = result.response;
-    return told;
+    a.pending_finish->entry.state = ports::claim_state::done;
+    a.pending_finish->entry.status = result.response.status;
+    a.pending_finish->entry.fields = result.response.fields;
+    a.pending_finish->entry.body = result.response.body;
+    a.pending_finish->entry.answer_kept = true;
+    auto report = make_report(outcome::answered, outcome_reason::answered, core::millis{0});
+    report.attempt_sent = true;
+    report.response = result.response;
+    return report;
 }
 
 outcome_report give_up(
     attempt& a, const executor_settings& settings, outcome_reason reason, core::mono_time now)
 {
-    core::require(a.phase == attempt_phase::asking || a.phase == attempt_phase::granted,
-        "an attempt that is being sent can't be called not run",
+    core::require(a.phase == attempt_phase::claiming || a.phase == attempt_phase::granted,
+        "an attempt that is being sent can't be reported as not run",
         a.key);
-    // The grant says that nobody ran the key before, and nobody else can while it is remembered.
-    const bool still_ours =
-        a.phase == attempt_phase::granted && now - a.granted_from < settings.key_memory;
+    // The grant proves that the key has not run before, and no other attempt can run while the
+    // holders keep the claim.
+    const bool key_still_claimed =
+        a.phase == attempt_phase::granted && now - a.grant_requested_at < settings.key_memory;
     close(a, now);
     if (a.may_be_claimed)
     {
-        release(a);
+        release_claim(a);
     }
-    return report(still_ours ? outcome::not_run : outcome::unknown, reason, settings.retry_after);
+    return make_report(
+        key_still_claimed ? outcome::not_run : outcome::unknown, reason, settings.retry_after);
 }
 
-std::optional<ports::claim_finish> due_finish(const attempt& a,
+std::optional<ports::claim_finish> next_finish_message(const attempt& a,
     const executor_settings& settings,
     ports::epoch_number epoch,
     core::mono_time now)
 {
-    if (!a.end || now - a.closed_at >= settings.finish_patience)
+    if (!a.pending_finish || now - a.closed_at >= settings.finish_timeout)
     {
         return std::nullopt;
     }
-    auto finish = *a.end;
+    auto finish = *a.pending_finish;
     finish.epoch = epoch;
     return finish;
 }
@@ -263,7 +269,7 @@
 {
     if (ack.accepted)
     {
-        a.end.reset();
+        a.pending_finish.reset();
     }
 }
 
--- a/libs/claims/src/finish.cpp
+++ b/libs/claims/src/finish.cpp
@@ -1,5 +1,5 @@
 #include "entries.hpp"
-#include "holder_parts.hpp"
+#include "holder_internal.hpp"
 
 #include <utility>
 
@@ -13,94 +13,97 @@
 
 claim_actions finish_after_copy(claim_table& table,
     const std::string& key,
-    const remembered_key& known,
-    const claim_context& at)
+    const key_record& record,
+    const message_context& context)
 {
-    auto pending = pending_for(table, copy_purpose::finish, at);
+    auto pending = make_pending_copy(table, copy_purpose::finish, context);
     pending.key = key;
-    return copy_entry(table, std::move(pending), known, at);
+    return copy_entry(table, std::move(pending), record, context);
 }
 
-/// As if the attempt's claim had come before its end.
-remembered_key& begin_key(claim_slot& slot, const ports::claim_finish& finish)
+/// Creates the record that the attempt's claim would have created if it had arrived before its
+/// finish.
+key_record& create_claimed_key(claim_slot& slot, const ports::claim_finish& finish)
 {
-    auto& known = slot.keys[finish.key];
-    known.executor = finish.executor;
-    known.attempt = finish.attempt;
-    known.body_hash = finish.entry.body_hash;
-    known.state = claim_state::claimed;
-    return known;
+    auto& record = slot.keys[finish.key];
+    record.executor = finish.executor;
+    record.attempt = finish.attempt;
+    record.body_hash = finish.entry.body_hash;
+    record.state = claim_state::claimed;
+    return record;
 }
 
-claim_actions accept_finish(const claim_context& at, bool accepted)
+claim_actions reply_to_finish(const message_context& context, bool accepted)
 {
-    return {reply_finish{at.ticket, ports::ack{accepted}}};
+    return {reply_finish{context.ticket, ports::ack{accepted}}};
 }
 
-/// Releases a claim, and only that attempt's own. A slot that is not whole could hold an old entry
-/// where another attempt's newer claim belongs, so there the executor has to ask again later.
-claim_actions release(
-    claim_table& table, const ports::claim_finish& finish, const claim_context& at)
+/// Releases a claim, but only the claim of the attempt that finishes. A slot that is not complete
+/// could hold an old entry in the place of another attempt's newer claim, so there the release is
+/// rejected and the executor has to repeat it later.
+claim_actions release_key(
+    claim_table& table, const ports::claim_finish& finish, const message_context& context)
 {
-    auto& slot = table.slots[at.slot];
-    if (!is_active(table, at.slot))
+    auto& slot = table.slots[context.slot];
+    if (!is_active(table, context.slot))
     {
-        return accept_finish(at, false);
+        return reply_to_finish(context, false);
     }
-    auto* known = find_live(slot, table.settings, finish.key, at.now);
-    if (known == nullptr)
+    auto* record = find_key(slot, table.settings, finish.key, context.now);
+    if (record == nullptr)
     {
-        // The claim may still be on its way; remembering the release keeps it from being granted to
-        // an attempt that nobody waits for, which would block the key.
-        if (!make_room(slot, table.settings, at.now))
+        // The claim may still be in flight. A stored release prevents that it is granted to an
+        // attempt that has already been closed, which would block the key.
+        if (!make_room(slot, table.settings, context.now))
         {
-            return accept_finish(at, true);
+            return reply_to_finish(context, true);
         }
-        known = &begin_key(slot, finish);
+        record = &create_claimed_key(slot, finish);
     }
-    if (!is_of(*known, finish.executor, finish.attempt))
+    if (!belongs_to(*record, finish.executor, finish.attempt))
     {
-        return accept_finish(at, true);
+        return reply_to_finish(context, true);
     }
-    if (known->state == claim_state::claimed)
+    if (record->state == claim_state::claimed)
     {
-        known->state = claim_state::released;
-        stamp(slot, *known, table.roster.epoch, at.now);
+        record->state = claim_state::released;
+        stamp_change(slot, *record, table.roster.epoch, context.now);
     }
-    return finish_after_copy(table, finish.key, *known, at);
+    return finish_after_copy(table, finish.key, *record, context);
 }
 
-/// Remembers how an attempt ended. That an attempt ran is true whatever is known here, so it is
-/// remembered in a quarantined slot, too; only another attempt's entry is never overwritten.
-claim_actions remember_end(
-    claim_table& table, const ports::claim_finish& finish, const claim_context& at)
+/// Records how an attempt ended. The fact that an attempt ran is true whatever this member has
+/// stored, so it is recorded in a quarantined slot, too. An entry of another attempt is never
+/// overwritten.
+claim_actions record_end(
+    claim_table& table, const ports::claim_finish& finish, const message_context& context)
 {
-    auto& slot = table.slots[at.slot];
-    const bool active = is_active(table, at.slot);
-    auto* known = find_live(slot, table.settings, finish.key, at.now);
-    const bool own = known == nullptr || is_of(*known, finish.executor, finish.attempt);
+    auto& slot = table.slots[context.slot];
+    const bool active = is_active(table, context.slot);
+    auto* record = find_key(slot, table.settings, finish.key, context.now);
+    const bool own = record == nullptr || belongs_to(*record, finish.executor, finish.attempt);
     if (!own)
     {
-        return accept_finish(at, active);
+        return reply_to_finish(context, active);
     }
-    if (known == nullptr)
+    if (record == nullptr)
     {
-        known = &begin_key(slot, finish);
+        record = &create_claimed_key(slot, finish);
     }
-    const bool improves =
-        known->state == claim_state::claimed ||
-        (known->state == claim_state::unknown && finish.entry.state == claim_state::done);
-    if (improves)
+    const bool is_progress =
+        record->state == claim_state::claimed ||
+        (record->state == claim_state::unknown && finish.entry.state == claim_state::done);
+    if (is_progress)
     {
-        known->state = finish.entry.state;
-        keep_answer(slot, table.settings, *known, finish.entry);
-        stamp(slot, *known, table.roster.epoch, at.now);
+        record->state = finish.entry.state;
+        store_answer(slot, table.settings, *record, finish.entry);
+        stamp_change(slot, *record, table.roster.epoch, context.now);
     }
     if (!active)
     {
-        return accept_finish(at, false);
+        return reply_to_finish(context, false);
     }
-    return finish_after_copy(table, finish.key, *known, at);
+    return finish_after_copy(table, finish.key, *record, context);
 }
 
 } // namespace
@@ -110,12 +113,13 @@
     const ports::claim_finish& finish,
     core::mono_time now)
 {
-    const claim_context at{ticket, membership::slot_of_key(finish.key), now};
-    if (table.slots[at.slot].role != slot_role::first)
+    const message_context context{ticket, membership::slot_of_key(finish.key), now};
+    if (table.slots[context.slot].role != slot_role::first)
     {
-        return accept_finish(at, false);
+        return reply_to_finish(context, false);
     }
-    return finish.not_run ? release(table, finish, at) : remember_end(table, finish, at);
+    return finish.not_run ? release_key(table, finish, context)
+                          : record_end(table, finish, context);
 }
 
 } // namespace camphorhitch::claims
--- a/libs/claims/src/takeover.cpp
+++ b/libs/claims/src/takeover.cpp
@@ -1,5 +1,5 @@
 #include "entries.hpp"
-#include "walk_back.hpp"
+#include "slot_recovery.hpp"
 
 #include "core/invariant.hpp"
 
@@ -14,17 +14,17 @@
 namespace
 {
 
-/// Slots to ask of each process, in an order that is the same in every run.
+/// The slots to pull from each process, in an order that is the same in every run.
 struct pull_plan
 {
-    struct by_process
+    struct process_less
     {
         bool operator()(const model::member_record& a, const model::member_record& b) const
         {
             return std::tie(a.id, a.incarnation) < std::tie(b.id, b.incarnation);
         }
     };
-    std::map<model::member_record, std::vector<std::uint32_t>, by_process> slots;
+    std::map<model::member_record, std::vector<std::uint32_t>, process_less> slots;
 };
 
 void assign_role(claim_slot& slot, const claim_table& table, std::uint32_t number)
@@ -35,9 +35,9 @@
         return it != nullptr && membership::same_process(*it, table.self);
     };
     slot.reports.clear();
-    slot.gone.clear();
-    slot.asked.clear();
-    slot.nobody_left = false;
+    slot.lost_holders.clear();
+    slot.asked_this_round.clear();
+    slot.no_holder_left = false;
     slot.role = slot_role::none;
     if (!is_self(holders.first) && !is_self(holders.second))
     {
@@ -46,7 +46,7 @@
     const bool is_first = is_self(holders.first);
     const auto* other = is_first ? holders.second : holders.first;
     slot.role = is_first ? slot_role::first : slot_role::second;
-    slot.other = other == nullptr ? std::nullopt : std::optional{*other};
+    slot.other_holder = other == nullptr ? std::nullopt : std::optional{*other};
     slot.handed_over = false;
 }
 
@@ -55,33 +55,34 @@
     return slot.role != slot_role::none && slot.complete_through < table.roster.epoch;
 }
 
-/// Makes the slot active if its state is known by now.
-/// \return whom to ask otherwise.
-std::vector<model::member_record> resolve(
+/// Makes the slot active if its state is recovered by now.
+/// \return otherwise, the processes to ask.
+std::vector<model::member_record> update_recovery(
     claim_table& table, std::uint32_t number, core::mono_time now)
 {
     auto& slot = table.slots[number];
-    auto end = walk_back(table, number);
-    if (end.whole || now >= end.deadline)
+    auto status = evaluate_recovery(table, number);
+    if (status.complete || now >= status.quarantine_end)
     {
         slot.complete_through = table.roster.epoch;
-        slot.nobody_left = false;
+        slot.no_holder_left = false;
         return {};
     }
     slot.quarantined_through = table.roster.epoch;
-    slot.quarantine_until = end.deadline;
-    slot.nobody_left = end.ask.empty();
-    return std::move(end.ask);
+    slot.quarantine_until = status.quarantine_end;
+    slot.no_holder_left = status.holders_to_ask.empty();
+    return std::move(status.holders_to_ask);
 }
 
-/// Each process is asked once a round, however many replies of others arrive meanwhile.
-void plan(pull_plan& pulls,
+/// Adds the slot to the pulls of each holder. Each process is asked once per round, however many
+/// replies of other processes arrive in between.
+void add_pulls(pull_plan& pulls,
     claim_table& table,
     std::uint32_t number,
-    const std::vector<model::member_record>& ask)
+    const std::vector<model::member_record>& holders)
 {
-    auto& asked = table.slots[number].asked;
-    for (const auto& it : ask)
+    auto& asked = table.slots[number].asked_this_round;
+    for (const auto& it : holders)
     {
         if (!membership::contains_process(asked, it))
         {
@@ -110,8 +111,9 @@
     return actions;
 }
 
-/// Each round asks the co-holder too: it may have found somebody who was gone when we asked.
-claim_actions ask_again(claim_table& table, core::mono_time now)
+/// Starts a new round of pulls. Each round also asks the other holder, which may have reached a
+/// process that could not be reached from here.
+claim_actions request_missing_states(claim_table& table, core::mono_time now)
 {
     pull_plan pulls;
     for (std::uint32_t it = 0; it < table.slots.size(); ++it)
@@ -120,11 +122,11 @@
         {
             continue;
         }
-        table.slots[it].asked.clear();
-        plan(pulls, table, it, resolve(table, it, now));
-        if (is_waiting(table, table.slots[it]) && table.slots[it].other)
+        table.slots[it].asked_this_round.clear();
+        add_pulls(pulls, table, it, update_recovery(table, it, now));
+        if (is_waiting(table, table.slots[it]) && table.slots[it].other_holder)
         {
-            plan(pulls, table, it, {*table.slots[it].other});
+            add_pulls(pulls, table, it, {*table.slots[it].other_holder});
         }
     }
     return to_actions(table, pulls);
@@ -136,7 +138,7 @@
     {
         if (is_waiting(table, table.slots[it]) && now >= table.slots[it].quarantine_until)
         {
-            resolve(table, it, now);
+            update_recovery(table, it, now);
         }
     }
 }
@@ -155,15 +157,15 @@
         state.quarantine_left = std::chrono::ceil<core::millis>(left);
     }
     state.entries.reserve(slot.keys.size());
-    for (const auto& [key, known] : slot.keys)
+    for (const auto& [key, record] : slot.keys)
     {
-        state.entries.push_back(to_wire(key, known, now));
+        state.entries.push_back(to_wire(key, record, now));
     }
     return state;
 }
 
-void take_report(claim_table& table,
-    const model::member_record& who,
+void apply_report(claim_table& table,
+    const model::member_record& holder,
     const ports::slot_state& state,
     core::mono_time now)
 {
@@ -172,14 +174,14 @@
     {
         merge_entry(slot, table.settings, it, now);
     }
-    const holder_report report{who,
+    const holder_report report{holder,
         state.complete_through,
         state.refused_through,
         state.quarantined_through,
         now + state.quarantine_left};
     for (auto& it : slot.reports)
     {
-        if (membership::same_process(it.who, who))
+        if (membership::same_process(it.holder, holder))
         {
             it = report;
             return;
@@ -188,25 +190,26 @@
     slot.reports.push_back(report);
 }
 
-/// A refused connection, or another process at the address: what that holder knew is lost.
-void note_gone(claim_table& table, const send_pull& asked)
+/// A refused connection, or another process at the address, shows that the state of that holder is
+/// lost.
+void record_lost_holders(claim_table& table, const send_pull& sent)
 {
-    for (const auto it : asked.pull.slots)
+    for (const auto it : sent.pull.slots)
     {
-        table.slots[it].gone.push_back(asked.to);
+        table.slots[it].lost_holders.push_back(sent.to);
     }
 }
 
-claim_actions resolve_asked(claim_table& table, const send_pull& asked, core::mono_time now)
+claim_actions update_pulled_slots(claim_table& table, const send_pull& sent, core::mono_time now)
 {
     pull_plan pulls;
-    for (const auto it : asked.pull.slots)
+    for (const auto it : sent.pull.slots)
     {
         if (!is_waiting(table, table.slots[it]))
         {
             continue;
         }
-        plan(pulls, table, it, resolve(table, it, now));
+        add_pulls(pulls, table, it, update_recovery(table, it, now));
     }
     return to_actions(table, pulls);
 }
@@ -222,7 +225,7 @@
     }
     table.roster = roster;
     table.adopted_at = now;
-    table.pulled_at = now;
+    table.last_pull_at = now;
     pull_plan pulls;
     for (std::uint32_t it = 0; it < table.slots.size(); ++it)
     {
@@ -230,7 +233,7 @@
         assign_role(slot, table, it);
         if (slot.role != slot_role::none)
         {
-            plan(pulls, table, it, resolve(table, it, now));
+            add_pulls(pulls, table, it, update_recovery(table, it, now));
         }
     }
     return to_actions(table, pulls);
@@ -254,33 +257,34 @@
             continue;
         }
         const auto holders = membership::claim_holders(table.roster.members, it);
-        const auto asks = [&](const model::member_record* holder)
+        const auto is_sender = [&](const model::member_record* holder)
         {
             return holder != nullptr && holder->id == pull.member;
         };
         auto& slot = table.slots[it];
-        slot.handed_over = slot.handed_over || asks(holders.first) || asks(holders.second);
+        slot.handed_over =
+            slot.handed_over || is_sender(holders.first) || is_sender(holders.second);
         reply.slots.push_back(state_of(table, it, now));
     }
     return reply;
 }
 
 claim_actions on_pull_result(claim_table& table,
-    const send_pull& asked,
+    const send_pull& sent,
     ports::peer_status status,
     const ports::slot_pull_reply& reply,
     core::mono_time now)
 {
-    if (asked.pull.epoch != table.roster.epoch || status == ports::peer_status::unreachable)
+    if (sent.pull.epoch != table.roster.epoch || status == ports::peer_status::unreachable)
     {
         return {};
     }
     const bool other_process =
-        reply.member != asked.to.id || reply.incarnation != asked.to.incarnation;
+        reply.member != sent.to.id || reply.incarnation != sent.to.incarnation;
     if (status == ports::peer_status::refused || other_process)
     {
-        note_gone(table, asked);
-        return resolve_asked(table, asked, now);
+        record_lost_holders(table, sent);
+        return update_pulled_slots(table, sent, now);
     }
     if (!reply.adopted)
     {
@@ -288,33 +292,35 @@
     }
     for (const auto& it : reply.slots)
     {
-        const auto& slots = asked.pull.slots;
+        const auto& slots = sent.pull.slots;
         const bool was_asked = std::find(slots.begin(), slots.end(), it.slot) != slots.end();
-        // A replier that is ahead of us may hold what a newer epoch granted; we follow first.
+        // A member that is ahead of this one may hold grants of a newer epoch. This member adopts
+        // that epoch first.
         if (was_asked && it.refused_through < table.roster.epoch)
         {
-            take_report(table, asked.to, it, now);
+            apply_report(table, sent.to, it, now);
         }
     }
-    return resolve_asked(table, asked, now);
+    return update_pulled_slots(table, sent, now);
 }
 
 claim_actions on_tick(claim_table& table, core::mono_time now)
 {
-    for (std::size_t n = 0; n < table.settings.slots_per_sweep; ++n)
+    for (std::size_t n = 0; n < table.settings.slots_per_cleanup; ++n)
     {
-        sweep(table.slots[table.swept], table.settings, now);
-        table.swept = (table.swept + 1) % membership::slot_count;
+        remove_expired_keys(table.slots[table.next_cleanup_slot], table.settings, now);
+        table.next_cleanup_slot = (table.next_cleanup_slot + 1) % membership::slot_count;
     }
     end_quarantines(table, now);
-    const bool patient = now - table.adopted_at < table.settings.pull_patience;
-    const auto interval = table.settings.pull_repeat * (patient ? 1 : table.settings.rare_rounds);
-    if (now - table.pulled_at < interval)
+    const bool before_pull_timeout = now - table.adopted_at < table.settings.pull_timeout;
+    const auto interval = table.settings.pull_interval *
+                          (before_pull_timeout ? 1 : table.settings.late_pull_interval_factor);
+    if (now - table.last_pull_at < interval)
     {
         return {};
     }
-    table.pulled_at = now;
-    return ask_again(table, now);
+    table.last_pull_at = now;
+    return request_missing_states(table, now);
 }
 
 bool is_active(const claim_table& table, std::uint32_t slot)
@@ -324,7 +330,7 @@
            it.complete_through == table.roster.epoch;
 }
 
-std::size_t waiting_slots(const claim_table& table)
+std::size_t waiting_slot_count(const claim_table& table)
 {
     return static_cast<std::size_t>(std::count_if(table.slots.begin(),
         table.slots.end(),
@@ -337,13 +343,14 @@
         table.slots.end(),
         [&](const auto& it)
         {
-            const bool other_knows = it.other_whole == it.complete_through && it.other &&
-                                     membership::contains_process(table.roster.members, *it.other);
-            return it.complete_through == 0 || it.handed_over || other_knows;
+            const bool other_is_complete =
+                it.other_complete_through == it.complete_through && it.other_holder &&
+                membership::contains_process(table.roster.members, *it.other_holder);
+            return it.complete_through == 0 || it.handed_over || other_is_complete;
         });
 }
 
-std::size_t remembered_keys(const claim_table& table)
+std::size_t stored_key_count(const claim_table& table)
 {
     std::size_t n = 0;
     for (const auto& it : table.slots)
--- a/libs/claims/tests/claim_table_tests.cpp
+++ b/libs/claims/tests/claim_table_tests.cpp
@@ -14,13 +14,13 @@
 
 const std::vector<std::string> abc{"a", "b", "c"};
 
-/// Three members in epoch 1; the key's first holder is a, its second b.
-struct three : tables
+/// Three members in epoch 1. The first holder of the key is a, the second holder is b.
+struct three_members : table_set
 {
     model::roster_document roster = roster_of(abc);
     std::string key = key_held_by(abc, "a", "b");
 
-    three()
+    three_members()
     {
         for (const auto& it : abc)
         {
@@ -28,17 +28,17 @@
         }
     }
 
-    std::uint64_t granted(const std::string& executor)
+    std::uint64_t claim_and_copy(const std::string& executor)
     {
         const auto ticket = claim("a", key, executor);
         deliver_copies();
         return ticket;
     }
 
-    /// The members of \p ids adopt the next roster; \p ids are its members, too.
-    void next_epoch(const std::vector<std::string>& ids)
+    /// The next roster has the members \p ids, and all of them adopt it.
+    void adopt_next(const std::vector<std::string>& ids)
     {
-        roster = next_of(roster, ids);
+        roster = next_roster(roster, ids);
         for (const auto& it : ids)
         {
             adopt(it, roster);
@@ -67,7 +67,7 @@
         claim_verdict verdict;
     };
     const row rows[] = {
-        {"all well", true, peer_status::ok, true, true, claim_verdict::granted},
+        {"no failure", true, peer_status::ok, true, true, claim_verdict::granted},
         {"not fresh", false, peer_status::ok, true, true, claim_verdict::not_ready},
         {"no longer fresh", true, peer_status::ok, true, false, claim_verdict::not_ready},
         {"second refuses", true, peer_status::ok, false, true, claim_verdict::not_ready},
@@ -80,7 +80,7 @@
     };
     for (const auto& it : rows)
     {
-        three t;
+        three_members t;
         const auto ticket = t.claim("a", t.key, "x", 0, it.fresh_at_claim);
         for (const auto& copy : std::exchange(t.copies, {}))
         {
@@ -96,10 +96,10 @@
     struct row
     {
         const char* what;
-        claim_state end; ///< of x's attempt; claimed: it goes on
+        claim_state end; ///< how x's attempt ends; claimed: it is still running
         std::uint64_t body;
-        claim_verdict verdict; ///< for y
-        claim_state told;
+        claim_verdict verdict; ///< of y's claim
+        claim_state reported;
     };
     const row rows[] = {
         {"running", claim_state::claimed, 0, claim_verdict::known, claim_state::claimed},
@@ -119,9 +119,9 @@
     };
     for (const auto& it : rows)
     {
-        three t;
+        three_members t;
         t.by_id["a"].roster.members.push_back(member("x"));
-        CHECK(t.verdict(t.granted("x")) == claim_verdict::granted);
+        CHECK(t.verdict(t.claim_and_copy("x")) == claim_verdict::granted);
         if (it.end != claim_state::claimed)
         {
             const auto ticket = t.finish("a", t.key, "x", it.end);
@@ -131,20 +131,20 @@
         const auto ticket = t.claim("a", t.key, "y", it.body);
         t.deliver_copies();
         CHECK_TEXT(it.verdict == t.verdict(ticket), it.what);
-        CHECK_TEXT(it.told == t.replies[ticket].entry.state, it.what);
+        CHECK_TEXT(it.reported == t.replies[ticket].entry.state, it.what);
         const bool replayed = t.replies[ticket].entry.body == "answer of " + t.key;
-        CHECK_EQUAL_TEXT(it.told == claim_state::done, replayed, it.what);
+        CHECK_EQUAL_TEXT(it.reported == claim_state::done, replayed, it.what);
     }
 }
 
 /// The copy reaches the second holder and its acknowledgement is lost, or the copy itself is lost.
-/// The executor asks again under the same attempt, another executor asks as well: only the first is
-/// granted.
+/// The executor claims again under the same attempt, and another executor claims as well: only the
+/// first one is granted.
 TEST(claim_table, a_lost_acknowledgement_leaves_the_key_with_its_attempt)
 {
     for (const bool copy_arrives : {true, false})
     {
-        three t;
+        three_members t;
         t.claim("a", t.key, "x");
         const auto lost = std::exchange(t.copies, {}).at(0);
         if (copy_arrives)
@@ -153,58 +153,58 @@
         }
         t.acknowledge(lost, peer_status::unreachable, {});
         CHECK(t.verdict(t.claim("a", t.key, "y")) == claim_verdict::known);
-        CHECK(t.verdict(t.granted("x")) == claim_verdict::granted);
-        CHECK(t.verdict(t.granted("y")) == claim_verdict::known);
+        CHECK(t.verdict(t.claim_and_copy("x")) == claim_verdict::granted);
+        CHECK(t.verdict(t.claim_and_copy("y")) == claim_verdict::known);
     }
 }
 
 TEST(claim_table, a_claim_is_released_only_by_its_own_attempt)
 {
-    three t;
-    t.granted("x");
+    three_members t;
+    t.claim_and_copy("x");
     t.finish("a", t.key, "y", claim_state::released);
     t.deliver_copies();
-    CHECK(t.verdict(t.granted("z")) == claim_verdict::known);
+    CHECK(t.verdict(t.claim_and_copy("z")) == claim_verdict::known);
     t.finish("a", t.key, "x", claim_state::released);
     t.deliver_copies();
-    CHECK(t.verdict(t.granted("z")) == claim_verdict::granted);
+    CHECK(t.verdict(t.claim_and_copy("z")) == claim_verdict::granted);
 }
 
-/// The release overtakes its claim, which came late by another connection. Granting the late one
-/// would give the key to an attempt that nobody waits for.
+/// The release overtakes its claim, which arrives late by another connection. A grant of the late
+/// claim would give the key to an attempt that has already been closed.
 TEST(claim_table, a_claim_that_comes_after_its_release_is_not_granted)
 {
-    three t;
+    three_members t;
     t.finish("a", t.key, "x", claim_state::released);
     t.deliver_copies();
-    const auto late = t.granted("x");
+    const auto late = t.claim_and_copy("x");
     CHECK(t.verdict(late) == claim_verdict::known);
     CHECK(t.replies[late].entry.state == claim_state::released);
-    CHECK(t.verdict(t.granted("y")) == claim_verdict::granted);
+    CHECK(t.verdict(t.claim_and_copy("y")) == claim_verdict::granted);
 }
 
-/// A first holder was replaced without knowing it. It can't know what its successors granted, so it
-/// must not say that a key has not run; the second holder, which adopted the newer epoch, keeps it
-/// from that.
+/// A first holder was replaced and has not learnt it yet. It has no record of what its successors
+/// granted, so it must not state that a key has not run. The second holder, which adopted the newer
+/// epoch, prevents this statement.
 TEST(claim_table, a_replaced_first_holder_makes_no_statement)
 {
-    const auto full = [](three& t)
+    const auto full = [](three_members& t)
     {
         t["a"].settings.keys_per_slot = 0;
         return t.claim("a", t.key, "y");
     };
-    const auto other_body = [](three& t)
+    const auto other_body = [](three_members& t)
     {
-        t.granted("x");
+        t.claim_and_copy("x");
         return t.claim("a", t.key, "y", 7);
     };
-    const auto grant = [](three& t)
+    const auto grant = [](three_members& t)
     {
         return t.claim("a", t.key, "y");
     };
     struct row
     {
-        std::uint64_t (*ask)(three&);
+        std::uint64_t (*ask)(three_members&);
         claim_verdict otherwise;
     };
     const row rows[] = {{full, claim_verdict::full},
@@ -214,11 +214,11 @@
     {
         for (const bool replaced : {false, true})
         {
-            three t;
+            three_members t;
             const auto ticket = it.ask(t);
             if (replaced)
             {
-                t.adopt("b", next_of(t.roster, {"b", "c"}));
+                t.adopt("b", next_roster(t.roster, {"b", "c"}));
             }
             t.deliver_copies();
             const auto expected = replaced ? claim_verdict::not_ready : it.otherwise;
@@ -227,44 +227,45 @@
     }
 }
 
-/// Copies of one key can arrive in another order than they were sent. Were the late one taken, the
-/// second holder would hand on "released" for a key that runs, and its successor grant it again.
+/// Copies of one key can arrive in another order than they were sent. If the second holder applied
+/// the late copy, it would hand on "released" for a key that runs, and its successor would grant
+/// the key again.
 TEST(claim_table, copies_out_of_order)
 {
-    three t;
-    t.granted("x");
+    three_members t;
+    t.claim_and_copy("x");
     t.finish("a", t.key, "x", claim_state::released);
     const auto late = std::exchange(t.copies, {}).at(0);
-    CHECK(t.verdict(t.granted("y")) == claim_verdict::granted);
+    CHECK(t.verdict(t.claim_and_copy("y")) == claim_verdict::granted);
     t.deliver(late);
-    t.next_epoch({"b", "c"});
+    t.adopt_next({"b", "c"});
     t.deliver_pulls({"a"});
     const auto ticket = t.claim(t.first_holder(), t.key, "z");
     t.deliver_copies();
     CHECK(t.verdict(ticket) == claim_verdict::known);
 }
 
-/// The second holder of both epochs is whole in the newer one. Its acknowledgement of an older copy
-/// would let the old first holder grant beside the new one.
+/// The second holder of both epochs is complete in the newer one. Its acknowledgement of a copy of
+/// the older epoch would let the old first holder grant a key beside the new one.
 TEST(claim_table, a_copy_of_an_older_epoch_is_refused)
 {
-    three t;
+    three_members t;
     t.claim("a", t.key, "x");
     const auto late = std::exchange(t.copies, {}).at(0);
-    t.adopt("b", next_of(t.roster, abc));
+    t.adopt("b", next_roster(t.roster, abc));
     CHECK(is_active(t["b"], membership::slot_of_key(t.key)));
     CHECK_FALSE(t.deliver(late).accepted);
 }
 
 TEST(claim_table, bounds)
 {
-    three t;
+    three_members t;
     t["a"].settings.keys_per_slot = 1;
     t["a"].settings.answer_kept_bytes = 4;
-    t.granted("x");
+    t.claim_and_copy("x");
     t.finish("a", t.key, "x", claim_state::done);
     t.deliver_copies();
-    const auto too_large = t.granted("y");
+    const auto too_large = t.claim_and_copy("y");
     CHECK(t.replies[too_large].entry.state == claim_state::done);
     CHECK_FALSE(t.replies[too_large].entry.answer_kept);
 
@@ -285,13 +286,13 @@
 
 TEST(claim_table, a_key_is_remembered_for_its_time_also_when_handed_on)
 {
-    const auto time = remembered_for(claim_settings{}).count();
+    const auto time = key_lifetime(claim_settings{}).count();
     for (const int late : {-1, 0})
     {
-        three t;
-        t.granted("x");
+        three_members t;
+        t.claim_and_copy("x");
         t.now += 600000;
-        t.next_epoch({"b", "c"});
+        t.adopt_next({"b", "c"});
         t.deliver_pulls({"a"});
         t.now += static_cast<int>(time) - 600000 + late;
         const auto ticket = t.claim(t.first_holder(), t.key, "y");
@@ -303,28 +304,28 @@
 
 TEST(claim_table, a_claim_whose_executor_left_is_unknown_and_can_still_be_answered)
 {
-    three t;
-    t.granted("c");
-    t.next_epoch({"a", "b"});
+    three_members t;
+    t.claim_and_copy("c");
+    t.adopt_next({"a", "b"});
     t.deliver_pulls();
     const auto holder = t.first_holder();
-    const auto told = t.claim(holder, t.key, "y");
-    CHECK(t.replies[told].entry.state == claim_state::unknown);
+    const auto reported = t.claim(holder, t.key, "y");
+    CHECK(t.replies[reported].entry.state == claim_state::unknown);
     t.finish(holder, t.key, "c", claim_state::done);
     t.deliver_copies();
     CHECK(t.replies[t.claim(holder, t.key, "y")].entry.state == claim_state::done);
 }
 
-/// A single member has nobody to copy to: it grants alone while it is fresh, and when it crashes
-/// its successor finds no holder and waits out the quarantine.
+/// A single member has no second holder: it grants alone while it is fresh. When it crashes, its
+/// successor finds no holder and waits for the end of the quarantine.
 TEST(claim_table, a_single_member)
 {
-    tables t;
+    table_set t;
     auto roster = roster_of({"a"});
     t.adopt("a", roster);
     CHECK(t.verdict(t.claim("a", "k", "a", 0, false)) == claim_verdict::not_ready);
     CHECK(t.verdict(t.claim("a", "k", "a")) == claim_verdict::granted);
-    roster = next_of(roster, {"d"});
+    roster = next_roster(roster, {"d"});
     t.adopt("d", roster);
     t.deliver_pulls({"a"});
     CHECK(t.verdict(t.claim("d", "k", "d")) == claim_verdict::quarantined);
--- a/libs/claims/tests/executor_tests.cpp
+++ b/libs/claims/tests/executor_tests.cpp
@@ -1,7 +1,7 @@
 #include "claims/executor.hpp"
 
 #include "fixture.hpp"
-#include "history.hpp"
+#include "observations.hpp"
 
 #include "core/invariant.hpp"
 
@@ -40,15 +40,16 @@
 
 TEST_GROUP(executor){};
 
-/// "Not run" is said only where no earlier attempt under the key can have run; an attempt that
-/// could not reach the holders does not know of earlier ones, however sure it is of itself.
-TEST(executor, what_the_caller_is_told)
+/// "Not run" is reported only where no earlier attempt with the key can have run. An attempt that
+/// could not reach the holders has no record of earlier ones, although it was certainly not sent
+/// itself.
+TEST(executor, outcomes_reported_to_the_caller)
 {
     struct row
     {
         peer_status status;
         ports::claim_reply reply;
-        const char* told;
+        const char* reported;
         bool releases;
     };
     const auto known = [](claim_state state)
@@ -67,7 +68,7 @@
         {ok, reply_of(claim_verdict::full), "not-run keys-full", false},
         {ok, reply_of(claim_verdict::quarantined), "unknown quarantined", false},
         {ok, reply_of(claim_verdict::not_ready), "unknown not-claimed", true},
-        {peer_status::unreachable, {}, "unknown not-claimed", true}, // perhaps a grant was lost
+        {peer_status::unreachable, {}, "unknown not-claimed", true}, // a grant may have been lost
         {peer_status::refused, {}, "unknown not-claimed", false},
     };
     for (const auto& it : rows)
@@ -75,12 +76,13 @@
         auto a = new_attempt();
         const auto step =
             on_claim_reply(a, settings, it.status, it.reply, at_ms(2900), at_ms(2999));
-        const auto& told = std::get<outcome_report>(step);
-        const auto text = std::string{core::name_of(outcome_names, told.kind)} + " " +
-                          std::string{core::name_of(outcome_reason_names, told.reason)};
-        STRCMP_EQUAL(it.told, text.c_str());
-        CHECK_FALSE(told.attempt_sent);
-        CHECK_EQUAL_TEXT(it.releases, due_finish(a, settings, 1, at_ms(3000)).has_value(), it.told);
+        const auto& reported = std::get<outcome_report>(step);
+        const auto text = std::string{core::name_of(outcome_names, reported.kind)} + " " +
+                          std::string{core::name_of(outcome_reason_names, reported.reason)};
+        STRCMP_EQUAL(it.reported, text.c_str());
+        CHECK_FALSE(reported.attempt_sent);
+        CHECK_EQUAL_TEXT(
+            it.releases, next_finish_message(a, settings, 1, at_ms(3000)).has_value(), it.reported);
     }
 }
 
@@ -89,14 +91,15 @@
     auto a = new_attempt();
     const auto early =
         on_claim_reply(a, settings, peer_status::unreachable, {}, at_ms(0), at_ms(1000));
-    CHECK(std::holds_alternative<ask_again>(early));
+    CHECK(std::holds_alternative<retry_claim>(early));
     const auto late =
         on_claim_reply(a, settings, peer_status::unreachable, {}, at_ms(2500), at_ms(2950));
     CHECK(std::holds_alternative<outcome_report>(late));
 }
 
-/// The process is stopped between asking and reading the grant, or between the grant and the send.
-/// The holders' memory of the claim runs on meanwhile, so a grant counts from its request.
+/// The process is paused between the claim and the receipt of the grant, or between the grant and
+/// the send. The holders' retention of the claim continues meanwhile, so the age of a grant counts
+/// from its request.
 TEST(executor, sends_once_and_only_under_a_young_grant)
 {
     struct row
@@ -149,18 +152,18 @@
         const auto granted = reply_of(claim_verdict::granted);
         on_claim_reply(a, settings, peer_status::ok, granted, at_ms(0), at_ms(1));
         begin_send(a, settings, true, at_ms(2));
-        CHECK_FALSE(on_target_end(a, {}, at_ms(3)).has_value());
+        CHECK_FALSE(on_target_result(a, {}, at_ms(3)).has_value());
         begin_send(a, settings, true, at_ms(4));
         ports::http_outcome end;
         end.end = it.end;
-        const auto told = on_target_end(a, end, at_ms(5));
-        CHECK(told->kind == it.kind && told->attempt_sent);
-        const auto finish = due_finish(a, settings, 3, at_ms(6));
+        const auto reported = on_target_result(a, end, at_ms(5));
+        CHECK(reported->kind == it.kind && reported->attempt_sent);
+        const auto finish = next_finish_message(a, settings, 3, at_ms(6));
         CHECK(finish->entry.state == it.remembered && !finish->not_run && finish->epoch == 3);
         on_finish_ack(a, {false});
-        CHECK(due_finish(a, settings, 3, at_ms(7)).has_value());
+        CHECK(next_finish_message(a, settings, 3, at_ms(7)).has_value());
         on_finish_ack(a, {true});
-        CHECK_FALSE(due_finish(a, settings, 3, at_ms(8)).has_value());
+        CHECK_FALSE(next_finish_message(a, settings, 3, at_ms(8)).has_value());
     }
 }
 
@@ -171,65 +174,65 @@
         int at_ms;
         outcome kind;
     };
-    // Later than the key memory somebody else may have been granted the key.
+    // After key_memory another attempt may have been granted the key.
     const row rows[] = {{899999, outcome::not_run}, {900000, outcome::unknown}};
     for (const auto& it : rows)
     {
         auto a = new_attempt();
         const auto granted = reply_of(claim_verdict::granted);
         on_claim_reply(a, settings, peer_status::ok, granted, at_ms(0), at_ms(1));
-        const auto told = give_up(a, settings, outcome_reason::given_up, at_ms(it.at_ms));
-        CHECK(told.kind == it.kind);
-        CHECK(due_finish(a, settings, 1, at_ms(it.at_ms))->not_run);
+        const auto reported = give_up(a, settings, outcome_reason::given_up, at_ms(it.at_ms));
+        CHECK(reported.kind == it.kind);
+        CHECK(next_finish_message(a, settings, 1, at_ms(it.at_ms))->not_run);
         on_finish_ack(a, {true});
         on_claim_reply(a, settings, peer_status::ok, granted, at_ms(0), at_ms(it.at_ms));
-        CHECK(due_finish(a, settings, 1, at_ms(it.at_ms))->not_run);
+        CHECK(next_finish_message(a, settings, 1, at_ms(it.at_ms))->not_run);
     }
 }
 
-/// The program's own invariants report a second send, a send under an old grant and "not run" for
-/// what is being sent.
+/// The program's own invariants report a second send, a send under an old grant, and "not run" for
+/// an attempt that is being sent.
 TEST(executor, invariants_can_fail)
 {
-    std::vector<std::string> broken;
+    std::vector<std::string> violations;
     const auto before =
-        core::set_invariant_handler([&](const std::string& text) { broken.push_back(text); });
+        core::set_invariant_handler([&](const std::string& text) { violations.push_back(text); });
     auto a = new_attempt();
     begin_send(a, settings, true, at_ms(1));
     give_up(a, settings, outcome_reason::given_up, at_ms(2));
-    on_target_end(a, {}, at_ms(3));
+    on_target_result(a, {}, at_ms(3));
     core::set_invariant_handler(before);
-    LONGS_EQUAL(3, broken.size());
+    LONGS_EQUAL(3, violations.size());
 }
 
-TEST_GROUP(history){};
+TEST_GROUP(observations){};
 
-/// The checker of the randomised runs is fed one broken record for each promise, and its sound
-/// twin.
-TEST(history, each_broken_promise_is_reported)
+/// The checker of the randomised runs gets a record that violates each promise, and a valid record
+/// that differs from it as little as possible.
+TEST(observations, each_violated_promise_is_reported)
 {
     struct row
     {
         const char* what;
-        history seen;
-        std::size_t broken;
+        observations observed;
+        std::size_t violations;
     };
-    const sent_record run{"k", 0, "x#1", at_ms(1000), "answer1"};
-    const sent_record again{"k", 0, "y#1", at_ms(5999), "answer2"};
-    const sent_record much_later{"k", 0, "y#1", at_ms(6000), "answer2"};
-    const auto told = [](outcome kind, outcome_reason reason, int arrived, int at)
+    const sent_request run{"k", 0, "x#1", at_ms(1000), "answer1"};
+    const sent_request again{"k", 0, "y#1", at_ms(5999), "answer2"};
+    const sent_request much_later{"k", 0, "y#1", at_ms(6000), "answer2"};
+    const auto reported = [](outcome kind, outcome_reason reason, int arrived, int at)
     {
-        return told_record{"k", 0, "z#1", at_ms(arrived), at_ms(at), kind, reason, "answer1"};
+        return reported_outcome{"k", 0, "z#1", at_ms(arrived), at_ms(at), kind, reason, "answer1"};
     };
     const auto not_run = [&](outcome_reason reason, int arrived, int at)
     {
-        return told(outcome::not_run, reason, arrived, at);
+        return reported(outcome::not_run, reason, arrived, at);
     };
     auto own = not_run(outcome_reason::given_up, 500, 900);
     own.attempt = "x#1";
     auto other_body = not_run(outcome_reason::other_body, 2000, 2100);
     other_body.body = 7;
-    auto other_key = told(outcome::answered, outcome_reason::replayed, 2000, 2100);
+    auto other_key = reported(outcome::answered, outcome_reason::replayed, 2000, 2100);
     other_key.key = "other";
     const row rows[] = {
         {"sent once", {{run}, {}}, 0},
@@ -247,12 +250,13 @@
             {{run}, {not_run(outcome_reason::other_body, 2000, 2100)}},
             1},
         {"its own answer",
-            {{run}, {told(outcome::answered, outcome_reason::replayed, 2000, 2100)}},
+            {{run}, {reported(outcome::answered, outcome_reason::replayed, 2000, 2100)}},
             0},
         {"another key's answer", {{run}, {other_key}}, 1},
     };
     for (const auto& it : rows)
     {
-        LONGS_EQUAL_TEXT(it.broken, broken_promises(it.seen, core::millis{5000}).size(), it.what);
+        LONGS_EQUAL_TEXT(
+            it.violations, find_violations(it.observed, core::millis{5000}).size(), it.what);
     }
 }
--- a/libs/claims/tests/fixture.hpp
+++ b/libs/claims/tests/fixture.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A few claim tables side by side, with messages handed over by the test, one by one.
+/// Several claim tables in one process. The test delivers each message between them.
 #pragma once
 
 #include "claims/claim_table.hpp"
@@ -37,8 +37,8 @@
     return roster;
 }
 
-/// \return the roster after \p before, with other members.
-inline model::roster_document next_of(
+/// \return the roster of the epoch after \p before, with the members \p ids.
+inline model::roster_document next_roster(
     const model::roster_document& before, const std::vector<std::string>& ids)
 {
     auto next = roster_of(ids);
@@ -48,8 +48,8 @@
     return next;
 }
 
-/// Tables by member; actions wait until the test delivers them.
-struct tables
+/// Claim tables by member id. Actions wait until the test delivers them.
+struct table_set
 {
     std::map<std::string, claim_table> by_id;
     std::map<std::uint64_t, ports::claim_reply> replies; ///< by ticket
@@ -68,7 +68,7 @@
         return by_id[id];
     }
 
-    void take(const std::string& id, const claim_actions& actions)
+    void apply_actions(const std::string& id, const claim_actions& actions)
     {
         for (const auto& it : actions)
         {
@@ -93,7 +93,7 @@
 
     void adopt(const std::string& id, const model::roster_document& roster)
     {
-        take(id, on_roster((*this)[id], roster, at_ms(now)));
+        apply_actions(id, on_roster((*this)[id], roster, at_ms(now)));
     }
 
     std::uint64_t claim(const std::string& id,
@@ -103,7 +103,7 @@
         bool fresh = true)
     {
         ports::claim_request request{(*this)[id].roster.epoch, key, body, executor + "/1", 1};
-        take(id, on_claim((*this)[id], ++last_ticket, request, fresh, at_ms(now)));
+        apply_actions(id, on_claim((*this)[id], ++last_ticket, request, fresh, at_ms(now)));
         return last_ticket;
     }
 
@@ -121,11 +121,12 @@
         finish.entry.status = 200;
         finish.entry.body = "answer of " + key;
         finish.entry.answer_kept = state == ports::claim_state::done;
-        take(id, on_finish((*this)[id], ++last_ticket, finish, at_ms(now)));
+        apply_actions(id, on_finish((*this)[id], ++last_ticket, finish, at_ms(now)));
         return last_ticket;
     }
 
-    /// Delivers a copy; the acknowledgement stays with the caller of this function.
+    /// Delivers a copy.
+    /// \return the acknowledgement, which the caller of this function may deliver or drop.
     ports::ack deliver(const std::pair<std::string, send_copy>& it)
     {
         return on_copy((*this)[it.second.to.id], it.second.copy, at_ms(now));
@@ -136,7 +137,8 @@
         const ports::ack& ack,
         bool fresh = true)
     {
-        take(it.first, on_copy_result((*this)[it.first], it.second.number, status, ack, fresh));
+        apply_actions(
+            it.first, on_copy_result((*this)[it.first], it.second.number, status, ack, fresh));
     }
 
     void deliver_copies()
@@ -147,11 +149,12 @@
         }
     }
 
-    /// Delivers pulls until none are left; those to \p gone are refused, to \p silent not answered.
-    void deliver_pulls(
-        const std::vector<std::string>& gone = {}, const std::vector<std::string>& silent = {})
+    /// Delivers pulls until none are left. Pulls to \p gone are refused, pulls to \p unresponsive
+    /// are not answered.
+    void deliver_pulls(const std::vector<std::string>& gone = {},
+        const std::vector<std::string>& unresponsive = {})
     {
-        const auto is_in = [](const auto& list, const std::string& id)
+        const auto contains = [](const auto& list, const std::string& id)
         {
             return std::find(list.begin(), list.end(), id) != list.end();
         };
@@ -160,14 +163,14 @@
             const auto [from, asked] = pulls.back();
             pulls.pop_back();
             auto status = peer_status::ok;
-            status = is_in(silent, asked.to.id) ? peer_status::unreachable : status;
-            status = is_in(gone, asked.to.id) ? peer_status::refused : status;
+            status = contains(unresponsive, asked.to.id) ? peer_status::unreachable : status;
+            status = contains(gone, asked.to.id) ? peer_status::refused : status;
             ports::slot_pull_reply reply;
             if (status == peer_status::ok)
             {
                 reply = on_pull((*this)[asked.to.id], asked.pull, at_ms(now));
             }
-            take(from, on_pull_result((*this)[from], asked, status, reply, at_ms(now)));
+            apply_actions(from, on_pull_result((*this)[from], asked, status, reply, at_ms(now)));
         }
     }
 
@@ -177,7 +180,7 @@
     }
 };
 
-/// \return a key whose slot has these two holders, among \p ids.
+/// \return a key whose slot has the two holders \p first and \p second among \p ids.
 inline std::string key_held_by(
     const std::vector<std::string>& ids, const std::string& first, const std::string& second)
 {
--- a/libs/claims/tests/bag.hpp
+++ b/libs/claims/tests/network_simulator.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Virtual time, chance, and a bag of messages between hosts: late, doubled, reordered or lost.
+/// Virtual time, a random generator and a network between hosts that delays, duplicates, reorders
+/// and loses messages.
 #pragma once
 
 #include "core/time.hpp"
@@ -19,28 +20,28 @@
 using core::millis;
 using core::mono_time;
 
-/// Whether a process gets anything done.
-struct life
+/// Whether a process runs, and whether it is paused.
+struct process_condition
 {
     bool alive = true;
     mono_time paused_until{};
 };
 
-class bag
+class network_simulator
 {
 public:
-    explicit bag(std::uint64_t seed) : random_{seed}
+    explicit network_simulator(std::uint64_t seed) : random_{seed}
     {
     }
 
-    int draw(int below)
+    int random_below(int below)
     {
         return static_cast<int>(random_() % static_cast<std::uint64_t>(std::max(below, 1)));
     }
 
     bool chance(int percent)
     {
-        return draw(100) < percent;
+        return random_below(100) < percent;
     }
 
     mono_time now() const
@@ -48,13 +49,13 @@
         return now_;
     }
 
-    /// \param on the process that runs it; null: something outside of all processes.
-    void at(millis delay, std::function<void()> run, const life* on = nullptr)
+    /// \param on the process that runs the event; null: the event happens outside of all processes.
+    void schedule(millis delay, std::function<void()> run, const process_condition* on = nullptr)
     {
         events_.push({now_ + delay, ++order_, on, std::move(run)});
     }
 
-    /// \return the number of events that processes handled until \p end.
+    /// \return the number of events that processes handled before \p end.
     std::uint64_t run_until(mono_time end)
     {
         std::uint64_t handled = 0;
@@ -65,8 +66,8 @@
             now_ = next.at;
             if (next.on != nullptr && next.on->paused_until > now_)
             {
-                // On waking, what piled up comes in any order.
-                next.at = next.on->paused_until + millis{draw(4)};
+                // After a pause, the events that have accumulated are handled in any order.
+                next.at = next.on->paused_until + millis{random_below(4)};
                 events_.push(std::move(next));
             }
             else if (next.on == nullptr || next.on->alive)
@@ -80,34 +81,35 @@
 
     millis delay()
     {
-        return millis{chance(bad_until > now_ ? 30 : 3) ? draw(1500) : 1 + draw(5)};
+        return millis{
+            chance(bad_network_until > now_ ? 30 : 3) ? random_below(1500) : 1 + random_below(5)};
     }
 
     bool is_lost(const std::string& from, const std::string& to)
     {
-        const bool halves = split_until > now_ && side_of(from) != side_of(to);
-        return halves || is_cut(peers_cut, from) || is_cut(peers_cut, to) ||
-               chance(bad_until > now_ ? 15 : 1);
+        const bool across_split = split_until > now_ && side_of(from) != side_of(to);
+        return across_split || is_cut(peers_cut, from) || is_cut(peers_cut, to) ||
+               chance(bad_network_until > now_ ? 15 : 1);
     }
 
     bool is_cut_from_store(const std::string& host) const
     {
-        const bool half = split_until > now_ && split_store && side_of(host) == 0;
-        return half || is_cut(store_cut, host);
+        const bool on_split_side = split_until > now_ && split_store && side_of(host) == 0;
+        return on_split_side || is_cut(store_cut, host);
     }
 
-    std::map<std::string, mono_time> peers_cut; ///< by host, until when
+    std::map<std::string, mono_time> peers_cut; ///< by host, end of the cut
     std::map<std::string, mono_time> store_cut;
     mono_time split_until{};
-    bool split_store = false; ///< one half has lost the store, too
-    mono_time bad_until{};
+    bool split_store = false; ///< the hosts on one side have lost the store, too
+    mono_time bad_network_until{};
 
 private:
     struct event
     {
         mono_time at{};
         std::uint64_t order = 0;
-        const life* on = nullptr;
+        const process_condition* on = nullptr;
         std::function<void()> run;
         bool operator<(const event& other) const
         {
--- a/libs/claims/tests/random_runs_tests.cpp
+++ b/libs/claims/tests/random_runs_tests.cpp
@@ -1,7 +1,7 @@
 /// \file
-/// Long randomised runs. CAMPHORHITCH_SEED takes another seed than the fixed one,
-/// CAMPHORHITCH_STEPS another length (steps are events that a member handled).
-#include "world.hpp"
+/// Long randomised runs. CAMPHORHITCH_SEED replaces the fixed seed, CAMPHORHITCH_STEPS the length
+/// of the run (a step is an event that a member handled).
+#include "simulation.hpp"
 
 #include "core/invariant.hpp"
 
@@ -22,13 +22,14 @@
 {
 
 constexpr int run_length_ms = 60000;
-/// Changes of the roster while all are well are the hardest on the claims, so they come more often.
-constexpr int more_reshuffles = 6;
-/// Longer than a quarantine, so that who was cut off meets what was granted after it.
-constexpr int longest_fault_ms = 25000;
-constexpr int most_faults = 30;
-constexpr std::uint64_t steps_by_default = 1000000;
-constexpr std::uint64_t least_steps_of_run = 5000;
+/// Changes of the roster while all members are healthy stress the claims most, so their weight is
+/// higher.
+constexpr int extra_reshuffle_weight = 6;
+/// Longer than a quarantine, so that a member that was cut off meets keys granted after it.
+constexpr int max_fault_ms = 25000;
+constexpr int max_faults = 30;
+constexpr std::uint64_t default_steps = 1000000;
+constexpr std::uint64_t min_steps_per_run = 5000;
 constexpr std::uint64_t fixed_seed = 20261202;
 
 rc::Gen<int> below(int limit)
@@ -43,14 +44,14 @@
         [last](int kind, int at, int host, int length) {
             return fault{static_cast<fault_kind>(std::min(kind, last)), at, host, length};
         },
-        below(last + more_reshuffles),
+        below(last + extra_reshuffle_weight),
         below(run_length_ms),
         below(9),
-        below(longest_fault_ms));
+        below(max_fault_ms));
 }
 
-/// Half of the runs have faults of one kind only: some breaks need several of a kind in a row, and
-/// a mix seldom brings them.
+/// Half of the runs have faults of one kind only: some failures need several faults of a kind in a
+/// row, which a mix seldom contains.
 rc::Gen<std::vector<fault>> any_faults()
 {
     const auto kinds = static_cast<int>(fault_kind::reshuffle) + 1;
@@ -63,7 +64,7 @@
             }
             return faults;
         },
-        rc::gen::resize(most_faults, rc::gen::container<std::vector<fault>>(any_fault())),
+        rc::gen::resize(max_faults, rc::gen::container<std::vector<fault>>(any_fault())),
         below(2 * kinds));
 }
 
@@ -73,7 +74,7 @@
     return text == nullptr ? otherwise : std::strtoull(text, nullptr, 10);
 }
 
-void add(world_counts& sum, const world_counts& more)
+void add(simulation_counts& sum, const simulation_counts& more)
 {
     sum.steps += more.steps;
     sum.epochs += more.epochs;
@@ -84,7 +85,7 @@
     }
 }
 
-void print(const world_counts& sum)
+void print(const simulation_counts& sum)
 {
     std::printf("event=random_runs steps=%llu epochs=%llu sent=%llu",
         static_cast<unsigned long long>(sum.steps),
@@ -99,7 +100,8 @@
     std::printf("\n");
 }
 
-/// Makes a broken invariant inside the program a failure of the property, so that it is shrunk.
+/// Turns a violated invariant inside the program into a failure of the property, so that rapidcheck
+/// shrinks the run.
 class throwing_invariants
 {
 public:
@@ -134,19 +136,19 @@
 
 TEST_GROUP(random_runs){};
 
-/// What a caller would see: a key charged twice, "not run" for what ran, or another key's answer.
-/// Each run lets 1 to 9 members serve repeated and simultaneous requests while hosts pause, die,
-/// leave and are cut off, rosters follow one another, the store is down or loses answers, and
-/// messages come late, twice, in another order or never.
+/// Guards against a key that runs twice, "not run" for a request that ran, and the answer of
+/// another key. In each run 1 to 9 members serve repeated and simultaneous requests while hosts
+/// pause, die, leave and are cut off, rosters change, the store is down or loses answers, and
+/// messages are delayed, duplicated, reordered or lost.
 TEST(random_runs, promises_hold_under_every_mix_of_faults)
 {
-    const auto wanted = number_from("CAMPHORHITCH_STEPS", steps_by_default);
+    const auto wanted = number_from("CAMPHORHITCH_STEPS", default_steps);
     const auto seed = number_from("CAMPHORHITCH_SEED", fixed_seed);
     const auto parameters = "seed=" + std::to_string(seed) +
-                            " max_success=" + std::to_string(wanted / least_steps_of_run + 1);
+                            " max_success=" + std::to_string(wanted / min_steps_per_run + 1);
     setenv("RC_PARAMS", parameters.c_str(), 1);
     const throwing_invariants guard;
-    world_counts sum;
+    simulation_counts sum;
     const bool held = rc::check(
         [&]
         {
@@ -154,14 +156,14 @@
             {
                 return;
             }
-            world_options options;
+            simulation_options options;
             options.run_ms = run_length_ms;
             options.members = 1 + *below(9);
             options.seed = *rc::gen::resize(rc::kNominalSize, rc::gen::arbitrary<std::uint64_t>());
             options.faults = *any_faults();
-            const auto result = run_world(options);
+            const auto result = run_simulation(options);
             add(sum, result.counts);
-            for (const auto& it : broken_promises(result.seen, world_key_memory))
+            for (const auto& it : find_violations(result.observed, simulation_key_memory))
             {
                 RC_FAIL(it);
             }
@@ -171,10 +173,9 @@
     print(sum);
     for (const auto& it : outcome_reason_names)
     {
-        // A run that never got to one of the outcomes would show nothing about it.
+        // A run that never reached one of the outcomes would prove nothing about that outcome.
         const bool reached = it.value == outcome_reason::answer_not_kept ||
-                             wanted < steps_by_default ||
-                             sum.reasons[static_cast<int>(it.value)] > 0;
+                             wanted < default_steps || sum.reasons[static_cast<int>(it.value)] > 0;
         CHECK_TEXT(reached, std::string{it.name}.c_str());
     }
 }
--- a/libs/claims/tests/world_parts.hpp
+++ b/libs/claims/tests/simulation_internal.hpp
@@ -1,12 +1,12 @@
 /// \file
-/// The inside of a world: its processes, its store and what happens between them.
+/// The implementation of the simulation: its processes, its store and the calls between them.
 #pragma once
 
-#include "bag.hpp"
 #include "claims/claim_table.hpp"
 #include "membership/freshness.hpp"
 #include "membership/roster_logic.hpp"
-#include "world.hpp"
+#include "network_simulator.hpp"
+#include "simulation.hpp"
 
 #include <map>
 #include <memory>
@@ -23,7 +23,7 @@
 inline constexpr millis call_timeout{800};
 inline constexpr millis tick_interval{100};
 inline constexpr millis lease_ttl{3000};
-/// A new key comes into use this often; most calls are for one of the newest eight.
+/// Interval at which a new key comes into use; most calls use one of the eight newest keys.
 inline constexpr millis key_interval{200};
 
 struct running_attempt
@@ -35,11 +35,11 @@
 
 struct process
 {
-    member_record who;
-    life alive;
+    member_record self;
+    process_condition condition;
     int ticks = 0;
     int failed_reads = 0;
-    std::optional<mono_time> leave_by; ///< leaving
+    std::optional<mono_time> leave_deadline; ///< set while the process leaves
     membership::freshness_state freshness;
     membership::roster_state roster;
     claim_table claims;
@@ -52,7 +52,7 @@
 struct beat_message
 {
     ports::heartbeat beat;
-    std::optional<roster_document> roster; ///< for a peer that is behind
+    std::optional<roster_document> roster; ///< set for a peer whose epoch is older
 };
 
 struct store_view
@@ -69,7 +69,7 @@
     ports::revision revision = 0;
     std::map<std::string, std::pair<member_record, mono_time>> leases;
     mono_time down_until{};
-    mono_time forgets_until{};
+    mono_time loses_answers_until{};
 
     store_view view(mono_time now)
     {
@@ -92,14 +92,14 @@
     }
 };
 
-class world
+class simulation
 {
 public:
-    explicit world(const world_options& options);
-    world_result run();
+    explicit simulation(const simulation_options& options);
+    simulation_result run();
 
 private:
-    /// A call to whichever process listens at the address of \p to.
+    /// A call to the process that listens at the address of \p to.
     template <class Reply, class Serve, class Done>
     void call(process& from, const member_record& to, Serve serve, Done done)
     {
@@ -111,18 +111,19 @@
                 done(status, reply);
             }
         };
-        if (to.id == from.who.id)
+        if (to.id == from.self.id)
         {
             serve(from, [end](const Reply& reply) { end(peer_status::ok, reply); });
             return;
         }
-        bag_.at(
-            call_timeout, [end] { end(peer_status::unreachable, Reply{}); }, &from.alive);
-        for (int copies = bag_.chance(3) ? 2 : 1; copies > 0; --copies)
+        network_.schedule(
+            call_timeout, [end] { end(peer_status::unreachable, Reply{}); }, &from.condition);
+        for (int copies = network_.chance(3) ? 2 : 1; copies > 0; --copies)
         {
-            if (!bag_.is_lost(from.who.id, to.id))
+            if (!network_.is_lost(from.self.id, to.id))
             {
-                bag_.at(bag_.delay(), [=, this, &from] { arrive<Reply>(from, to, serve, end); });
+                network_.schedule(
+                    network_.delay(), [=, this, &from] { arrive<Reply>(from, to, serve, end); });
             }
         }
     }
@@ -133,78 +134,79 @@
         const auto found = listening_.find(to.id);
         if (found == listening_.end())
         {
-            if (!gone_hosts_.contains(to.id))
+            if (!removed_hosts_.contains(to.id))
             {
-                bag_.at(
-                    bag_.delay(), [end] { end(peer_status::refused, {}); }, &from.alive);
+                network_.schedule(
+                    network_.delay(), [end] { end(peer_status::refused, {}); }, &from.condition);
             }
             return;
         }
         const auto reply = [this, to, end, &from](const Reply& it)
         {
-            if (!bag_.is_lost(to.id, from.who.id))
+            if (!network_.is_lost(to.id, from.self.id))
             {
-                bag_.at(
-                    bag_.delay(), [end, it] { end(peer_status::ok, it); }, &from.alive);
+                network_.schedule(
+                    network_.delay(), [end, it] { end(peer_status::ok, it); }, &from.condition);
             }
         };
         auto* callee = found->second;
-        bag_.at(
-            millis{0}, [=] { serve(*callee, reply); }, &callee->alive);
+        network_.schedule(
+            millis{0}, [=] { serve(*callee, reply); }, &callee->condition);
     }
 
     void start(const std::string& id);
     void start_new_host(int within_ms);
     void kill(process& p);
-    process* pick(int n);
-    void cause(const fault& it);
-    /// Another roster while all are well: without somebody, or with somebody more.
+    process* pick_process(int n);
+    void inject(const fault& it);
+    /// Writes another roster while all members are healthy: one member is removed or added.
     void reshuffle();
-    /// \param write runs at the store, if the call gets there; then the process is told what
-    /// stands.
-    void at_store(process& p, const std::function<void(store&)>& write);
+    /// \param write runs at the store if the call arrives there. The process then gets the state of
+    ///   the store.
+    void call_store(process& p, const std::function<void(store&)>& write);
     void on_store_answer(
         process& p, const store_view& seen, mono_time started, std::uint64_t ticket);
     void read_store(process& p);
-    void act(process& p, const membership::roster_action& action);
-    beat_message beat_of(const process& p, ports::epoch_number known);
-    void hear(process& p, const beat_message& message);
+    void execute(process& p, const membership::roster_action& action);
+    beat_message make_beat(const process& p, ports::epoch_number known_epoch);
+    void apply_beat(process& p, const beat_message& message);
     void send_beat(process& p, const member_record& peer);
     void send_beats(process& p);
     void adopt(process& p, const roster_document& roster);
     void tick(process& p);
     bool is_fresh(const process& p) const;
-    void act(process& p, const claim_actions& actions);
-    void act_one(process& p, const reply_claim& it);
-    void act_one(process& p, const reply_finish& it);
-    void act_one(process& p, const send_copy& it);
-    void act_one(process& p, const send_pull& it);
+    void execute(process& p, const claim_actions& actions);
+    void execute_action(process& p, const reply_claim& it);
+    void execute_action(process& p, const reply_finish& it);
+    void execute_action(process& p, const send_copy& it);
+    void execute_action(process& p, const send_pull& it);
     void submit(process& p, const std::string& key, int body);
     static const member_record* first_holder(const process& p, const std::string& key);
-    void ask(process& p, std::uint64_t number);
-    void follow(process& p, std::uint64_t number, const claim_step& next);
+    void send_claim(process& p, std::uint64_t number);
+    void handle_claim_step(process& p, std::uint64_t number, const claim_step& next);
     void send(process& p, std::uint64_t number);
     static std::string name_of(const attempt& a);
-    void tell(process& p, std::uint64_t number, const outcome_report& told);
-    void tell_end(process& p, std::uint64_t number);
-    void call_in(const std::string& key, int body);
-    /// Some key, sometimes through several hosts at the same instant, sometimes with another body.
-    void callers();
-
-    world_options options_;
-    bag bag_;
+    void report_outcome(process& p, std::uint64_t number, const outcome_report& reported);
+    void send_finish(process& p, std::uint64_t number);
+    void send_caller_request(const std::string& key, int body);
+    /// Calls for a random key, sometimes through several hosts at the same instant, sometimes with
+    /// another body.
+    void generate_caller_requests();
+
+    simulation_options options_;
+    network_simulator network_;
     claim_settings settings_;
     executor_settings executor_;
     membership::freshness_settings freshness_;
-    int beat_every_ = 0; ///< ticks
-    int read_every_ = 0; ///< ticks
+    int beat_interval_ticks_ = 0;
+    int read_interval_ticks_ = 0;
     std::vector<std::unique_ptr<process>> processes_;
     std::map<std::string, process*> listening_;
-    std::set<std::string> gone_hosts_;
+    std::set<std::string> removed_hosts_;
     store store_;
-    int hosts_ = 0;
-    std::uint64_t answers_ = 0;
-    world_result result_;
+    int last_host_number_ = 0;
+    std::uint64_t last_answer_number_ = 0;
+    simulation_result result_;
 };
 
 } // namespace camphorhitch::claims::testing
--- a/libs/claims/tests/takeover_tests.cpp
+++ b/libs/claims/tests/takeover_tests.cpp
@@ -11,30 +11,31 @@
 namespace
 {
 
-using names = std::vector<std::string>;
+using id_list = std::vector<std::string>;
 
 /// One change of the roster.
-struct change
+struct roster_change
 {
-    names members;
-    names adopting; ///< who adopts it and is reached
-    names gone;     ///< refuse connections; all others are silent
+    id_list members;
+    id_list adopting; ///< members that adopt it and can be reached
+    id_list gone;     ///< processes that refuse connections; all others do not answer
 };
 
-/// A key was granted in epoch 1 by a and b; then come changes. After each the first holder of the
-/// roster is asked for the same key by another executor; the last verdict counts.
+/// Members a and b grant a key in epoch 1, then the roster changes. After each change another
+/// executor claims the same key at the first holder of the new roster. The verdict of the last
+/// claim is compared.
 struct row
 {
     const char* what;
-    std::vector<change> changes;
+    std::vector<roster_change> changes;
     claim_verdict verdict;
 };
 
-claim_verdict play(const row& it, const std::string& restarted = {})
+claim_verdict run_scenario(const row& it, const std::string& restarted = {})
 {
-    const names first{"a", "b", "c", "d"};
+    const id_list first{"a", "b", "c", "d"};
     const auto key = key_held_by(first, "a", "b");
-    tables t;
+    table_set t;
     auto roster = roster_of(first);
     for (const auto& id : first)
     {
@@ -51,21 +52,21 @@
     std::uint64_t last = 0;
     for (const auto& next : it.changes)
     {
-        roster = next_of(roster, next.members);
+        roster = next_roster(roster, next.members);
         for (const auto& id : next.adopting)
         {
             t.adopt(id, roster);
         }
         t.now += 10;
-        names silent;
+        id_list unresponsive;
         for (const auto& [id, table] : t.by_id)
         {
             if (table.roster.epoch < roster.epoch)
             {
-                silent.push_back(id);
+                unresponsive.push_back(id);
             }
         }
-        t.deliver_pulls(next.gone, silent);
+        t.deliver_pulls(next.gone, unresponsive);
         const auto slot = membership::slot_of_key(key);
         const auto holder = membership::claim_holders(roster.members, slot).first->id;
         last = t.claim(holder, key, "y");
@@ -78,28 +79,29 @@
 
 TEST_GROUP(takeover){};
 
-/// Who takes a slot over must know every key that was granted before, or say that it does not. Each
-/// row loses holders in another way and order; in none may the key be granted again.
-TEST(takeover, walk_back_over_former_rosters)
+/// A member that takes over a slot must have a record of every key that was granted before, or
+/// state that it has none. Each row loses holders in another way and order; in none may the key be
+/// granted again.
+TEST(takeover, recovery_from_former_rosters)
 {
-    const names first{"a", "b", "c", "d"};
-    const names last{"c", "d"};
+    const id_list first{"a", "b", "c", "d"};
+    const id_list last{"c", "d"};
     const row rows[] = {
         {"both holders are there", {{last, first, {}}}, claim_verdict::known},
-        {"first is gone", {{last, {"b", "c", "d"}, {"a"}}}, claim_verdict::known},
-        {"second is gone", {{last, {"a", "c", "d"}, {"b"}}}, claim_verdict::known},
-        {"both are gone", {{last, last, {"a", "b"}}}, claim_verdict::quarantined},
-        {"both are silent", {{last, last, {}}}, claim_verdict::not_ready},
-        {"an epoch whose holders got nothing comes between",
+        {"the first holder is lost", {{last, {"b", "c", "d"}, {"a"}}}, claim_verdict::known},
+        {"the second holder is lost", {{last, {"a", "c", "d"}, {"b"}}}, claim_verdict::known},
+        {"both holders are lost", {{last, last, {"a", "b"}}}, claim_verdict::quarantined},
+        {"both holders do not answer", {{last, last, {}}}, claim_verdict::not_ready},
+        {"an epoch in between whose holders received no state",
             {{last, last, {}}, {{"e", "f"}, {"a", "b", "c", "d", "e", "f"}, {}}},
             claim_verdict::known},
-        {"its holders are gone before they can say that they granted nothing",
+        {"the holders of that epoch are lost before they can report that they granted nothing",
             {{last, last, {}}, {{"e", "f"}, {"a", "b", "e", "f"}, {"c", "d"}}},
             claim_verdict::quarantined},
-        {"the first holders come back, one was away",
+        {"the first holders hold the slot again, one did not adopt the epoch in between",
             {{last, first, {}}, {{"a", "b"}, {"a", "b", "c"}, {}}},
             claim_verdict::known},
-        {"the key goes from holder to holder",
+        {"the key is handed on from holder to holder",
             {{{"b", "c"}, {"b", "c"}, {"a"}},
                 {last, last, {"a", "b"}},
                 {{"d", "e"}, {"d", "e"}, {"a", "b", "c"}}},
@@ -107,28 +109,30 @@
     };
     for (const auto& it : rows)
     {
-        CHECK_TEXT(it.verdict == play(it), it.what);
+        CHECK_TEXT(it.verdict == run_scenario(it), it.what);
     }
 }
 
-/// A holder is killed and a new process answers at its address within a second. It would truthfully
-/// say that it granted nothing; taken for its predecessor's word, that would free every key.
-TEST(takeover, a_new_process_does_not_speak_for_its_predecessor)
+/// A holder is killed and a new process answers at its address within a second. The new process
+/// truthfully reports that it granted nothing. If that counted as the report of its predecessor,
+/// every key would be free again.
+TEST(takeover, a_new_process_does_not_report_for_its_predecessor)
 {
     const row lost{
-        "b restarted, a gone", {{{"c", "d"}, {"b", "c", "d"}, {"a"}}}, claim_verdict::quarantined};
-    CHECK(lost.verdict == play(lost, "b"));
+        "b restarted, a lost", {{{"c", "d"}, {"b", "c", "d"}, {"a"}}}, claim_verdict::quarantined};
+    CHECK(lost.verdict == run_scenario(lost, "b"));
 }
 
-/// The second holder waits for its slot's state while the first has it. Had it acknowledged a copy,
-/// it would later say "I was not whole, so nothing was granted" about an epoch in which a key was.
+/// The second holder waits for its slot's state while the first holder has it. If the second holder
+/// acknowledged a copy, it would later report that it was not complete and that nothing was
+/// granted, for an epoch in which a key was granted.
 TEST(takeover, a_waiting_second_holder_acknowledges_nothing)
 {
-    const names four{"a", "b", "c", "d"};
-    const names three{"a", "c", "d"};
+    const id_list four{"a", "b", "c", "d"};
+    const id_list three{"a", "c", "d"};
     const auto roster = roster_of(four);
-    const auto next = next_of(roster, three);
-    tables t;
+    const auto next = next_roster(roster, three);
+    table_set t;
     std::string key;
     for (int n = 0; key.empty(); ++n)
     {
@@ -154,15 +158,16 @@
     CHECK(t.verdict(again) == claim_verdict::granted);
 }
 
-/// A new member becomes first holder while the old pair has not heard of it. What it pulls before
-/// they adopted its epoch would be out of date at once, since they go on granting.
+/// A new member becomes first holder before the old pair has learnt of the new roster. State that
+/// it pulls before the old holders adopt its epoch would be out of date at once, because they go on
+/// granting.
 TEST(takeover, holders_that_lag_behind)
 {
-    const names ab{"a", "b"};
+    const id_list ab{"a", "b"};
     const auto key = key_held_by(ab, "a", "b");
-    tables t;
+    table_set t;
     const auto roster = roster_of(ab);
-    const auto next = next_of(roster, {"c", "d"});
+    const auto next = next_roster(roster, {"c", "d"});
     t.adopt("a", roster);
     t.adopt("b", roster);
     t.adopt("c", next);
@@ -180,7 +185,7 @@
     t.now += 1000;
     for (const auto* it : {"c", "d"})
     {
-        t.take(it, on_tick(t[it], at_ms(t.now)));
+        t.apply_actions(it, on_tick(t[it], at_ms(t.now)));
     }
     t.deliver_pulls();
     const auto slot = membership::slot_of_key(key);
@@ -191,15 +196,15 @@
 }
 
 /// An attempt whose claim never arrived is released at a new holder that still waits for the slot's
-/// state. Remembered there, the release would look newer than another attempt's claim that comes
-/// with the state.
+/// state. If the release were stored there, it would look newer than another attempt's claim that
+/// arrives with the state.
 TEST(takeover, a_release_waits_for_the_slots_state)
 {
-    const names ab{"a", "b"};
+    const id_list ab{"a", "b"};
     const auto key = key_held_by(ab, "a", "b");
-    tables t;
+    table_set t;
     const auto roster = roster_of(ab);
-    const auto next = next_of(roster, {"c", "d"});
+    const auto next = next_roster(roster, {"c", "d"});
     t.adopt("a", roster);
     t.adopt("b", roster);
     t.claim("a", key, "y");
@@ -219,24 +224,24 @@
     CHECK(t.verdict(ticket) == claim_verdict::known);
 }
 
-/// Nobody can say what the lost holders granted. Until the last key they may have granted is
-/// forgotten, an unseen key is neither run nor called "not run"; then the slot serves again. A
-/// further change of the roster does not start the wait anew.
+/// The grants of the lost holders are unknown. Until the last key that they may have granted has
+/// expired, a key without a record is neither run nor reported as "not run". After that the slot
+/// serves again. A further change of the roster does not restart the wait.
 TEST(takeover, quarantine_ends_and_is_handed_on)
 {
     const claim_settings settings;
-    const auto wait = static_cast<int>(quarantine_of(settings).count());
-    tables t;
+    const auto wait = static_cast<int>(quarantine_time(settings).count());
+    table_set t;
     auto roster = roster_of({"a"});
     t.adopt("a", roster);
     t.claim("a", "k", "x");
-    roster = next_of(roster, {"c", "d"});
+    roster = next_roster(roster, {"c", "d"});
     t.adopt("c", roster);
     t.adopt("d", roster);
     const int begin = t.now;
     t.deliver_pulls({"a"});
     t.now = begin + wait / 2;
-    roster = next_of(roster, {"e", "f"});
+    roster = next_roster(roster, {"e", "f"});
     for (const auto* it : {"c", "d", "e", "f"})
     {
         t.adopt(it, roster);
@@ -249,7 +254,7 @@
         t.now = begin + wait + late;
         for (const auto* it : {"e", "f"})
         {
-            t.take(it, on_tick(t[it], at_ms(t.now)));
+            t.apply_actions(it, on_tick(t[it], at_ms(t.now)));
         }
         t.deliver_pulls({"a"});
         const auto ticket = t.claim(holder, "k", "y");
@@ -259,21 +264,22 @@
     }
 }
 
-/// Both holders are cut off together with a majority. They are replaced, go on granting as long as
-/// they may call themselves fresh, and one executor uses its grant at the last moment. Nobody can
-/// be asked; the successors have to wait until that key, too, has been remembered for its time.
+/// Both holders are cut off together with a majority and are replaced. They go on granting as long
+/// as they may consider themselves fresh, and one executor uses its grant at the last moment. No
+/// former holder can be asked, so the successors have to wait until that key, too, has been kept
+/// for its full time.
 TEST(takeover, a_quarantine_outlasts_what_silent_holders_may_still_grant)
 {
     const claim_settings settings;
     const auto last_fresh = static_cast<int>(settings.stop_bound.count()) - 1;
     const auto last_send = last_fresh + static_cast<int>(settings.permit_ttl.count()) - 1;
     const auto remembered = last_send + static_cast<int>(settings.key_memory.count());
-    tables t;
+    table_set t;
     t.now = 0;
     const auto roster = roster_of({"a", "b"});
     t.adopt("a", roster);
     t.adopt("b", roster);
-    const auto next = next_of(roster, {"c", "d"});
+    const auto next = next_roster(roster, {"c", "d"});
     t.adopt("c", next);
     t.adopt("d", next);
     t.deliver_pulls({}, {"a", "b"});
@@ -285,7 +291,7 @@
     t.now = remembered - 1;
     for (const auto* it : {"c", "d"})
     {
-        t.take(it, on_tick(t[it], at_ms(t.now)));
+        t.apply_actions(it, on_tick(t[it], at_ms(t.now)));
     }
     t.deliver_pulls({}, {"a", "b"});
     const auto slot = membership::slot_of_key(key);
@@ -297,13 +303,13 @@
 
 TEST(takeover, a_leaving_member_waits_until_its_slots_were_pulled)
 {
-    tables t;
+    table_set t;
     auto roster = roster_of({"a", "b", "c"});
     for (const auto* it : {"a", "b", "c"})
     {
         t.adopt(it, roster);
     }
-    roster = next_of(roster, {"b", "c"});
+    roster = next_roster(roster, {"b", "c"});
     for (const auto* it : {"a", "b", "c"})
     {
         t.adopt(it, roster);
@@ -311,5 +317,5 @@
     CHECK_FALSE(is_handed_over(t["a"]));
     t.deliver_pulls();
     CHECK(is_handed_over(t["a"]));
-    LONGS_EQUAL(0, waiting_slots(t["b"]));
+    LONGS_EQUAL(0, waiting_slot_count(t["b"]));
 }
--- a/libs/dispatch/src/flow_claim.cpp
+++ b/libs/dispatch/src/flow_claim.cpp
@@ -49,12 +49,13 @@
     {
         return;
     }
-    auto finish = claims::due_finish(*flow.claim, sender.settings.claims, sender.epoch, now);
+    auto finish =
+        claims::next_finish_message(*flow.claim, sender.settings.claims, sender.epoch, now);
     if (finish)
     {
         trim_answer(*finish, sender.settings.answer_kept_bytes);
         flow.phase = flow_phase::telling;
-        flow.pause_until = now + sender.settings.claims.finish_delay;
+        flow.pause_until = now + sender.settings.claims.finish_retry_delay;
         out.emplace_back(finish_claim{std::move(*finish)});
     }
 }
@@ -78,7 +79,7 @@
         tell_end(flow, sender, now, out);
         return out;
     }
-    if (const auto* again = std::get_if<claims::ask_again>(&step))
+    if (const auto* again = std::get_if<claims::retry_claim>(&step))
     {
         pause_in(flow, flow_phase::claim_pause, again->delay, now);
     }
@@ -104,7 +105,7 @@
     {
         claims::on_finish_ack(*flow.claim, ack);
         const bool told =
-            !claims::due_finish(*flow.claim, sender.settings.claims, sender.epoch, now);
+            !claims::next_finish_message(*flow.claim, sender.settings.claims, sender.epoch, now);
         flow.phase = told ? flow_phase::ended : flow_phase::telling;
     }
     return {};
--- a/libs/dispatch/src/flow_send.cpp
+++ b/libs/dispatch/src/flow_send.cpp
@@ -224,7 +224,7 @@
     end_send(flow, sender, outcome_for_owner(outcome), outcome.elapsed, now, out);
     if (flow.claim)
     {
-        claims::on_target_end(*flow.claim, outcome, now);
+        claims::on_target_result(*flow.claim, outcome, now);
     }
     switch (outcome.end)
     {
--- a/programs/camphorhitchd/src/operator_service.cpp
+++ b/programs/camphorhitchd/src/operator_service.cpp
@@ -111,8 +111,8 @@
         {"config_version", parts_.config.current().version},
         {"open_requests", parts_.requests.open_requests()},
         {"pools_owned", parts_.permits.dispatchers().size()},
-        {"keys_remembered", claims::remembered_keys(claims)},
-        {"slots_waiting", claims::waiting_slots(claims)}});
+        {"keys_remembered", claims::stored_key_count(claims)},
+        {"slots_waiting", claims::waiting_slot_count(claims)}});
 }
 
 void operator_service::answer_results(
--- a/programs/camphorhitchd/src/services.cpp
+++ b/programs/camphorhitchd/src/services.cpp
@@ -21,10 +21,10 @@
     out.answer_kept_bytes = static_cast<std::size_t>(c.answer_kept_bytes);
     for (const auto& pool : c.pools)
     {
-        out.longest_request = std::max(out.longest_request, pool.long_running.longest);
+        out.max_request_time = std::max(out.max_request_time, pool.long_running.longest);
     }
     // A grant must outlast the wait for a permit, or requests that wait long would never be sent.
-    out.permit_ttl = out.longest_request + permit_slack;
+    out.permit_ttl = out.max_request_time + permit_slack;
     return out;
 }
 
