--- a/bench/job_placement/src/class_times.cpp
+++ b/bench/job_placement/src/class_times.cpp
@@ -73,7 +73,7 @@
     workload load{how.seed, {error_model::none, 120, 1800, 12, false}};
     w.platform.behaviour = [&](const ports::task_order& it)
     {
-        const std::string job = jobs::job_of_task(it.task);
+        const std::string job = jobs::job_id_of_task(it.task);
         return is_short(job)
                    ? job_fakes::real_task{{it.processors, it.memory_gb, 0}, it.run_time, {}, false}
                    : load.real_of(job);
--- a/bench/job_placement/src/first_fit.cpp
+++ b/bench/job_placement/src/first_fit.cpp
@@ -112,8 +112,8 @@
     {
         for (const auto& host : w.hosts.hosts)
         {
-            const jobs::amounts room{host.processors, host.memory_gb, host.accelerators};
-            jobs::amounts& used = used_[host.id];
+            const jobs::resources room{host.processors, host.memory_gb, host.accelerators};
+            jobs::resources& used = used_[host.id];
             if (!jobs::fits(used + it.job.declared, room))
             {
                 continue;
@@ -136,8 +136,8 @@
 
     bool skips_;
     std::deque<queued> queue_;
-    std::map<std::string, queued> running_;     ///< by task
-    std::map<std::string, jobs::amounts> used_; ///< by host, as declared
+    std::map<std::string, queued> running_;       ///< by task
+    std::map<std::string, jobs::resources> used_; ///< by host, as declared
     int given_up_ = 0;
 };
 
--- a/bench/job_placement/src/round_times.cpp
+++ b/bench/job_placement/src/round_times.cpp
@@ -30,10 +30,10 @@
 jobs::settings roomy_rules()
 {
     jobs::settings rules;
-    rules.most_jobs = 100000;
-    rules.most_bytes = std::size_t{1} << 30;
-    rules.keep_over = core::millis{60000};
-    rules.keep_over_least = core::millis{60000};
+    rules.max_jobs = 100000;
+    rules.max_document_bytes = std::size_t{1} << 30;
+    rules.terminal_job_retention = core::millis{60000};
+    rules.min_terminal_job_retention = core::millis{60000};
     return rules;
 }
 
@@ -93,10 +93,10 @@
     workload load{seed, {error_model::by_kind, 30, 600, 12, false}};
     w.platform.behaviour = [&](const ports::task_order& it)
     {
-        return load.real_of(jobs::job_of_task(it.task));
+        return load.real_of(jobs::job_id_of_task(it.task));
     };
     job_fakes::member m = job_fakes::make_member("bench", 1, "e1", w.now);
-    m.jobs.predecessor_stopped = w.now;
+    m.jobs.predecessor_stopped_at = w.now;
     top_up(w, load, 0);
     round_clock timed{w};
     job_fakes::read_changes(m, w);
--- a/bench/job_placement/src/rounds_scheduler.cpp
+++ b/bench/job_placement/src/rounds_scheduler.cpp
@@ -15,7 +15,7 @@
     explicit rounds_scheduler(core::mono_time now)
         : member_(job_fakes::make_member("bench", 1, "e1", now))
     {
-        member_.jobs.predecessor_stopped = now;
+        member_.jobs.predecessor_stopped_at = now;
     }
 
     std::string name() const override
--- a/bench/job_placement/src/size_errors.cpp
+++ b/bench/job_placement/src/size_errors.cpp
@@ -63,16 +63,16 @@
     }
 };
 
-jobs::amounts used_now(const job_fakes::world& w)
+jobs::resources used_now(const job_fakes::world& w)
 {
-    jobs::amounts sum;
+    jobs::resources sum;
     for (const auto& host : w.platform.all)
     {
-        jobs::amounts on_host;
+        jobs::resources on_host;
         for (const auto& it : host.second.tasks)
         {
             const bool runs = it.second.state == ports::task_state::running;
-            on_host = on_host + (runs ? job_fakes::use_of(it.second) : jobs::amounts{});
+            on_host = on_host + (runs ? job_fakes::use_of(it.second) : jobs::resources{});
         }
         on_host.processors = std::min(on_host.processors, host.second.capacity.processors);
         sum = sum + on_host;
@@ -85,16 +85,16 @@
     size_result made;
     made.way = s->name();
     job_fakes::world w = make_world(hosts, 4, false);
-    w.rules.keep_over = core::millis{120000};
+    w.rules.terminal_job_retention = core::millis{120000};
     workload load{how.seed, {errors, 30, 600, 12, true}};
     w.platform.behaviour = [&](const ports::task_order& it)
     {
-        return load.real_of(jobs::job_of_task(it.task));
+        return load.real_of(jobs::job_id_of_task(it.task));
     };
     const core::mono_time from = w.now + warm_up;
     const core::mono_time until = from + core::millis{how.quick ? 1800000 : 7200000};
-    const jobs::amounts capacity = capacity_of(w);
-    jobs::amounts sum;
+    const jobs::resources capacity = capacity_of(w);
+    jobs::resources sum;
     double steps = 0;
     watcher seen;
     while (w.now < until)
@@ -107,7 +107,7 @@
             {
                 if (w.now >= from)
                 {
-                    seen.look(it.second, jobs::job_of_task(it.first), from);
+                    seen.look(it.second, jobs::job_id_of_task(it.first), from);
                 }
             }
         }
--- a/bench/job_placement/src/wasted_starts.cpp
+++ b/bench/job_placement/src/wasted_starts.cpp
@@ -34,7 +34,7 @@
     workload load{how.seed, {error_model::none, 30, 300, 12, true}};
     w.platform.behaviour = [&](const ports::task_order& it)
     {
-        return load.real_of(jobs::job_of_task(it.task));
+        return load.real_of(jobs::job_id_of_task(it.task));
     };
     const int rounds = how.quick ? 3000 : 9000;
     for (int i = 0; i < rounds; ++i)
--- a/bench/job_placement/src/workload.cpp
+++ b/bench/job_placement/src/workload.cpp
@@ -126,9 +126,9 @@
     return w;
 }
 
-jobs::amounts capacity_of(const job_fakes::world& w)
+jobs::resources capacity_of(const job_fakes::world& w)
 {
-    jobs::amounts sum;
+    jobs::resources sum;
     for (const auto& it : w.platform.all)
     {
         sum = sum + it.second.capacity;
--- a/bench/job_placement/src/workload.hpp
+++ b/bench/job_placement/src/workload.hpp
@@ -62,7 +62,7 @@
 job_fakes::world make_world(int hosts, int zones, bool accelerators);
 
 /// \return a bound on what the world's hosts have together.
-jobs::amounts capacity_of(const job_fakes::world& w);
+jobs::resources capacity_of(const job_fakes::world& w);
 
 /// \return \p share of the values, 0 to 1; 0 when there is none.
 double quantile(std::vector<double> values, double share);
--- a/bench/job_placement/src/write_counts.cpp
+++ b/bench/job_placement/src/write_counts.cpp
@@ -24,10 +24,10 @@
 
     explicit write_counter(std::uint64_t seed) : load(seed, {error_model::none, 5, 30, 12, true})
     {
-        m.jobs.predecessor_stopped = w.now;
+        m.jobs.predecessor_stopped_at = w.now;
         w.platform.behaviour = [this](const ports::task_order& it)
         {
-            return load.real_of(jobs::job_of_task(it.task));
+            return load.real_of(jobs::job_id_of_task(it.task));
         };
         w.kv.on_stored = [this](const jobs::job_document& d)
         {
@@ -55,7 +55,7 @@
         {
             for (const auto& it : b.document.jobs)
             {
-                if (!jobs::is_over(it))
+                if (!jobs::is_terminal(it))
                 {
                     return false;
                 }
--- a/libs/jobs/include/jobs/actions.hpp
+++ b/libs/jobs/include/jobs/actions.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What a placement round asks its caller to do.
+/// The actions that a placement round returns to its caller.
 #pragma once
 
 #include "jobs/job.hpp"
@@ -13,13 +13,14 @@
 namespace camphorhitch::jobs
 {
 
-/// Order this task once; tell the end by note_order_ended().
+/// Order this task once. Its result must be passed to record_order_result().
 struct start_task
 {
     ports::task_order order;
 };
 
-/// Send one action to many tasks of a host; tell the end by note_command_ended().
+/// Send one action to several tasks of a host. The result must be passed to
+/// record_command_result().
 struct command_tasks
 {
     std::string host;
@@ -27,21 +28,23 @@
     ports::task_action what = ports::task_action::renew;
 };
 
-/// Read the host's tasks soon: an urgent job waits for what it will report.
+/// Read the host's task reports soon, because an urgent job waits for their content.
 struct poll_host
 {
     std::string host;
 };
 
-/// For logs and metrics: a worker fails everything, or is well again.
-struct worker_judged
+/// For logs and metrics: a worker was set aside because it fails everything, or has recovered.
+struct worker_health_changed
 {
     std::string host;
     bool set_aside = false;
-    std::string why;
+    std::string reason;
 };
 
-/// A quota_wish: adjust() the team's document; when it is stored, tell note_granted().
-using action = std::variant<start_task, command_tasks, poll_host, quota_wish, worker_judged>;
+/// A quota_request: the caller changes the team's document by adjust_grant(), and calls
+/// record_grant() when the document is stored.
+using action =
+    std::variant<start_task, command_tasks, poll_host, quota_request, worker_health_changed>;
 
 } // namespace camphorhitch::jobs
--- a/libs/jobs/include/jobs/codec.hpp
+++ b/libs/jobs/include/jobs/codec.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Documents of jobs and quotas to JSON text and back, and submissions from it. Stored documents
-/// are read leniently: a newer version may have written more.
+/// Conversion of the documents of jobs and quotas to JSON text and back, and of submissions from
+/// it. Stored documents are read leniently, because a newer version may have written more.
 #pragma once
 
 #include "checked_json/reader.hpp"
@@ -21,14 +21,14 @@
 std::string encode(const job_document& d);
 std::string encode(const quota_document& d);
 
-/// One job as operators and callers see it.
+/// One job in the form that operators and callers see.
 std::string encode(const job& j);
 
 /// \param name the document's name in findings.
 decoded<job_document> decode_jobs(const std::string& text, const std::string& name);
 decoded<quota_document> decode_quota(const std::string& text, const std::string& name);
 
-/// Reads `{"jobs": [...]}`, strictly.
+/// Reads `{"jobs": [...]}` strictly.
 decoded<std::vector<submission>> decode_submissions(
     const std::string& text, const std::string& name);
 
--- a/libs/jobs/include/jobs/estimator.hpp
+++ b/libs/jobs/include/jobs/estimator.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Learns how real sizes and run times of a team's kind of job compare with the declared ones.
+/// Estimates the real sizes and run times of the jobs of one team and kind from measurements.
 #pragma once
 
 #include "jobs/job.hpp"
@@ -13,10 +13,10 @@
 namespace camphorhitch::jobs
 {
 
-/// The newest ratios of real over declared.
+/// The newest ratios of measured to declared values.
 struct ratio_samples
 {
-    std::vector<double> values; ///< a ring
+    std::vector<double> values; ///< a ring buffer
     std::size_t next = 0;
 };
 
@@ -29,23 +29,25 @@
 
 struct estimator
 {
-    std::unordered_map<std::string, group_samples> groups; ///< by group_of()
+    std::unordered_map<std::string, group_samples> groups; ///< by group_name()
 };
 
-/// What a job is expected to take.
+/// The expected resources and run time of a job.
 struct estimate
 {
-    amounts size;
+    resources size;
     core::millis run_time{0};
 };
 
-/// Learns from a job that is over and carries what was measured.
-void learn(estimator& e, const job& j);
+/// Adds the measurements of a job in a terminal state to its group's samples.
+void record_measurements(estimator& e, const job& j);
 
-/// \return the declared sizes, corrected by a safe quantile of what the group's jobs really took.
-estimate estimate_of(const estimator& e, const job& j, const settings& rules);
+/// \return the declared sizes and run time, multiplied by a safe quantile of the ratios measured in
+/// the job's group.
+estimate estimate_for(const estimator& e, const job& j, const settings& rules);
 
-/// The same for many jobs of one group: the quantiles are worked out once.
+/// The factors of one group. They allow many jobs of a group to be estimated with one calculation
+/// of the quantiles.
 struct correction
 {
     double processors = 1;
@@ -53,7 +55,7 @@
     double run_time = 1;
 };
 
-correction correction_of(const estimator& e, const std::string& group, const settings& rules);
-estimate corrected(const job& j, const correction& by);
+correction correction_for(const estimator& e, const std::string& group, const settings& rules);
+estimate apply_correction(const job& j, const correction& by);
 
 } // namespace camphorhitch::jobs
--- a/libs/jobs/include/jobs/pool_jobs.hpp
+++ b/libs/jobs/include/jobs/pool_jobs.hpp
@@ -1,10 +1,11 @@
 /// \file
-/// What the owner of a pool holds in memory of its jobs, and how its writes are fenced.
+/// The state that the owner of a pool keeps of the pool's jobs, and how its writes are fenced.
 ///
 /// The capacity of a host and the use of a quota span all documents of a pool, but a write is
-/// conditional on one document only. So an owner first puts its mark into every document of the
-/// pool; marks only grow, and whoever placed under an older mark finds its next write in conflict.
-/// The new owner's view then holds everything that any older one managed to write.
+/// conditional on one document only. Therefore a new owner first writes its fencing token into
+/// every document of the pool. Tokens only grow, so the next write of an owner that placed under an
+/// older token ends in a conflict. The new owner's copy of the documents then holds everything that
+/// any older owner managed to write.
 #pragma once
 
 #include "core/time.hpp"
@@ -29,189 +30,207 @@
 enum class write_need : std::uint8_t
 {
     none,
-    with_next, ///< goes with the next change, whenever that comes
-    lazy,      ///< the same, but is written after settings::lazy_write
+    with_next, ///< together with the next change of the document
+    lazy,      ///< together with the next change, or after settings::lazy_write_delay
     soon
 };
 
-struct bucket_view
+/// The owner's copy of one document, with the state of its writes.
+struct bucket_state
 {
     job_document document;
     bool loaded = false;
-    bool fenced = false; ///< the stored document carries our mark
+    bool fenced = false; ///< the stored document carries this owner's token
     write_need need = write_need::none;
     core::mono_time need_since{};
-    std::uint64_t next_write = 1;  ///< number that the next write will have
-    std::uint64_t in_flight = 0;   ///< number of the write under way, or 0
-    bool in_flight_marked = false; ///< the write under way carries our mark
-    /// A write got no answer and may still arrive: until the stored revision has moved past it, the
-    /// document may come to hold a start, or a task at full speed again, that we would not count.
-    bool doubtful = false;
+    std::uint64_t next_write = 1;  ///< number of the next write
+    std::uint64_t in_flight = 0;   ///< number of the write in flight, or 0
+    bool in_flight_fenced = false; ///< the write in flight carries this owner's token
+    /// A write got no answer and may still take effect. Until the stored revision has moved past
+    /// that write, the stored document may come to hold the start of a task, or a task at full
+    /// speed again, that this copy does not count.
+    bool uncertain = false;
 };
 
-/// What is known of one task beside its job's document. Lost with the process; rebuilt by reports.
-struct task_view
+/// State of one task that its job's document does not hold. It is lost with the process and rebuilt
+/// from reports.
+struct task_record
 {
-    core::mono_time first_seen{}; ///< when this process first saw it recorded
+    core::mono_time first_seen{}; ///< when this process first saw the task in a document
     std::optional<core::mono_time> ordered_at;
-    std::optional<ports::platform_status> order_ended;
+    std::optional<ports::platform_status> order_result;
     std::optional<core::mono_time> renewed_at;
-    std::optional<core::mono_time> reported_at; ///< when a report last named it
+    std::optional<core::mono_time> reported_at; ///< when a report last named the task
     ports::task_report report;
-    amounts peak; ///< largest use reported
+    resources peak_use; ///< largest use reported
     std::optional<core::mono_time> checkpoint_sent;
     std::optional<core::mono_time> stop_sent;
-    std::optional<core::mono_time> release_since; ///< when it was first asked to leave
+    /// When the task was first asked to leave its host.
+    std::optional<core::mono_time> release_started_at;
     std::optional<core::mono_time> throttle_sent;
-    std::optional<ports::task_action> throttle_command; ///< the newest sent
-    /// What the worker is known to do; unknown while a command to change it is under way.
-    std::optional<bool> throttled_there;
-    std::uint64_t round = 0; ///< number of the last round in which a job held it
-    bool proved = false;     ///< its success was noted
-    bool judged = false; ///< its end was noted: a conflicting write makes a round take it in again
+    std::optional<ports::task_action> throttle_command; ///< the newest command sent
+    /// Whether the worker throttles the task; empty while a command to change this is in flight.
+    std::optional<bool> throttled_at_worker;
+    std::uint64_t last_round = 0;  ///< number of the last round in which a job held this task
+    bool success_recorded = false; ///< the task has run well, and its host's health shows it
+    /// Its end was recorded. Guards against a second record, because after a conflicting write a
+    /// round reconciles the same end again.
+    bool end_recorded = false;
 };
 
-/// Numbers for names, given in the order in which they come.
-struct name_numbers
+/// Indexes of names, in order of their first use.
+struct name_index
 {
-    std::unordered_map<std::string, int> numbers;
+    std::unordered_map<std::string, int> indexes; ///< by name
     std::vector<std::string> names;
 };
 
-/// \return the number of \p name.
-int number_of(name_numbers& all, const std::string& name);
+/// \return the index of \p name; adds the name when it is new.
+int index_of(name_index& all, const std::string& name);
 
-/// What a team may use of its quota in this pool.
+/// The part of a team's quota that may be used in this pool.
 struct team_grant
 {
-    amounts granted; ///< nothing until the first wish of this owner is stored
-    /// A wish is under way, and what it lowers may be granted to another pool at any moment: until
-    /// its end is known nothing is placed beyond what was in use when it was sent.
+    resources granted; ///< empty until the first request of this owner is stored
+    /// A request is in flight. Whatever it returns may be granted to another pool at any moment, so
+    /// until its result is available nothing is placed beyond the use at the time of the request.
     bool pending = false;
-    amounts used_when_sent;
-    amounts wanted_when_sent;
+    resources used_when_sent;
+    resources wanted_when_sent;
     std::optional<core::mono_time> sent_at;
 };
 
-/// Room being made on a host for an urgent job.
-struct claim
+/// Capacity that is being freed on a host for an urgent job.
+struct capacity_claim
 {
     std::string host;
-    amounts size;
+    resources size;
     core::mono_time since{};
 };
 
-/// A host kept for a job that found no room for long.
+/// A host that is reserved for a job which found no capacity for long.
 struct reservation
 {
     std::string host;
     core::mono_time free_at{}; ///< when the job is predicted to fit
 };
 
+/// The state that the owner keeps of one pool's jobs.
 struct pool_jobs
 {
     std::string pool;
-    placer_mark mark;
-    bool superseded = false; ///< a newer owner's mark was seen: drop this and write nothing
-    core::mono_time since{}; ///< when this process took over
-    /// When the owner before has certainly stopped renewing; unknown until the caller tells.
-    std::optional<core::mono_time> predecessor_stopped;
-    std::array<bucket_view, buckets_per_pool> buckets;
-
-    // Soft state.
-    std::unordered_map<std::string, task_view> tasks;               ///< by task name
-    std::unordered_map<std::string, core::mono_time> wait_until;    ///< by job, after a failure
-    std::unordered_map<std::string, core::mono_time> waiting_since; ///< by job
-    std::unordered_map<std::string, claim> claims;                  ///< by job
-    std::unordered_map<std::string, reservation> reservations;      ///< by job
-    std::unordered_map<std::string, team_grant> teams;              ///< by name
-    estimator sizes;
+    fencing_token token;
+    /// A newer owner's token was seen: this object must be dropped and writes nothing.
+    bool superseded = false;
+    core::mono_time taken_over_at{}; ///< when this process became the owner
+    /// Time from which the previous owner has certainly stopped renewing leases; empty until the
+    /// caller sets it.
+    std::optional<core::mono_time> predecessor_stopped_at;
+    std::array<bucket_state, buckets_per_pool> buckets;
+
+    // The following state is not stored; a new owner starts without it.
+    std::unordered_map<std::string, task_record> tasks;              ///< by task name
+    std::unordered_map<std::string, core::mono_time> retry_at;       ///< by job id, after a failure
+    std::unordered_map<std::string, core::mono_time> waiting_since;  ///< by job id
+    std::unordered_map<std::string, capacity_claim> capacity_claims; ///< by job id
+    std::unordered_map<std::string, reservation> reservations;       ///< by job id
+    std::unordered_map<std::string, team_grant> teams;               ///< by team name
+    estimator estimates;
     pool_health health;
-    std::uint64_t rounds = 0;    ///< run so far
-    core::mono_time forgot_at{}; ///< when views that nobody needs were last forgotten
-    name_numbers team_numbers;   ///< jobs carry their numbers, so that a round compares no texts
-    name_numbers group_numbers;  ///< of group_of()
-    bool learned = false;        ///< the documents' jobs that are over were learned from
+    std::uint64_t rounds = 0;          ///< number of rounds run
+    core::mono_time last_cleanup_at{}; ///< when outdated task records and waits were last removed
+    name_index team_names;  ///< jobs hold their indexes, so that a round compares no strings
+    name_index group_names; ///< of group_name()
+    /// The terminal jobs of the documents were added to the estimates.
+    bool learned_from_documents = false;
 };
 
-/// \param mark the roster's epoch (above 0) and a text that no other call ever used, such as the
-/// process's incarnation with a counter: tasks recorded under it are ordered by this object only,
-/// and it remembers which it ordered.
-pool_jobs make_pool_jobs(std::string pool, placer_mark mark, core::mono_time now);
+/// \param token the roster's epoch (above 0) and a text that no other call has ever used, such as
+///   the process's incarnation with a counter. Tasks recorded under this token are ordered by this
+///   object only, and the object remembers which of them it has ordered.
+pool_jobs make_pool_jobs(std::string pool, fencing_token token, core::mono_time now);
 
 /// How a document came to be read.
 enum class read_cause
 {
-    newer, ///< its revision is newer than any that this process wrote or tried to write upon
-    same   ///< read again after a write without an answer, and the revision has not moved
+    /// Its revision is newer than any that this process wrote or used as the condition of a write.
+    newer,
+    same ///< read again after a write without an answer, with the revision unchanged
 };
 
-/// Takes in a document as it is stored; one without a key is an empty document. Changes made here
-/// and not written are dropped: the next round finds them again from what it knows.
-/// \return false when a write of the document is under way: offer it again after write_ended().
-bool take_document(
+/// Replaces the copy of a document by the stored one; a key that does not exist is an empty
+/// document. Changes that were made here and not written are dropped; the next round derives them
+/// again from the state of the tasks.
+/// \return false when a write of the document is in flight: the caller must pass the document again
+/// after record_write_result().
+bool apply_document(
     pool_jobs& all, int bucket, job_document stored, read_cause cause, core::mono_time now);
 
-/// One document to write now, conditional on the revision that its copy was read at.
+/// A document to write now, conditional on the revision at which its copy was read.
 struct due_write
 {
     int bucket = 0;
-    const job_document* document = nullptr; ///< encode it before the next call on the pool
+    const job_document* document = nullptr; ///< must be encoded before the next call on the pool
 };
 
-/// \return documents whose write is due; each counts as under way until write_ended().
-std::vector<due_write> due_writes(pool_jobs& all, const settings& rules, core::mono_time now);
+/// \return the documents whose write is due. Each write counts as in flight until
+/// record_write_result().
+std::vector<due_write> begin_due_writes(pool_jobs& all, const settings& rules, core::mono_time now);
 
-enum class write_end
+/// How a write of a document ended.
+enum class write_result
 {
     stored,
-    conflict, ///< certainly not stored; read it and call take_document()
-    doubt     ///< no answer; read it and call take_document()
+    conflict, ///< certainly not stored; the document must be read and passed to apply_document()
+    unknown   ///< no answer; the document must be read and passed to apply_document()
 };
 
-void write_ended(pool_jobs& all, int bucket, write_end how);
+/// Records the result of a write that begin_due_writes() returned.
+void record_write_result(pool_jobs& all, int bucket, write_result how);
 
-/// \return whether every document is read, carries our mark, and awaits no write in doubt, so that
-/// this process sees all tasks and may place.
-bool may_place(const pool_jobs& all);
+/// \return whether every document is read, carries this owner's token and has no uncertain write,
+/// so that this process has a record of all tasks and may place jobs.
+bool can_place(const pool_jobs& all);
 
 /// Marks a document as changed.
-void touch(bucket_view& b, write_need need, core::mono_time now);
+void mark_changed(bucket_state& b, write_need need, core::mono_time now);
 
 /// Marks a job of the document as changed.
-void touch(bucket_view& b, job& j, write_need need, core::mono_time now);
+void mark_changed(bucket_state& b, job& j, write_need need, core::mono_time now);
 
-/// Notes what a host reported of its tasks.
-void note_reports(pool_jobs& all,
+/// Records the reports of a host about its tasks.
+void record_reports(pool_jobs& all,
     const std::string& host,
     const ports::task_reports& reports,
     core::mono_time now);
 
-/// Notes how an order to start a task ended.
-void note_order_ended(pool_jobs& all, const std::string& task, ports::platform_status how);
+/// Records the result of an order to start a task.
+void record_order_result(pool_jobs& all, const std::string& task, ports::platform_status how);
 
-/// Notes how a command to tasks ended.
-void note_command_ended(pool_jobs& all,
+/// Records the result of a command to tasks.
+void record_command_result(pool_jobs& all,
     const std::vector<std::string>& tasks,
     ports::task_action what,
     ports::platform_status how);
 
-/// Notes what a wish got: the document that holds it is stored. A wish that failed in any other way
-/// is made again.
-void note_granted(pool_jobs& all, const quota_wish& wish, const amounts& granted);
+/// Records the grant that a request received. To be called when the document with the grant is
+/// stored. A request that failed in any other way is repeated by a later round.
+void record_grant(pool_jobs& all, const quota_request& request, const resources& granted);
 
-/// \return hosts whose reports matter: a task may run there, or a job of unknown outcome did.
+/// \return the hosts whose reports are needed: a task may run there, or a job with an unknown
+/// outcome ran there.
 std::vector<std::string> hosts_to_poll(const pool_jobs& all);
 
-/// \return the view of a task, made when it is new.
-task_view& view_of(pool_jobs& all, const std::string& task, core::mono_time now);
+/// \return the record of a task, which is added when there is none.
+task_record& find_or_add_task(pool_jobs& all, const std::string& task, core::mono_time now);
 
-/// \return whether tasks_on() counts every task there can be: all documents are read, and nobody
-/// else can place. Documents without work need no mark for that: to place a job, a former owner
-/// would have to write a document that has changed since it read it.
-bool counts_all_tasks(const pool_jobs& all);
+/// \return whether count_tasks_on() counts every task that can exist: all documents are read, and
+/// no other owner can place. Documents without work need no token for this, because a previous
+/// owner that places a job would have to write a document that has changed since it read the
+/// document.
+bool has_complete_task_count(const pool_jobs& all);
 
-/// \return tasks that may still run on the host; a drain is complete at 0.
-int tasks_on(const pool_jobs& all, const std::string& host);
+/// \return the number of tasks that may still run on the host. A drain is complete at 0.
+int count_tasks_on(const pool_jobs& all, const std::string& host);
 
 } // namespace camphorhitch::jobs
--- a/libs/jobs/include/jobs/quota.hpp
+++ b/libs/jobs/include/jobs/quota.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Quotas of teams, shared between pools: one document a team says how much of its quota each
-/// pool's owner may use, so that the sum is guarded by compare-and-swap on one key.
+/// Quotas of teams, shared between pools. One document for each team states how much of the quota
+/// each pool's owner may use, so that compare-and-swap on one key guards the sum.
 #pragma once
 
 #include "jobs/job.hpp"
@@ -12,24 +12,26 @@
 namespace camphorhitch::jobs
 {
 
-/// What a pool's owner asks for a team.
-struct quota_wish
+/// A pool owner's request for a part of a team's quota.
+struct quota_request
 {
     std::string team;
     std::string pool;
-    placer_mark owner;
-    amounts in_use; ///< sizes of the pool's tasks; no grant goes below it
-    amounts wanted; ///< in use and waiting together
+    fencing_token owner;
+    resources in_use; ///< declared sizes of the pool's tasks; no grant is lowered below it
+    resources wanted; ///< declared sizes of the running and the waiting jobs
 };
 
+/// The part of a team's quota that one pool's owner may use.
 struct quota_grant
 {
     std::string pool;
-    placer_mark owner; ///< who asked last
-    amounts granted;
-    amounts wanted; ///< when last asked
+    fencing_token owner; ///< of the newest request
+    resources granted;
+    resources wanted; ///< in the newest request
 };
 
+/// The grants of one team in all pools.
 struct quota_document
 {
     std::string team;
@@ -39,20 +41,21 @@
 /// \return the document's key in the key-value service.
 std::string quota_key(const std::string& team);
 
-/// \return what the pool was granted in answer to the wish or an earlier one of its owner; nothing
-/// when the document doesn't hold the owner's wish, or a newer owner's.
-std::optional<amounts> granted_to(const quota_document& d, const quota_wish& wish);
+/// \return the pool's grant in answer to this request or an earlier one of the same owner; nothing
+/// when the document holds no request of this owner, or one of a newer owner.
+std::optional<resources> find_grant(const quota_document& d, const quota_request& request);
 
-/// Adapts a pool's grant to what it uses and wants. A pool that wants more gets what is left, with
-/// some to spare; while another pool lacks something, each keeps what it uses or its equal part.
-/// A wish of a former owner, delayed until the pool has a newer one, changes nothing: it would
-/// lower the grant below what the newer one has placed since. \return whether the document changed.
-bool adjust(quota_document& d, const quota_wish& wish, const amounts& quota);
+/// Adapts a pool's grant to what the pool uses and wants. A pool that wants more gets the remaining
+/// quota up to its demand and some headroom. While another pool is short, each pool keeps what it
+/// uses, or its equal share. A request of a previous owner that arrives after a newer owner's
+/// request changes nothing: it would lower the grant below what the newer owner has placed since.
+/// \return whether the document changed.
+bool adjust_grant(quota_document& d, const quota_request& request, const resources& quota);
 
-/// \return the smaller of each.
-amounts smaller(const amounts& a, const amounts& b);
+/// \return the smaller value of each resource.
+resources elementwise_min(const resources& a, const resources& b);
 
-/// \return the larger of each.
-amounts larger(const amounts& a, const amounts& b);
+/// \return the larger value of each resource.
+resources elementwise_max(const resources& a, const resources& b);
 
 } // namespace camphorhitch::jobs
--- a/libs/jobs/include/jobs/round.hpp
+++ b/libs/jobs/include/jobs/round.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The placement round: one decision over all jobs of a pool.
+/// The placement round: one decision about all jobs of a pool.
 #pragma once
 
 #include "core/time.hpp"
@@ -16,26 +16,28 @@
 namespace camphorhitch::jobs
 {
 
-/// What a round decides from, beside the jobs themselves.
+/// The input of a round beside the jobs themselves.
 struct round_input
 {
     const model::pool_document& hosts;
     const std::vector<model::team_config>& teams;
-    /// By host: time until a drain of it is expected (a wave's next batches, hosts marked as
-    /// leaving). Hosts that no drain is known for are missing.
-    const std::map<std::string, core::millis>& leaving_in;
+    /// By host: time until a drain of the host is expected (a wave's next batches, hosts marked as
+    /// leaving). Hosts without a known drain are missing.
+    const std::map<std::string, core::millis>& time_to_drain;
     const settings& rules;
     core::mono_time now;
     core::wall_time wall_now;
 };
 
-/// Runs one round: takes reports into the jobs, releases jobs from hosts that leave, places waiting
-/// jobs, makes room for urgent ones. Changes the documents in memory only (see due_writes()); what
-/// must not happen before a change is stored comes out of a round after that write ended, so call
-/// it again then. Cheap when nothing is to be done. \return what to do now.
+/// Runs one round: applies reports to the jobs, releases jobs from hosts that are drained, places
+/// waiting jobs, and frees capacity for urgent ones. The round changes the documents in memory only
+/// (see begin_due_writes()). Actions that must not happen before a change is stored are returned by
+/// a round after that write has ended, so the caller runs a round again then. A round without work
+/// is cheap.
+/// \return the actions to carry out now.
 std::vector<action> decide_round(pool_jobs& all, const round_input& in);
 
-/// \return lines that say why a job is where it is, from what was recorded when it was decided.
+/// \return lines that explain the job's state, from what was recorded when it was decided.
 std::vector<std::string> explain(const job& j);
 
 } // namespace camphorhitch::jobs
--- a/libs/jobs/include/jobs/settings.hpp
+++ b/libs/jobs/include/jobs/settings.hpp
@@ -11,76 +11,95 @@
 namespace camphorhitch::jobs
 {
 
+/// Settings of the placement of jobs and of their documents.
 struct settings
 {
     // Documents.
-    std::size_t most_jobs = 2500;    ///< in one document
-    std::size_t most_bytes = 900000; ///< of one document's text
-    std::size_t most_payload = 4096; ///< bytes of one job's payload
-    /// Jobs that are over and stay in one document: they are written again with each change of it.
-    std::size_t most_over = 64;
-    core::millis keep_over{6 * 3600 * 1000}; ///< how long a job that is over is remembered
-    core::millis keep_over_least{900000};    ///< the same while there are more than most_over
-    core::millis lazy_write{10000};          ///< longest wait of a change that nobody needs soon
+    std::size_t max_jobs = 2500;             ///< in one document
+    std::size_t max_document_bytes = 900000; ///< of one document's text
+    std::size_t max_payload_bytes = 4096;    ///< of one job
+    /// Terminal jobs that may stay in one document before they are removed earlier. Each change of
+    /// the document writes them again.
+    std::size_t max_terminal_jobs = 64;
+    core::millis terminal_job_retention{6 * 3600 * 1000}; ///< how long a terminal job is kept
+    /// The same while a document holds more than max_terminal_jobs.
+    core::millis min_terminal_job_retention{900000};
+    /// Maximum delay of a change that need not be stored soon.
+    core::millis lazy_write_delay{10000};
 
     // Leases.
     core::millis lease_ttl{30000};
-    core::millis lease_margin{5000};     ///< clock drift and delays on the way
-    core::millis report_patience{20000}; ///< no renewal of a task unseen for this long
-    core::millis command_retry{1000};    ///< between repeats of a command not seen to work
+    core::millis lease_margin{5000}; ///< covers clock drift and network delays
+    /// A task without a report for this long is unresponsive, and its lease is not renewed.
+    core::millis report_timeout{20000};
+    /// Time before a command without a visible effect is repeated.
+    core::millis command_retry_delay{1000};
 
-    // Sizes.
-    double processors_quantile = 0.75; ///< of real over declared, that a new job is counted with
+    // Sizes. The quantiles apply to the measured ratios of real to declared values, by which a new
+    // job's size is estimated.
+    double processors_quantile = 0.75;
     double memory_quantile = 0.95;
     double time_quantile = 0.9;
-    double measured_processors_factor = 1.1; ///< headroom over what was measured
+    double measured_processors_factor = 1.1; ///< headroom over the measured use
     double measured_memory_factor = 1.15;
-    core::millis trust_after{30000}; ///< measurements of a younger task don't lower its share
-    double most_overcommit = 2.5;    ///< declared sizes on a host over its capacity
+    /// Measurements of a younger task don't reduce the resources that are counted for it.
+    core::millis measurement_trust_delay{30000};
+    double max_overcommit = 2.5; ///< sum of the declared sizes on a host, relative to its capacity
 
-    // Order.
-    double throttled_share = 0.1;        ///< of its processors that a throttled task takes
-    int most_preemptions = 3;            ///< of one job
-    core::millis urgent_patience{500};   ///< for a checkpoint, before the task is stopped
-    core::millis drain_patience{60000};  ///< for a checkpoint on a host that leaves
-    core::millis finish_patience{60000}; ///< a job this near its end may finish in a drain
-    core::millis claim_timeout{3000};    ///< room being made that isn't there by then
-    core::millis reserve_after{10000};   ///< waiting time after which a host is kept for a job
-    int most_reservations = 8;           ///< hosts kept so at once
+    // Preemption and order.
+    double throttled_share = 0.1; ///< share of its processors that a throttled task uses
+    int max_preemptions = 3;      ///< of one job
+    /// Time for a checkpoint before a preempted task is stopped.
+    core::millis preemption_checkpoint_timeout{500};
+    core::millis drain_checkpoint_timeout{60000}; ///< time for a checkpoint on a draining host
+    /// A job whose predicted end is within this time may finish during a drain.
+    core::millis drain_finish_window{60000};
+    /// Time after which a capacity claim is removed when its capacity has not become free.
+    core::millis capacity_claim_timeout{3000};
+    /// Waiting time after which a host is reserved for a job.
+    core::millis reservation_delay{10000};
+    int max_reservations = 8; ///< hosts reserved at the same time
 
     // Faults.
-    int hosts_to_blame_job = 3;      ///< different hosts that a job fails on before it is set aside
-    int most_failures = 5;           ///< of one job in a pool with fewer hosts than that
-    int jobs_to_blame_host = 3;      ///< different jobs in a row that fail on a host
-    int unproven_starts = 4;         ///< at once on a host that has run nothing yet
-    int suspect_starts = 1;          ///< at once on a host whose last job failed
-    int starts_at_once = 16;         ///< on any host
-    core::millis proven_after{2000}; ///< a task seen running for this long proves its host
-    core::millis retry_wait{2000};   ///< of a job that failed, doubled with each failure
-    core::millis probe_wait{30000};  ///< of a host set aside, doubled with each failed probe
-    core::millis longest_probe_wait{600000};
-    double most_hosts_aside = 0.34; ///< share of a pool's hosts
+    /// Different hosts on which a job fails before the job is set aside.
+    int max_failed_hosts_per_job = 3;
+    /// Failures of one job before it is set aside, in a pool with fewer hosts than
+    /// max_failed_hosts_per_job.
+    int max_failures_per_job = 5;
+    /// Different jobs that fail in a row on a host before the host is set aside.
+    int max_failed_jobs_per_host = 3;
+    /// Unproven tasks at once on a host that has run nothing yet.
+    int max_starts_on_unproven_host = 4;
+    int max_starts_on_suspect_host = 1; ///< unproven tasks at once on a host whose last job failed
+    /// Unproven tasks at once on a proven host; no host gets more.
+    int max_starts_on_proven_host = 16;
+    core::millis min_proof_run_time{2000}; ///< a task that has run for this long proves its host
+    core::millis retry_delay{2000};        ///< of a job that failed; doubled with each failure
+    /// Time until a host that is set aside is probed; doubled with each failed probe.
+    core::millis probe_delay{30000};
+    core::millis max_probe_delay{600000};
+    double max_set_aside_share = 0.34; ///< share of a pool's hosts that may be set aside at once
 };
 
-/// Builds settings; build() reports all contradictions together.
+/// Builds settings. build() reports all contradictions together.
 class settings_builder
 {
 public:
     settings_builder& lease(core::millis ttl, core::millis margin);
-    settings_builder& report_patience(core::millis patience);
+    settings_builder& report_timeout(core::millis timeout);
     settings_builder& document_bounds(std::size_t jobs, std::size_t bytes, std::size_t payload);
     settings_builder& quantiles(double processors, double memory, double run_time);
-    settings_builder& urgent_patience(core::millis patience);
-    settings_builder& drain_patience(core::millis checkpoint, core::millis finish);
+    settings_builder& preemption_checkpoint_timeout(core::millis timeout);
+    settings_builder& drain_timeouts(core::millis checkpoint, core::millis finish);
     settings_builder& throttled_share(double share);
-    settings_builder& lazy_write(core::millis longest);
-    settings_builder& keep_over(core::millis time);
+    settings_builder& lazy_write_delay(core::millis delay);
+    settings_builder& terminal_job_retention(core::millis time);
 
-    /// \return the settings, or everything wrong with them.
+    /// \return the settings, or all findings about them.
     std::variant<settings, core::findings> build() const;
 
 private:
-    settings made_;
+    settings settings_;
 };
 
 } // namespace camphorhitch::jobs
--- a/libs/jobs/include/jobs/submit.hpp
+++ b/libs/jobs/include/jobs/submit.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// What any member may do to a document of jobs: take submissions and cancellations, in batches,
-/// so that a burst costs one write for each document.
+/// The changes that any member may make to a document of jobs: submissions and cancellations, in
+/// batches, so that a burst costs one write for each document.
 #pragma once
 
 #include "core/findings.hpp"
@@ -16,14 +16,14 @@
 namespace camphorhitch::jobs
 {
 
-/// What a caller sends.
+/// A job as the caller sends it.
 struct submission
 {
     std::string id; ///< chosen by the caller; see checked_json::check_name()
     std::string team;
     std::string kind;
     job_class klass = job_class::normal;
-    amounts declared;
+    resources declared;
     core::millis run_time{0};
     bool idempotent = false;
     std::string payload;
@@ -41,22 +41,22 @@
 /// The job is in the document. It is accepted once the document is written.
 struct accepted
 {
-    bool repeat = false; ///< the same submission was there before
+    bool is_repeat = false; ///< the same submission was already in the document
     job_state state = job_state::waiting;
 };
 
-/// The same id stands for another submission; certainly not accepted.
+/// The same id belongs to another submission; certainly not accepted.
 struct other_body
 {
 };
 
-/// Can never run as it is; certainly not accepted.
+/// The job can never run as submitted; certainly not accepted.
 struct never_fits
 {
-    std::string why; ///< with the nearest miss
+    std::string reason; ///< names the host or quota that comes nearest
 };
 
-/// The document has no room; certainly not accepted, may be later.
+/// The document has no room for the job; certainly not accepted, may be accepted later.
 struct document_full
 {
 };
@@ -65,25 +65,25 @@
     std::variant<accepted, other_body, never_fits, document_full, core::findings>;
 
 /// Adds the submissions of one bucket to its document.
-/// \return an outcome for each, in order.
+/// \return one outcome for each submission, in order.
 std::vector<submit_outcome> submit(
     job_document& d, const std::vector<submission>& all, const submit_input& in);
 
-/// \return everything wrong with the submission itself.
+/// \return all findings about the submission itself.
 core::findings check(const submission& s, const settings& rules);
 
-/// \return why a job of this size can never run on these hosts for this team, with the nearest
-/// miss; empty when it can.
-std::string why_impossible(const amounts& declared,
+/// \return why a job of this size can never run on these hosts for this team, with the host or
+/// quota that comes nearest; empty when it can run.
+std::string impossibility_reason(const resources& declared,
     const std::string& team,
     const model::pool_document& hosts,
     const std::vector<model::team_config>& teams);
 
 enum class cancel_outcome
 {
-    cancelled, ///< and it holds no host
+    cancelled, ///< the job occupies no host
     stopping,  ///< a task may still run; it is being stopped and may have run in part
-    was_over,  ///< nothing to cancel
+    was_over,  ///< the job had already finished or failed
     not_found
 };
 
@@ -95,20 +95,20 @@
 }};
 
 /// Cancels the jobs of one bucket.
-/// \param command id of the command behind it, for the record.
-/// \return an outcome for each id, in order.
+/// \param command id of the operator's command, for the job's record.
+/// \return one outcome for each id, in order.
 std::vector<cancel_outcome> cancel(job_document& d,
     const std::vector<std::string>& ids,
     const std::string& command,
     core::wall_time now);
 
-/// Forgets jobs that were over long enough ago. Wall times of two hosts meet here: a clock that is
-/// minutes off only shortens or lengthens a memory of hours.
-/// \return how many were forgotten.
-std::size_t forget_old(job_document& d, const settings& rules, core::wall_time now);
+/// Removes jobs whose terminal state is older than the retention. The wall clocks of two hosts are
+/// compared here: a clock that is minutes off only shortens or lengthens a retention of hours.
+/// \return the number of removed jobs.
+std::size_t remove_expired_jobs(job_document& d, const settings& rules, core::wall_time now);
 
-/// \return an upper bound of the document's length as text, in bytes.
-std::size_t text_bound(const job_document& d);
-std::size_t text_bound(const job& j);
+/// \return an upper bound of the length of the encoded text, in bytes.
+std::size_t max_encoded_size(const job_document& d);
+std::size_t max_encoded_size(const job& j);
 
 } // namespace camphorhitch::jobs
--- a/libs/jobs/src/candidates.cpp
+++ b/libs/jobs/src/candidates.cpp
@@ -9,39 +9,39 @@
 namespace
 {
 
-/// Hosts weighed in each zone: those with the least room that the job still fits into.
-constexpr int weighed_per_zone = 4;
+/// Hosts compared in each zone: those with the least free capacity that still fit the job.
+constexpr int max_candidates_per_zone = 4;
 
-// Weights of what a choice costs, each part being between 0 and 1.
+// Weights of the parts of a candidate's cost. Each part is between 0 and 1.
 constexpr double zone_weight = 1.0;
 constexpr double rack_weight = 0.5;
 constexpr double leftover_weight = 1.0;
 constexpr double imbalance_weight = 0.5;
 constexpr double accelerator_weight = 10.0;
 
-constexpr std::size_t most_failed_sizes = 64;
+constexpr std::size_t max_entries = 64;
 
-/// Short jobs and urgent ones may use a host that is kept for a job waiting long: they are gone
-/// again soon, and few.
-bool is_favoured(const job& j)
+/// Short and urgent jobs may use a host that is reserved for a long-waiting job, because they end
+/// soon and are few.
+bool may_use_reserved_hosts(const job& j)
 {
     return j.klass <= job_class::quick;
 }
 
-bool is_kept_from(const host_view& v, const search& s)
+bool is_reserved_for_other_job(const host_view& v, const host_search& s)
 {
-    if (v.kept_for == nullptr || *v.kept_for == s.it.id || is_favoured(s.it))
+    if (v.reserved_for == nullptr || *v.reserved_for == s.it.id || may_use_reserved_hosts(s.it))
     {
         return false;
     }
-    return s.r.in.now + s.size.run_time > v.kept_free_at;
+    return s.r.in.now + s.size.run_time > v.reserved_free_at;
 }
 
-/// A job that failed on a host tries the others first.
-bool failed_there(const host_view& v, const search& s)
+/// A job that failed on a host tries the other hosts first.
+bool should_avoid_after_failure(const host_view& v, const host_search& s)
 {
     const job& j = s.it;
-    if (j.failures.size() >= s.r.views.open_hosts)
+    if (j.failures.size() >= s.r.views.usable_hosts)
     {
         return false;
     }
@@ -50,8 +50,9 @@
         [&](const host_failure& it) { return it.host == v.record->id; });
 }
 
-/// A plain job leaves an accelerator host as much room as its free accelerators need.
-bool wastes_accelerators(const host_view& v, const amounts& need)
+/// A job without accelerators must leave an accelerator host the share of processors and memory
+/// that its free accelerators need.
+bool blocks_accelerators(const host_view& v, const resources& need)
 {
     const int free = v.capacity.accelerators - v.load.accelerators;
     if (need.accelerators > 0 || free <= 0)
@@ -59,58 +60,60 @@
         return false;
     }
     const double share = static_cast<double>(free) / v.capacity.accelerators;
-    const amounts after = v.capacity - v.load - need;
+    const resources after = v.capacity - v.load - need;
     return after.processors < share * v.capacity.processors / 2 ||
            after.memory_gb < share * v.capacity.memory_gb / 2;
 }
 
-bool leaves_too_soon(const host_view& v, const search& s)
+bool drains_too_soon(const host_view& v, const host_search& s)
 {
-    if (v.leaving_in == never)
+    if (v.time_to_drain == no_drain_expected)
     {
         return false;
     }
-    // A job that a drain moved before goes where it needn't move again, if there is such a host.
-    const bool moves_again = s.it.moves > 0 && s.r.views.any_staying;
-    return moves_again || s.size.run_time >= v.leaving_in;
+    // A job that was moved by a drain before is placed on a host without an expected drain, if
+    // there is one.
+    const bool moves_again = s.it.moves > 0 && s.r.views.any_not_draining;
+    return moves_again || s.size.run_time >= v.time_to_drain;
 }
 
-enum class answer
+enum class host_verdict
 {
-    yes,
-    no_room,
-    leaves_too_soon,
-    not_now
+    suitable,
+    no_capacity,
+    drains_too_soon,
+    unsuitable
 };
 
-answer can_take(const host_view& v, const search& s)
+host_verdict evaluate_host(const host_view& v, const host_search& s)
 {
-    const amounts need = need_on(s.size.size, s.it.declared, v.capacity);
-    amounts claimed;
-    if (const auto it = s.r.all.claims.find(s.it.id);
-        it != s.r.all.claims.end() && it->second.host == v.record->id)
+    const resources need = required_resources(s.size.size, s.it.declared, v.capacity);
+    resources claimed;
+    if (const auto it = s.r.all.capacity_claims.find(s.it.id);
+        it != s.r.all.capacity_claims.end() && it->second.host == v.record->id)
     {
         claimed = it->second.size;
     }
-    if (!has_room(v, need, s.it.declared, claimed, s.r.in.rules))
+    if (!has_capacity(v, need, s.it.declared, claimed, s.r.in.rules))
     {
-        return answer::no_room;
+        return host_verdict::no_capacity;
     }
-    if (leaves_too_soon(v, s))
+    if (drains_too_soon(v, s))
     {
-        return answer::leaves_too_soon;
+        return host_verdict::drains_too_soon;
     }
-    // What may run once only is lost on a bad worker, so it goes where something has run well.
+    // A job that may run once only is lost when its worker fails it, so it is placed on a proven
+    // host.
     const bool risky = !s.it.idempotent && s.r.views.any_proven && !v.proven;
-    const bool unfit =
-        risky || failed_there(v, s) || is_kept_from(v, s) || wastes_accelerators(v, need);
-    return unfit ? answer::not_now : answer::yes;
+    const bool unfit = risky || should_avoid_after_failure(v, s) ||
+                       is_reserved_for_other_job(v, s) || blocks_accelerators(v, need);
+    return unfit ? host_verdict::unsuitable : host_verdict::suitable;
 }
 
-double cost_of(const host_view& v, const search& s, const group_view& g)
+double cost_of(const host_view& v, const host_search& s, const group_usage& g)
 {
-    const amounts need = need_on(s.size.size, s.it.declared, v.capacity);
-    const amounts after = v.capacity - v.load - need;
+    const resources need = required_resources(s.size.size, s.it.declared, v.capacity);
+    const resources after = v.capacity - v.load - need;
     const double processors = after.processors / v.capacity.processors;
     const double memory = after.memory_gb / v.capacity.memory_gb;
     const double all = g.tasks > 0 ? g.tasks : 1;
@@ -127,50 +130,51 @@
 
 struct best_host
 {
-    search_end end;
+    search_result result;
     double cost = 0;
 };
 
-void weigh(best_host& best,
+void evaluate_hosts(best_host& best,
     candidate_index& index,
-    const candidate_index::by_room& hosts,
-    const search& s,
-    const group_view& g)
+    const candidate_index::by_free_processors& hosts,
+    const host_search& s,
+    const group_usage& g)
 {
     const int need = static_cast<int>(std::floor(s.size.size.processors));
     int weighed = 0;
     for (auto it = hosts.lower_bound({need, 0}); it != hosts.end(); ++it)
     {
         host_view& v = index.at(it->second);
-        const answer a = can_take(v, s);
-        best.end.any_room = best.end.any_room || a != answer::no_room;
-        if (a == answer::leaves_too_soon)
+        const host_verdict verdict = evaluate_host(v, s);
+        best.result.any_capacity = best.result.any_capacity || verdict != host_verdict::no_capacity;
+        if (verdict == host_verdict::drains_too_soon)
         {
-            best.end.reason = wait_reason::drains_too_soon;
+            best.result.reason = wait_reason::drains_too_soon;
         }
-        if (a != answer::yes)
+        if (verdict != host_verdict::suitable)
         {
             continue;
         }
         const double cost = cost_of(v, s, g);
-        if (best.end.host == nullptr || cost < best.cost)
+        if (best.result.host == nullptr || cost < best.cost)
         {
-            best.end.host = &v;
+            best.result.host = &v;
             best.cost = cost;
         }
         weighed += 1;
-        if (weighed == weighed_per_zone)
+        if (weighed == max_candidates_per_zone)
         {
             return;
         }
     }
 }
 
-/// Whether nothing beside its size narrows the job's choice, so that its failure speaks for others.
-bool is_plain(const search& s)
+/// \return whether only its size restricts the job's choice of hosts, so that its failure to find a
+/// host holds for other jobs as well.
+bool is_unrestricted(const host_search& s)
 {
     return s.it.idempotent && s.it.failures.empty() && s.it.moves == 0 &&
-           s.r.all.claims.count(s.it.id) == 0 && s.r.all.reservations.count(s.it.id) == 0;
+           s.r.all.capacity_claims.count(s.it.id) == 0 && s.r.all.reservations.count(s.it.id) == 0;
 }
 
 } // namespace
@@ -185,16 +189,17 @@
     }
 }
 
-std::pair<int, std::size_t> candidate_index::place_of(const host_view& v) const
+std::pair<int, std::size_t> candidate_index::index_key_of(const host_view& v) const
 {
     const double free = v.capacity.processors - v.load.processors;
-    // The whole room of an empty host also counts for a job whose corrected size is larger than it.
+    // An empty host counts with its whole capacity, also for a job whose corrected size is larger.
     const bool empty = v.tasks.empty();
-    const int room = empty ? std::numeric_limits<int>::max() : static_cast<int>(std::floor(free));
-    return {room, static_cast<std::size_t>(&v - views_.hosts.data())};
+    const int available =
+        empty ? std::numeric_limits<int>::max() : static_cast<int>(std::floor(free));
+    return {available, static_cast<std::size_t>(&v - views_.hosts.data())};
 }
 
-candidate_index::by_room& candidate_index::set_of(const host_view& v)
+candidate_index::by_free_processors& candidate_index::set_of(const host_view& v)
 {
     auto& sets = v.capacity.accelerators > 0 ? accelerated_ : plain_;
     return sets[static_cast<std::size_t>(v.zone)];
@@ -202,18 +207,19 @@
 
 void candidate_index::remove(const host_view& v)
 {
-    set_of(v).erase(place_of(v));
+    set_of(v).erase(index_key_of(v));
 }
 
 void candidate_index::add(const host_view& v)
 {
-    if (v.open && !v.aside && v.allowed > 0)
+    if (v.accepts_jobs && !v.set_aside && v.starts_left > 0)
     {
-        set_of(v).insert(place_of(v));
+        set_of(v).insert(index_key_of(v));
     }
 }
 
-const candidate_index::by_room& candidate_index::hosts(int zone, bool with_accelerators) const
+const candidate_index::by_free_processors& candidate_index::hosts(
+    int zone, bool with_accelerators) const
 {
     return (with_accelerators ? accelerated_ : plain_)[static_cast<std::size_t>(zone)];
 }
@@ -223,32 +229,32 @@
     return views_.hosts[n];
 }
 
-search_end find_host(candidate_index& index, const search& s)
+search_result find_host(candidate_index& index, const host_search& s)
 {
-    const group_view& g = group_view_of(s.r, s.it);
+    const group_usage& g = group_usage_of(s.r, s.it);
     best_host best;
     const bool accelerated = s.it.declared.accelerators > 0;
     for (int zone = 0; zone < s.r.views.zones; ++zone)
     {
-        weigh(best, index, index.hosts(zone, accelerated), s, g);
+        evaluate_hosts(best, index, index.hosts(zone, accelerated), s, g);
     }
-    if (best.end.host == nullptr && !accelerated)
+    if (best.result.host == nullptr && !accelerated)
     {
         for (int zone = 0; zone < s.r.views.zones; ++zone)
         {
-            weigh(best, index, index.hosts(zone, true), s, g);
+            evaluate_hosts(best, index, index.hosts(zone, true), s, g);
         }
     }
-    return best.end;
+    return best.result;
 }
 
-bool failed_sizes::covers(const search& s) const
+bool unplaceable_sizes::covers(const host_search& s) const
 {
-    if (s.r.all.claims.count(s.it.id) != 0 || s.r.all.reservations.count(s.it.id) != 0)
+    if (s.r.all.capacity_claims.count(s.it.id) != 0 || s.r.all.reservations.count(s.it.id) != 0)
     {
         return false;
     }
-    const bool favoured = is_favoured(s.it);
+    const bool may_use_reserved = may_use_reserved_hosts(s.it);
     return std::any_of(entries_.begin(),
         entries_.end(),
         [&](const entry& it)
@@ -256,39 +262,41 @@
             const bool same_hosts =
                 (it.declared.accelerators > 0) == (s.it.declared.accelerators > 0);
             return same_hosts && it.size.run_time <= s.size.run_time &&
-                   (it.favoured || !favoured) && fits(it.size.size, s.size.size) &&
+                   (it.may_use_reserved || !may_use_reserved) && fits(it.size.size, s.size.size) &&
                    fits(it.declared, s.it.declared);
         });
 }
 
-void failed_sizes::add(const search& s, const search_end& why)
+void unplaceable_sizes::add(const host_search& s, const search_result& result)
 {
-    reason_ = why.reason;
-    if (!is_plain(s))
+    reason_ = result.reason;
+    if (!is_unrestricted(s))
     {
         return;
     }
-    entry made{s.size, s.it.declared, is_favoured(s.it)};
-    if (!why.any_room)
+    entry made{s.size, s.it.declared, may_use_reserved_hosts(s.it)};
+    if (!result.any_capacity)
     {
-        // However short and however favoured, there is no room for it.
+        // There is no capacity for the job, whatever its run time and its right to use reserved
+        // hosts.
         made.size.run_time = core::millis{0};
-        made.favoured = true;
+        made.may_use_reserved = true;
     }
     std::erase_if(entries_,
         [&](const entry& it)
         {
-            return made.size.run_time <= it.size.run_time && (made.favoured || !it.favoured) &&
+            return made.size.run_time <= it.size.run_time &&
+                   (made.may_use_reserved || !it.may_use_reserved) &&
                    made.declared.accelerators == it.declared.accelerators &&
                    fits(made.size.size, it.size.size) && fits(made.declared, it.declared);
         });
-    if (entries_.size() < most_failed_sizes)
+    if (entries_.size() < max_entries)
     {
         entries_.push_back(made);
     }
 }
 
-wait_reason failed_sizes::reason() const
+wait_reason unplaceable_sizes::reason() const
 {
     return reason_;
 }
--- a/libs/jobs/src/candidates.hpp
+++ b/libs/jobs/src/candidates.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Finds the best host for a job without looking at all of them.
+/// Finds the best host for a job without a scan of all hosts.
 #pragma once
 
 #include "place.hpp"
@@ -10,15 +10,15 @@
 namespace camphorhitch::jobs
 {
 
-/// One job looking for a host.
-struct search
+/// The search of a host for one job.
+struct host_search
 {
     round_state& r;
     job& it;
     const estimate& size;
 };
 
-/// Hosts that may take a job, by zone and free processors.
+/// The hosts that may take a job, by zone and free processors.
 class candidate_index
 {
 public:
@@ -27,45 +27,46 @@
     void remove(const host_view& v);
     void add(const host_view& v);
 
-    /// By whole free processors, then by number: the same in every run.
-    using by_room = std::set<std::pair<int, std::size_t>>;
+    /// Sorted by whole free processors, then by the host's index, so that each run has the same
+    /// order.
+    using by_free_processors = std::set<std::pair<int, std::size_t>>;
 
-    const by_room& hosts(int zone, bool with_accelerators) const;
+    const by_free_processors& hosts(int zone, bool with_accelerators) const;
     host_view& at(std::size_t n) const;
 
 private:
-    std::pair<int, std::size_t> place_of(const host_view& v) const;
-    by_room& set_of(const host_view& v);
+    std::pair<int, std::size_t> index_key_of(const host_view& v) const;
+    by_free_processors& set_of(const host_view& v);
 
     host_views& views_;
-    std::vector<by_room> plain_;       ///< by zone
-    std::vector<by_room> accelerated_; ///< by zone: hosts that have any accelerator
+    std::vector<by_free_processors> plain_;       ///< by zone: hosts without accelerators
+    std::vector<by_free_processors> accelerated_; ///< by zone: hosts that have any accelerator
 };
 
-struct search_end
+struct search_result
 {
     host_view* host = nullptr;
-    wait_reason reason = wait_reason::no_room; ///< when there is none
-    bool any_room = false; ///< some host had room, but something else was against it
+    wait_reason reason = wait_reason::no_room; ///< set when no host was found
+    bool any_capacity = false; ///< some host had free capacity, but another condition excluded it
 };
 
-search_end find_host(candidate_index& index, const search& s);
+search_result find_host(candidate_index& index, const host_search& s);
 
-/// Sizes that found no host in this round. Room only shrinks in a round, so whatever is at least as
-/// large and no less particular can't find one either.
-class failed_sizes
+/// Sizes that found no host in this round. Free capacity only shrinks within a round, so a job that
+/// is at least as large and no less restricted can't find a host either.
+class unplaceable_sizes
 {
 public:
-    bool covers(const search& s) const;
-    void add(const search& s, const search_end& why);
+    bool covers(const host_search& s) const;
+    void add(const host_search& s, const search_result& result);
     wait_reason reason() const;
 
 private:
     struct entry
     {
         estimate size;
-        amounts declared;
-        bool favoured = false; ///< may use hosts that are kept for others
+        resources declared;
+        bool may_use_reserved = false; ///< may use hosts that are reserved for other jobs
     };
     std::vector<entry> entries_;
     wait_reason reason_ = wait_reason::no_room;
--- a/libs/jobs/src/codec.cpp
+++ b/libs/jobs/src/codec.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// A document holds thousands of jobs, each with a few dozen values.
+/// A document holds thousands of jobs, each with several dozen values.
 constexpr checked_json::bounds document_bounds{1u << 20, 16, 1u << 18};
 
 } // namespace
@@ -20,11 +20,11 @@
     std::vector<submission> jobs;
 };
 
-/// T, or const T when writing.
+/// T when reading, const T when writing.
 template <class T, class Record>
 concept is_record = std::is_same_v<std::remove_const_t<T>, Record>;
 
-template <class Keys, is_record<amounts> R>
+template <class Keys, is_record<resources> R>
 void describe(Keys& keys, R& r)
 {
     using checked_json::int_range;
@@ -60,28 +60,28 @@
 {
     describe_submitted(keys, r);
     keys.required("state", r.state, job_state_names)
-        .optional("since_ms", r.since_ms)
+        .optional("since_ms", r.state_since_ms)
         .optional("attempt", r.attempt)
         .optional("host", r.host)
-        .optional("starter", r.starter)
+        .optional("starter", r.recorded_by)
         .optional("reserved", r.reserved)
-        .optional("expected_ms", r.expected)
-        .optional("lease_ms", r.lease)
+        .optional("expected_ms", r.expected_run_time)
+        .optional("lease_ms", r.lease_ttl)
         .optional("throttled", r.throttled)
         .optional("releasing", r.releasing, release_reason_names)
         .optional("checkpoint", r.checkpoint)
         .optional("preemptions", r.preemptions)
         .optional("moves", r.moves)
-        .optional("moved_in", r.moved_in)
+        .optional("moved_in", r.moved_by_wave)
         .optional("failures", r.failures)
-        .optional("used", r.used)
-        .optional("ran_ms", r.ran)
-        .optional("rule", r.why.rule)
-        .optional("weighed", r.why.weighed)
-        .optional("decided_ms", r.why.at_ms);
+        .optional("used", r.peak_use)
+        .optional("ran_ms", r.measured_run_time)
+        .optional("rule", r.decision.rule)
+        .optional("weighed", r.decision.weighed)
+        .optional("decided_ms", r.decision.at_ms);
 }
 
-template <class Keys, is_record<placer_mark> R>
+template <class Keys, is_record<fencing_token> R>
 void describe(Keys& keys, R& r)
 {
     keys.optional("epoch", r.epoch).optional("incarnation", r.incarnation);
@@ -92,7 +92,7 @@
 {
     keys.required("pool", r.pool)
         .required("bucket", r.bucket, checked_json::int_range{0, buckets_per_pool - 1})
-        .defaulted("placer", r.placer)
+        .defaulted("placer", r.token)
         .optional("jobs", r.jobs, checked_json::unique_by<job>{"id", &job::id});
 }
 
--- a/libs/jobs/src/commands.cpp
+++ b/libs/jobs/src/commands.cpp
@@ -13,12 +13,12 @@
 namespace
 {
 
-/// A lease is renewed this often within its time, so that two lost renewals don't end it.
+/// Renewals of a lease within its time to live, so that the loss of two renewals does not end it.
 constexpr int renewals_per_lease = 3;
 
 using batches = std::map<std::pair<std::string, ports::task_action>, std::vector<std::string>>;
 
-struct commanding
+struct command_batch
 {
     pool_jobs& all;
     const round_input& in;
@@ -29,20 +29,22 @@
 
 bool is_due(const std::optional<core::mono_time>& sent, const round_input& in)
 {
-    return !sent || in.now - *sent >= in.rules.command_retry;
+    return !sent || in.now - *sent >= in.rules.command_retry_delay;
 }
 
-void send(commanding& c, const job& j, ports::task_action what, const std::string& task)
+void send(command_batch& c, const job& j, ports::task_action what, const std::string& task)
 {
     c.commands[{j.host, what}].push_back(task);
 }
 
-void order(commanding& c, const job& j, task_view& t)
+void issue_start_order(command_batch& c, const job& j, task_record& t)
 {
     core::require(!t.ordered_at, "a task was ordered twice", j.id);
-    core::require(j.idempotent || j.checkpoint.empty(), "a job that may run once resumes", j.id);
+    core::require(j.idempotent || j.checkpoint.empty(),
+        "a job that may run only once resumes from a checkpoint",
+        j.id);
     t.ordered_at = c.in.now;
-    t.throttled_there = false;
+    t.throttled_at_worker = false;
     start_task made;
     made.order.host = j.host;
     made.order.task = task_name(j);
@@ -50,24 +52,25 @@
     made.order.memory_gb = j.reserved.memory_gb;
     made.order.accelerators = j.reserved.accelerators;
     made.order.run_time = j.run_time;
-    made.order.lease_ttl = j.lease;
+    made.order.lease_ttl = j.lease_ttl;
     made.order.resume = !j.checkpoint.empty();
     made.order.checkpoint = j.checkpoint;
     made.order.payload = j.payload;
     c.actions.emplace_back(std::move(made));
 }
 
-core::millis patience(const job& j, const settings& rules)
+core::millis checkpoint_timeout(const job& j, const settings& rules)
 {
-    return j.releasing == release_reason::preempted ? rules.urgent_patience : rules.drain_patience;
+    return j.releasing == release_reason::preempted ? rules.preemption_checkpoint_timeout
+                                                    : rules.drain_checkpoint_timeout;
 }
 
-/// Asks for a checkpoint, and for the stop when it is there or doesn't come.
-void command_release(commanding& c, const job& j, task_view& t)
+/// Requests a checkpoint, then the stop of the task when the checkpoint is written or times out.
+void command_release(command_batch& c, const job& j, task_record& t)
 {
-    if (!t.release_since)
+    if (!t.release_started_at)
     {
-        t.release_since = c.in.now; // taken over from another owner
+        t.release_started_at = c.in.now; // the release was started by a previous owner
     }
     if (j.releasing == release_reason::preempted)
     {
@@ -81,7 +84,7 @@
     }
     const bool is_new =
         t.reported_at && !t.report.checkpoint.empty() && t.report.checkpoint != j.checkpoint;
-    const bool too_late = c.in.now - *t.release_since >= patience(j, c.in.rules);
+    const bool too_late = c.in.now - *t.release_started_at >= checkpoint_timeout(j, c.in.rules);
     if ((is_new || too_late) && is_due(t.stop_sent, c.in))
     {
         t.stop_sent = c.in.now;
@@ -89,22 +92,22 @@
     }
 }
 
-void command_throttle(commanding& c, const job& j, task_view& t)
+void command_throttle(command_batch& c, const job& j, task_record& t)
 {
-    if (t.throttled_there == j.throttled || !is_due(t.throttle_sent, c.in))
+    if (t.throttled_at_worker == j.throttled || !is_due(t.throttle_sent, c.in))
     {
         return;
     }
     t.throttle_sent = c.in.now;
-    t.throttled_there.reset();
+    t.throttled_at_worker.reset();
     t.throttle_command =
         j.throttled ? ports::task_action::throttle : ports::task_action::unthrottle;
     send(c, j, *t.throttle_command, task_name(j));
 }
 
-void command_stop(commanding& c, const job& j, task_view& t)
+void command_stop(command_batch& c, const job& j, task_record& t)
 {
-    const bool ours = j.starter == c.all.mark.incarnation;
+    const bool ours = j.recorded_by == c.all.token.incarnation;
     const bool started = !ours || t.ordered_at || t.reported_at;
     if (started && is_due(t.stop_sent, c.in))
     {
@@ -113,14 +116,14 @@
     }
 }
 
-void command_one(commanding& c, const job& j, task_view& t)
+void command_task(command_batch& c, const job& j, task_record& t)
 {
     switch (j.state)
     {
     case job_state::starting:
-        if (j.starter == c.all.mark.incarnation && !t.ordered_at)
+        if (j.recorded_by == c.all.token.incarnation && !t.ordered_at)
         {
-            order(c, j, t);
+            issue_start_order(c, j, t);
         }
         return;
     case job_state::running:
@@ -137,29 +140,30 @@
     }
 }
 
-/// A task of an older attempt that runs after all, on a worker that was taken for lost.
-void stop_older_attempts(commanding& c)
+/// Stops tasks of older attempts that still run, on workers that were considered lost.
+void stop_older_attempts(command_batch& c)
 {
     for (auto& it : c.all.tasks)
     {
-        task_view& t = it.second;
-        if (t.round == c.all.rounds)
+        task_record& t = it.second;
+        if (t.last_round == c.all.rounds)
         {
-            continue; // the task of a job that holds it
+            continue; // the current task of a job
         }
         const bool running = t.reported_at && t.report.state == ports::task_state::running &&
-                             c.in.now - *t.reported_at <= c.in.rules.report_patience;
+                             c.in.now - *t.reported_at <= c.in.rules.report_timeout;
         if (!running || !is_due(t.stop_sent, c.in))
         {
             continue;
         }
-        const std::string id = job_of_task(it.first);
+        const std::string id = job_id_of_task(it.first);
         const auto& b = c.all.buckets.at(static_cast<std::size_t>(bucket_of(id)));
         const job* j = find_job(b.document, id);
         const int attempt = j == nullptr ? 0 : attempt_of_task(*j, it.first);
-        // An attempt newer than our view's was started by a newer owner; it is left alone.
+        // A task of a newer attempt than the one in this copy was started by a newer owner; it is
+        // not touched.
         const bool older = attempt > 0 && attempt < j->attempt;
-        const bool over = attempt > 0 && attempt == j->attempt && !holds_host(*j) &&
+        const bool over = attempt > 0 && attempt == j->attempt && !may_occupy_host(*j) &&
                           j->pending_write == 0 && j->state != job_state::unknown;
         if (older || over)
         {
@@ -171,15 +175,15 @@
 
 } // namespace
 
-void command_stored(
+void issue_commands(
     pool_jobs& all, const active_jobs& active, const round_input& in, std::vector<action>& actions)
 {
-    commanding c{all, in, actions, {}, {}};
+    command_batch c{all, in, actions, {}, {}};
     for (const auto& it : active)
     {
-        if (holds_host(*it.it) && it.it->pending_write == 0)
+        if (may_occupy_host(*it.it) && it.it->pending_write == 0)
         {
-            command_one(c, *it.it, *it.task);
+            command_task(c, *it.it, *it.task);
         }
     }
     stop_older_attempts(c);
@@ -199,15 +203,15 @@
     for (const auto& it : active)
     {
         const job& j = *it.it;
-        task_view& t = *it.task;
-        const bool renewable = holds_host(j) && j.state != job_state::cancelled;
-        if (!renewable || !t.reported_at || is_silent(t, in.rules, in.now))
+        task_record& t = *it.task;
+        const bool renewable = may_occupy_host(j) && j.state != job_state::cancelled;
+        if (!renewable || !t.reported_at || is_unresponsive(t, in.rules, in.now))
         {
             continue;
         }
         const core::mono_time last = t.renewed_at.value_or(t.ordered_at.value_or(t.first_seen));
         const bool first = !t.renewed_at && !t.ordered_at;
-        if (first || in.now - last >= j.lease / renewals_per_lease)
+        if (first || in.now - last >= j.lease_ttl / renewals_per_lease)
         {
             t.renewed_at = in.now;
             due[j.host].push_back(task_name(j));
--- a/libs/jobs/src/commands.hpp
+++ b/libs/jobs/src/commands.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Orders and commands that follow from what is stored.
+/// Orders and commands that follow from the stored documents.
 #pragma once
 
 #include "place.hpp"
@@ -7,12 +7,12 @@
 namespace camphorhitch::jobs
 {
 
-/// Orders the recorded tasks, each once, and sends commands to tasks: only for jobs whose record is
-/// stored, so that whoever takes over knows of whatever was asked.
-void command_stored(
+/// Orders each recorded task once and sends commands to tasks. This is done only for jobs whose
+/// record is stored, so that the next owner has a record of everything that was requested.
+void issue_commands(
     pool_jobs& all, const active_jobs& active, const round_input& in, std::vector<action>& actions);
 
-/// Renews leases that are due, one command a host.
+/// Renews the leases that are due, with one command for each host.
 void renew_leases(const active_jobs& active, const round_input& in, std::vector<action>& actions);
 
 } // namespace camphorhitch::jobs
--- a/libs/jobs/src/health.cpp
+++ b/libs/jobs/src/health.cpp
@@ -8,11 +8,11 @@
 namespace
 {
 
-/// Jobs of one group that fail on a host say little about the host: the group may be at fault.
-/// Two groups failing in a row don't share a fault but the host.
-constexpr std::size_t groups_to_blame_host = 2;
+/// Failures of one group's jobs don't show that the host is at fault, because the group itself may
+/// be at fault. When two groups fail in a row, the host is the only common cause.
+constexpr std::size_t min_failed_groups_per_host = 2;
 
-std::size_t hosts_aside(const pool_health& all)
+std::size_t count_set_aside_hosts(const pool_health& all)
 {
     return static_cast<std::size_t>(std::count_if(
         all.hosts.begin(), all.hosts.end(), [](const auto& it) { return it.second.set_aside; }));
@@ -20,14 +20,14 @@
 
 bool may_set_aside(const pool_health& all, const settings& rules, std::size_t hosts_in_pool)
 {
-    const double most = rules.most_hosts_aside * static_cast<double>(hosts_in_pool);
-    return static_cast<double>(hosts_aside(all) + 1) <= std::max(most, 1.0);
+    const double max_hosts = rules.max_set_aside_share * static_cast<double>(hosts_in_pool);
+    return static_cast<double>(count_set_aside_hosts(all) + 1) <= std::max(max_hosts, 1.0);
 }
 
-/// The host fails what runs well elsewhere, or fails different kinds of job.
-bool host_at_fault(const pool_health& all, const host_health& h, const settings& rules)
+/// The host fails jobs that run well elsewhere, or it fails different kinds of jobs.
+bool is_host_at_fault(const pool_health& all, const host_health& h, const settings& rules)
 {
-    if (h.failed_jobs.size() < static_cast<std::size_t>(rules.jobs_to_blame_host))
+    if (h.failed_jobs.size() < static_cast<std::size_t>(rules.max_failed_jobs_per_host))
     {
         return false;
     }
@@ -36,30 +36,30 @@
         const auto it = all.groups.find(group);
         return it == all.groups.end() || it->second.failed_hosts.size() <= 1;
     };
-    return h.failed_groups.size() >= groups_to_blame_host ||
+    return h.failed_groups.size() >= min_failed_groups_per_host ||
            std::all_of(h.failed_groups.begin(), h.failed_groups.end(), fails_here_only);
 }
 
 void set_host_aside(host_health& h, const settings& rules, core::mono_time now)
 {
-    const core::millis doubled = h.probe_wait * 2;
-    h.probe_wait = h.set_aside ? std::min(doubled, rules.longest_probe_wait) : rules.probe_wait;
+    const core::millis doubled = h.probe_delay * 2;
+    h.probe_delay = h.set_aside ? std::min(doubled, rules.max_probe_delay) : rules.probe_delay;
     h.set_aside = true;
-    h.probing = false;
-    h.probe_at = now + h.probe_wait;
+    h.probe_running = false;
+    h.probe_at = now + h.probe_delay;
 }
 
 } // namespace
 
-void note_success(pool_health& all, const job& j)
+void record_success(pool_health& all, const job& j)
 {
     host_health& h = all.hosts[j.host];
     h = host_health{};
     h.proven = true;
-    all.groups[group_of(j)].failed_hosts.clear();
+    all.groups[group_name(j)].failed_hosts.clear();
 }
 
-bool note_failure(pool_health& all,
+bool record_failure(pool_health& all,
     const job& j,
     const settings& rules,
     std::size_t hosts_in_pool,
@@ -68,14 +68,14 @@
     host_health& h = all.hosts[j.host];
     h.proven = false;
     h.failed_jobs.insert(j.id);
-    h.failed_groups.insert(group_of(j));
-    all.groups[group_of(j)].failed_hosts.insert(j.host);
+    h.failed_groups.insert(group_name(j));
+    all.groups[group_name(j)].failed_hosts.insert(j.host);
     if (h.set_aside)
     {
         set_host_aside(h, rules, now);
         return false;
     }
-    if (!host_at_fault(all, h, rules) || !may_set_aside(all, rules, hosts_in_pool))
+    if (!is_host_at_fault(all, h, rules) || !may_set_aside(all, rules, hosts_in_pool))
     {
         return false;
     }
@@ -87,27 +87,28 @@
     return true;
 }
 
-int starts_allowed(const pool_health& all,
+int allowed_starts(const pool_health& all,
     const std::string& host,
-    int unsettled,
+    int unproven_tasks,
     const settings& rules,
     core::mono_time now)
 {
     const auto it = all.hosts.find(host);
     if (it == all.hosts.end())
     {
-        return rules.unproven_starts - unsettled;
+        return rules.max_starts_on_unproven_host - unproven_tasks;
     }
     const host_health& h = it->second;
     if (h.set_aside)
     {
-        return !h.probing && unsettled == 0 && now >= h.probe_at ? 1 : 0;
+        return !h.probe_running && unproven_tasks == 0 && now >= h.probe_at ? 1 : 0;
     }
     if (!h.failed_jobs.empty())
     {
-        return rules.suspect_starts - unsettled;
+        return rules.max_starts_on_suspect_host - unproven_tasks;
     }
-    return (h.proven ? rules.starts_at_once : rules.unproven_starts) - unsettled;
+    return (h.proven ? rules.max_starts_on_proven_host : rules.max_starts_on_unproven_host) -
+           unproven_tasks;
 }
 
 bool is_set_aside(const pool_health& all, const std::string& host)
@@ -122,20 +123,20 @@
     return it != all.hosts.end() && it->second.proven;
 }
 
-void note_probe(pool_health& all, const std::string& host)
+void record_probe(pool_health& all, const std::string& host)
 {
     host_health& h = all.hosts[host];
-    h.probing = h.set_aside;
+    h.probe_running = h.set_aside;
 }
 
-bool is_held_back(const pool_health& all, const std::string& group, const settings& rules)
+bool is_start_limited(const pool_health& all, const std::string& group, const settings& rules)
 {
     const auto it = all.groups.find(group);
-    return it != all.groups.end() &&
-           it->second.failed_hosts.size() >= static_cast<std::size_t>(rules.hosts_to_blame_job);
+    return it != all.groups.end() && it->second.failed_hosts.size() >=
+                                         static_cast<std::size_t>(rules.max_failed_hosts_per_job);
 }
 
-bool job_at_fault(const pool_health& all, const job& j, const settings& rules)
+bool is_job_at_fault(const pool_health& all, const job& j, const settings& rules)
 {
     int hosts = 0;
     int failures = 0;
@@ -147,7 +148,7 @@
             failures += it.count;
         }
     }
-    return hosts >= rules.hosts_to_blame_job || failures >= rules.most_failures;
+    return hosts >= rules.max_failed_hosts_per_job || failures >= rules.max_failures_per_job;
 }
 
 } // namespace camphorhitch::jobs
--- a/libs/jobs/src/host_views.cpp
+++ b/libs/jobs/src/host_views.cpp
@@ -11,15 +11,16 @@
 namespace
 {
 
-/// A task that has outlived its prediction is taken to need this share of it again.
-constexpr int overdue_share = 10;
+/// A task that has exceeded its predicted run time is assumed to need one part in this many of it
+/// again.
+constexpr int overdue_divisor = 10;
 
-core::mono_time began(const task_view& t)
+core::mono_time started_at(const task_record& t)
 {
     return t.ordered_at.value_or(t.first_seen);
 }
 
-int intern(std::map<std::string, int>& numbers, const std::string& name)
+int assign_index(std::map<std::string, int>& numbers, const std::string& name)
 {
     return numbers.try_emplace(name, static_cast<int>(numbers.size())).first->second;
 }
@@ -29,24 +30,24 @@
     host_view v;
     v.record = &host;
     v.capacity = {host.processors, host.memory_gb, host.accelerators};
-    v.open = host.state == model::host_state::serving;
+    v.accepts_jobs = host.state == model::host_state::serving;
     v.proven = is_proven(all.health, host.id);
-    v.aside = is_set_aside(all.health, host.id);
-    const auto leaving = in.leaving_in.find(host.id);
-    v.leaving_in = leaving == in.leaving_in.end() ? never : leaving->second;
+    v.set_aside = is_set_aside(all.health, host.id);
+    const auto leaving = in.time_to_drain.find(host.id);
+    v.time_to_drain = leaving == in.time_to_drain.end() ? no_drain_expected : leaving->second;
     return v;
 }
 
-bool is_unsettled(const job& j, const task_view* t)
+bool is_unproven(const job& j, const task_record* t)
 {
-    return j.state == job_state::starting || (t != nullptr && !t->proved);
+    return j.state == job_state::starting || (t != nullptr && !t->success_recorded);
 }
 
-void add_task(host_view& v, placed_job task, const round_input& in)
+void add_task(host_view& v, job_ref task, const round_input& in)
 {
     v.load = v.load + load_of(task, v.capacity, in);
     v.declared = v.declared + task.it->declared;
-    v.unsettled += is_unsettled(*task.it, task.task) ? 1 : 0;
+    v.unproven_tasks += is_unproven(*task.it, task.task) ? 1 : 0;
     v.tasks.push_back(task);
 }
 
@@ -54,7 +55,7 @@
 {
     for (const auto& it : active)
     {
-        host_view* v = holds_host(*it.it) ? find_host_view(views, it.it->host) : nullptr;
+        host_view* v = may_occupy_host(*it.it) ? find_host_view(views, it.it->host) : nullptr;
         if (v != nullptr)
         {
             add_task(*v, it, in);
@@ -64,7 +65,7 @@
 
 void add_claims(host_views& views, const pool_jobs& all)
 {
-    for (const auto& it : all.claims)
+    for (const auto& it : all.capacity_claims)
     {
         if (host_view* v = find_host_view(views, it.second.host))
         {
@@ -75,45 +76,45 @@
     {
         if (host_view* v = find_host_view(views, it.second.host))
         {
-            v->kept_for = &it.first;
-            v->kept_free_at = it.second.free_at;
+            v->reserved_for = &it.first;
+            v->reserved_free_at = it.second.free_at;
         }
     }
 }
 
 } // namespace
 
-amounts load_of(const placed_job& placed, const amounts& capacity, const round_input& in)
+resources load_of(const job_ref& placed, const resources& capacity, const round_input& in)
 {
     const job& j = *placed.it;
-    const task_view& task = *placed.task;
-    amounts load = j.reserved;
+    const task_record& task = *placed.task;
+    resources load = j.reserved;
     if (task.reported_at)
     {
-        const amounts measured{task.peak.processors * in.rules.measured_processors_factor,
-            task.peak.memory_gb * in.rules.measured_memory_factor,
+        const resources measured{task.peak_use.processors * in.rules.measured_processors_factor,
+            task.peak_use.memory_gb * in.rules.measured_memory_factor,
             j.declared.accelerators};
-        const bool trusted = in.now - began(task) >= in.rules.trust_after;
-        if (trusted && task.peak.processors > 0 && task.peak.memory_gb > 0)
+        const bool trusted = in.now - started_at(task) >= in.rules.measurement_trust_delay;
+        if (trusted && task.peak_use.processors > 0 && task.peak_use.memory_gb > 0)
         {
-            load = smaller(measured, capacity);
+            load = elementwise_min(measured, capacity);
         }
-        // Headroom beyond the whole host would keep even a lone task throttled for ever.
-        load = larger(load, smaller(measured, capacity));
+        // Headroom beyond the whole host would keep even a single task throttled for ever.
+        load = elementwise_max(load, elementwise_min(measured, capacity));
     }
-    if (j.throttled && task.throttled_there == true)
+    if (j.throttled && task.throttled_at_worker == true)
     {
         load.processors *= in.rules.throttled_share;
     }
     return load;
 }
 
-core::millis time_left(const job& j, const task_view* task, core::mono_time now)
+core::millis remaining_time(const job& j, const task_record* task, core::mono_time now)
 {
-    const auto gone = task == nullptr
-                          ? core::millis{0}
-                          : std::chrono::duration_cast<core::millis>(now - began(*task));
-    return std::max(j.expected - gone, j.expected / overdue_share);
+    const auto elapsed = task == nullptr
+                             ? core::millis{0}
+                             : std::chrono::duration_cast<core::millis>(now - started_at(*task));
+    return std::max(j.expected_run_time - elapsed, j.expected_run_time / overdue_divisor);
 }
 
 host_view* find_host_view(host_views& views, const std::string& id)
@@ -129,10 +130,10 @@
     {
         for (auto& j : b.document.jobs)
         {
-            if (holds_host(j) || j.state == job_state::unknown)
+            if (may_occupy_host(j) || j.state == job_state::unknown)
             {
-                task_view& t = view_of(all, task_name(j), now);
-                t.round = all.rounds;
+                task_record& t = find_or_add_task(all, task_name(j), now);
+                t.last_round = all.rounds;
                 active.push_back({&j, &b, &t});
             }
             else if (j.state == job_state::waiting && j.attempt > 0)
@@ -157,11 +158,12 @@
     for (const auto& it : in.hosts.hosts)
     {
         host_view v = make_view(it, all, in);
-        v.zone = intern(zones, it.zone);
-        v.rack = intern(racks, it.zone + '/' + it.rack);
-        views.open_hosts += v.open && !v.aside ? 1 : 0;
-        views.any_proven = views.any_proven || (v.open && v.proven);
-        views.any_staying = views.any_staying || (v.open && v.leaving_in == never);
+        v.zone = assign_index(zones, it.zone);
+        v.rack = assign_index(racks, it.zone + '/' + it.rack);
+        views.usable_hosts += v.accepts_jobs && !v.set_aside ? 1 : 0;
+        views.any_proven = views.any_proven || (v.accepts_jobs && v.proven);
+        views.any_not_draining =
+            views.any_not_draining || (v.accepts_jobs && v.time_to_drain == no_drain_expected);
         views.by_id.emplace(it.id, views.hosts.size());
         views.hosts.push_back(std::move(v));
     }
@@ -171,7 +173,8 @@
     add_claims(views, all);
     for (auto& it : views.hosts)
     {
-        it.allowed = starts_allowed(all.health, it.record->id, it.unsettled, in.rules, in.now);
+        it.starts_left =
+            allowed_starts(all.health, it.record->id, it.unproven_tasks, in.rules, in.now);
     }
     return views;
 }
--- a/libs/jobs/src/job.cpp
+++ b/libs/jobs/src/job.cpp
@@ -12,8 +12,8 @@
 namespace
 {
 
-/// A worker's own words go into the record; their length must not fill a document.
-constexpr std::size_t longest_weighed = 200;
+/// The record may contain a worker's text, which must not fill a document.
+constexpr std::size_t max_weighed_bytes = 200;
 
 template <class Document>
 auto find_in(Document& d, const std::string& id) -> decltype(d.jobs.data())
@@ -30,7 +30,7 @@
 
 } // namespace
 
-bool operator==(const placer_mark& a, const placer_mark& b)
+bool operator==(const fencing_token& a, const fencing_token& b)
 {
     return a.epoch == b.epoch && a.incarnation == b.incarnation;
 }
@@ -55,7 +55,7 @@
     return find_in(d, id);
 }
 
-bool holds_host(const job& j)
+bool may_occupy_host(const job& j)
 {
     switch (j.state)
     {
@@ -70,7 +70,7 @@
     }
 }
 
-bool is_over(const job& j)
+bool is_terminal(const job& j)
 {
     switch (j.state)
     {
@@ -90,7 +90,7 @@
     return task_prefix(j) + std::to_string(j.attempt);
 }
 
-std::string job_of_task(const std::string& task)
+std::string job_id_of_task(const std::string& task)
 {
     const std::size_t n = task.find('/');
     return n == std::string::npos ? std::string{} : task.substr(0, n);
@@ -107,31 +107,31 @@
     return attempt;
 }
 
-void enter(job& j, job_state next, std::int64_t now_ms, std::string rule, std::string weighed)
+void enter_state(job& j, job_state next, std::int64_t now_ms, std::string rule, std::string weighed)
 {
-    if (weighed.size() > longest_weighed)
+    if (weighed.size() > max_weighed_bytes)
     {
-        weighed.resize(longest_weighed);
+        weighed.resize(max_weighed_bytes);
     }
     std::replace_if(
         weighed.begin(), weighed.end(), [](unsigned char c) { return c < ' '; }, ' ');
     j.state = next;
-    j.since_ms = now_ms;
-    j.why = {std::move(rule), std::move(weighed), now_ms};
-    if (is_over(j))
+    j.state_since_ms = now_ms;
+    j.decision = {std::move(rule), std::move(weighed), now_ms};
+    if (is_terminal(j))
     {
         j.payload.clear();
     }
-    if (is_over(j) && !holds_host(j) && next != job_state::unknown)
+    if (is_terminal(j) && !may_occupy_host(j) && next != job_state::unknown)
     {
-        j.starter.clear();
+        j.recorded_by.clear();
         j.reserved = {};
-        j.expected = core::millis{0};
-        j.lease = core::millis{0};
+        j.expected_run_time = core::millis{0};
+        j.lease_ttl = core::millis{0};
     }
 }
 
-std::string group_of(const job& j)
+std::string group_name(const job& j)
 {
     return j.team + '/' + j.kind;
 }
--- a/libs/jobs/src/place.hpp
+++ b/libs/jobs/src/place.hpp
@@ -10,26 +10,26 @@
 namespace camphorhitch::jobs
 {
 
-/// What a team uses of its quota in this pool.
-struct team_view
+/// A team's use of its quota in this pool.
+struct team_usage
 {
-    amounts in_use;
-    amounts wanted; ///< in use and waiting together
-    amounts grant;
-    amounts quota; ///< of the configuration
+    resources in_use;
+    resources wanted; ///< declared sizes of the running and the waiting jobs
+    resources grant;
+    resources quota; ///< from the configuration
     bool configured = false;
 };
 
-/// Jobs of one team and kind in this round.
-struct group_view
+/// The jobs of one team and kind in this round.
+struct group_usage
 {
     correction size;
-    std::vector<int> in_zone; ///< tasks, by zone
+    std::vector<int> in_zone; ///< number of tasks, by zone
     std::vector<int> in_rack;
     int tasks = 0;
-    int unsettled = 0;
-    bool held_back = false;
-    bool known = false; ///< the rest is filled in
+    int unproven_tasks = 0;
+    bool start_limited = false;
+    bool initialized = false; ///< the other fields are filled in
 };
 
 /// The state of one round, shared by its steps.
@@ -39,39 +39,41 @@
     const round_input& in;
     host_views views;
     const active_jobs& active;
-    std::vector<team_view> teams;    ///< by number
-    std::vector<group_view> groups;  ///< by number
-    std::vector<placed_job> waiting; ///< in the order of placement; those placed are removed
+    std::vector<team_usage> teams;   ///< by team index
+    std::vector<group_usage> groups; ///< by group index
+    std::vector<job_ref> waiting;    ///< in the order of placement; placed jobs are removed
     std::vector<action> actions;
 };
 
-/// Collects teams, groups and the waiting jobs in order.
-void collect(round_state& r);
+/// Collects the teams, the groups and the waiting jobs in order.
+void collect_waiting(round_state& r);
 
-/// Places what fits. Leaves the others in \p r.waiting with the reason.
+/// Places the jobs that fit. The others remain in \p r.waiting with the reason.
 void place(round_state& r);
 
-/// Records a task of the job on the host.
+/// Records a new task of the job on the host.
 void assign(round_state& r,
-    placed_job& waiting,
+    job_ref& waiting,
     host_view& host,
     const estimate& size,
     const std::string& rule,
     const std::string& weighed);
 
-/// \return the team and the group of a job.
-team_view& team_view_of(round_state& r, job& j);
-group_view& group_view_of(round_state& r, job& j);
+/// \return the usage of a job's team and group.
+team_usage& team_usage_of(round_state& r, job& j);
+group_usage& group_usage_of(round_state& r, job& j);
 
-/// \return what the job must find free on that host: its corrected size, but not more than the
-/// whole host when its declared size fits there.
-amounts need_on(const amounts& size, const amounts& declared, const amounts& capacity);
+/// \return the free resources that the job needs on the host: its corrected size, but not more than
+/// the whole host when its declared size fits there.
+resources required_resources(
+    const resources& size, const resources& declared, const resources& capacity);
 
-/// \return whether the host can take the job beside its load and the room being made for others.
-bool has_room(const host_view& v,
-    const amounts& need,
-    const amounts& declared,
-    const amounts& own_claim,
+/// \return whether the host can take the job in addition to its load and to the capacity that is
+/// being freed for other jobs.
+bool has_capacity(const host_view& v,
+    const resources& need,
+    const resources& declared,
+    const resources& own_claim,
     const settings& rules);
 
 } // namespace camphorhitch::jobs
--- a/libs/jobs/src/pool_jobs.cpp
+++ b/libs/jobs/src/pool_jobs.cpp
@@ -12,46 +12,45 @@
 namespace
 {
 
-bool is_newer(const placer_mark& a, const placer_mark& b)
+bool is_newer(const fencing_token& a, const fencing_token& b)
 {
     return a.epoch > b.epoch;
 }
 
-bool is_due(const bucket_view& b, const settings& rules, core::mono_time now)
+bool is_due(const bucket_state& b, const settings& rules, core::mono_time now)
 {
     if (!b.loaded || b.in_flight != 0)
     {
         return false;
     }
     return b.need == write_need::soon ||
-           (b.need == write_need::lazy && now - b.need_since >= rules.lazy_write);
+           (b.need == write_need::lazy && now - b.need_since >= rules.lazy_write_delay);
 }
 
-bool holds_work(const bucket_view& b)
+bool has_work(const bucket_state& b)
 {
     return std::any_of(b.document.jobs.begin(),
         b.document.jobs.end(),
-        [](const job& j) { return !is_over(j) || holds_host(j); });
+        [](const job& j) { return !is_terminal(j) || may_occupy_host(j); });
 }
 
-/// Puts our mark into a document that lacks it.
-void fence(pool_jobs& all, bucket_view& b, core::mono_time now)
+/// Puts this owner's token into a document that lacks it.
+void fence(pool_jobs& all, bucket_state& b, core::mono_time now)
 {
-    if (b.document.placer == all.mark)
+    if (b.document.token == all.token)
     {
         return;
     }
-    b.document.placer = all.mark;
-    touch(b, write_need::soon, now);
+    b.document.token = all.token;
+    mark_changed(b, write_need::soon, now);
 }
 
-/// A pool without any job is left alone: there is nothing to place, and so nothing to guard.
-void fence_when_needed(pool_jobs& all, core::mono_time now)
+/// A pool without any job is not written: there is nothing to place, and so nothing to guard.
+void fence_if_needed(pool_jobs& all, core::mono_time now)
 {
     const bool loaded = std::all_of(
-        all.buckets.begin(), all.buckets.end(), [](const bucket_view& b) { return b.loaded; });
-    if (all.superseded || !loaded ||
-        std::none_of(all.buckets.begin(), all.buckets.end(), holds_work))
+        all.buckets.begin(), all.buckets.end(), [](const bucket_state& b) { return b.loaded; });
+    if (all.superseded || !loaded || std::none_of(all.buckets.begin(), all.buckets.end(), has_work))
     {
         return;
     }
@@ -61,37 +60,38 @@
     }
 }
 
-/// The document may come from another object's memory, whose numbers mean nothing here.
-void forget_transient(job& j)
+/// The document may come from another object's memory, whose write numbers and indexes are not
+/// valid here.
+void reset_transient(job& j)
 {
     j.pending_write = 0;
     j.waits_for = wait_reason::none;
-    j.team_number = -1;
-    j.group_number = -1;
+    j.team_index = -1;
+    j.group_index = -1;
 }
 
 } // namespace
 
-pool_jobs make_pool_jobs(std::string pool, placer_mark mark, core::mono_time now)
+pool_jobs make_pool_jobs(std::string pool, fencing_token token, core::mono_time now)
 {
     pool_jobs all;
-    core::require(mark.epoch > 0, "an owner's mark needs an epoch");
+    core::require(token.epoch > 0, "an owner's fencing token needs an epoch");
     all.pool = std::move(pool);
-    all.mark = std::move(mark);
-    all.since = now;
+    all.token = std::move(token);
+    all.taken_over_at = now;
     return all;
 }
 
-bool take_document(
+bool apply_document(
     pool_jobs& all, int bucket, job_document stored, read_cause cause, core::mono_time now)
 {
-    bucket_view& b = all.buckets.at(static_cast<std::size_t>(bucket));
+    bucket_state& b = all.buckets.at(static_cast<std::size_t>(bucket));
     if (b.in_flight != 0)
     {
         return false;
     }
-    if (is_newer(stored.placer, all.mark) ||
-        (stored.placer.epoch == all.mark.epoch && !(stored.placer == all.mark)))
+    if (is_newer(stored.token, all.token) ||
+        (stored.token.epoch == all.token.epoch && !(stored.token == all.token)))
     {
         all.superseded = true;
         return true;
@@ -101,25 +101,26 @@
     b.document.bucket = bucket;
     for (auto& it : b.document.jobs)
     {
-        forget_transient(it);
+        reset_transient(it);
     }
     b.loaded = true;
-    b.fenced = b.document.placer == all.mark;
+    b.fenced = b.document.token == all.token;
     b.need = write_need::none;
     if (cause == read_cause::newer)
     {
-        b.doubtful = false;
+        b.uncertain = false;
     }
-    if (b.doubtful)
+    if (b.uncertain)
     {
-        // A write of ours at the same revision settles it: after that, the older can only conflict.
-        touch(b, write_need::soon, now);
+        // A write of this process at the same revision decides the matter: after it, the older
+        // write can only end in a conflict.
+        mark_changed(b, write_need::soon, now);
     }
-    fence_when_needed(all, now);
+    fence_if_needed(all, now);
     return true;
 }
 
-std::vector<due_write> due_writes(pool_jobs& all, const settings& rules, core::mono_time now)
+std::vector<due_write> begin_due_writes(pool_jobs& all, const settings& rules, core::mono_time now)
 {
     std::vector<due_write> due;
     if (all.superseded)
@@ -128,12 +129,12 @@
     }
     for (std::size_t i = 0; i < all.buckets.size(); ++i)
     {
-        bucket_view& b = all.buckets[i];
+        bucket_state& b = all.buckets[i];
         if (is_due(b, rules, now))
         {
             b.in_flight = b.next_write;
             b.next_write += 1;
-            b.in_flight_marked = b.document.placer == all.mark;
+            b.in_flight_fenced = b.document.token == all.token;
             b.need = write_need::none;
             due.push_back({static_cast<int>(i), &b.document});
         }
@@ -141,15 +142,15 @@
     return due;
 }
 
-void write_ended(pool_jobs& all, int bucket, write_end how)
+void record_write_result(pool_jobs& all, int bucket, write_result how)
 {
-    bucket_view& b = all.buckets.at(static_cast<std::size_t>(bucket));
-    core::require(b.in_flight != 0, "a write ended that was not under way");
+    bucket_state& b = all.buckets.at(static_cast<std::size_t>(bucket));
+    core::require(b.in_flight != 0, "a write result was recorded without a write in flight");
     const std::uint64_t number = std::exchange(b.in_flight, 0);
-    if (how == write_end::stored)
+    if (how == write_result::stored)
     {
-        b.fenced = b.in_flight_marked;
-        b.doubtful = false;
+        b.fenced = b.in_flight_fenced;
+        b.uncertain = false;
         for (auto& it : b.document.jobs)
         {
             if (it.pending_write <= number)
@@ -160,27 +161,27 @@
         return;
     }
     b.loaded = false;
-    b.doubtful = b.doubtful || how == write_end::doubt;
+    b.uncertain = b.uncertain || how == write_result::unknown;
 }
 
-bool may_place(const pool_jobs& all)
+bool can_place(const pool_jobs& all)
 {
     return !all.superseded &&
            std::all_of(all.buckets.begin(),
                all.buckets.end(),
-               [](const bucket_view& b) { return b.loaded && b.fenced && !b.doubtful; });
+               [](const bucket_state& b) { return b.loaded && b.fenced && !b.uncertain; });
 }
 
-bool counts_all_tasks(const pool_jobs& all)
+bool has_complete_task_count(const pool_jobs& all)
 {
     const bool loaded = std::all_of(all.buckets.begin(),
         all.buckets.end(),
-        [](const bucket_view& b) { return b.loaded && !b.doubtful; });
-    const bool idle = std::none_of(all.buckets.begin(), all.buckets.end(), holds_work);
-    return !all.superseded && loaded && (idle || may_place(all));
+        [](const bucket_state& b) { return b.loaded && !b.uncertain; });
+    const bool idle = std::none_of(all.buckets.begin(), all.buckets.end(), has_work);
+    return !all.superseded && loaded && (idle || can_place(all));
 }
 
-void touch(bucket_view& b, write_need need, core::mono_time now)
+void mark_changed(bucket_state& b, write_need need, core::mono_time now)
 {
     if (b.need < write_need::lazy)
     {
@@ -189,13 +190,13 @@
     b.need = std::max(b.need, need);
 }
 
-void touch(bucket_view& b, job& j, write_need need, core::mono_time now)
+void mark_changed(bucket_state& b, job& j, write_need need, core::mono_time now)
 {
-    touch(b, need, now);
+    mark_changed(b, need, now);
     j.pending_write = b.next_write;
 }
 
-void note_reports(pool_jobs& all,
+void record_reports(pool_jobs& all,
     const std::string& host,
     const ports::task_reports& reports,
     core::mono_time now)
@@ -206,24 +207,24 @@
     }
     for (const auto& it : reports.tasks)
     {
-        task_view& t = view_of(all, it.task, now);
+        task_record& t = find_or_add_task(all, it.task, now);
         t.reported_at = now;
         t.report = it;
         t.report.host = host;
-        t.peak.processors = std::max(t.peak.processors, it.processors_used);
-        t.peak.memory_gb = std::max(t.peak.memory_gb, it.memory_gb_used);
+        t.peak_use.processors = std::max(t.peak_use.processors, it.processors_used);
+        t.peak_use.memory_gb = std::max(t.peak_use.memory_gb, it.memory_gb_used);
     }
 }
 
-void note_order_ended(pool_jobs& all, const std::string& task, ports::platform_status how)
+void record_order_result(pool_jobs& all, const std::string& task, ports::platform_status how)
 {
     if (const auto it = all.tasks.find(task); it != all.tasks.end())
     {
-        it->second.order_ended = how;
+        it->second.order_result = how;
     }
 }
 
-void note_command_ended(pool_jobs& all,
+void record_command_result(pool_jobs& all,
     const std::vector<std::string>& tasks,
     ports::task_action what,
     ports::platform_status how)
@@ -239,16 +240,16 @@
         const auto found = all.tasks.find(it);
         if (found != all.tasks.end() && found->second.throttle_command == what)
         {
-            found->second.throttled_there = what == ports::task_action::throttle;
+            found->second.throttled_at_worker = what == ports::task_action::throttle;
         }
     }
 }
 
-void note_granted(pool_jobs& all, const quota_wish& wish, const amounts& granted)
+void record_grant(pool_jobs& all, const quota_request& request, const resources& granted)
 {
-    if (wish.owner == all.mark)
+    if (request.owner == all.token)
     {
-        team_grant& t = all.teams[wish.team];
+        team_grant& t = all.teams[request.team];
         t.granted = granted;
         t.pending = false;
     }
@@ -261,7 +262,7 @@
     {
         for (const auto& j : b.document.jobs)
         {
-            if (holds_host(j) || j.state == job_state::unknown)
+            if (may_occupy_host(j) || j.state == job_state::unknown)
             {
                 hosts.insert(j.host);
             }
@@ -270,9 +271,9 @@
     return {hosts.begin(), hosts.end()};
 }
 
-int number_of(name_numbers& all, const std::string& name)
+int index_of(name_index& all, const std::string& name)
 {
-    const auto [it, added] = all.numbers.try_emplace(name, static_cast<int>(all.names.size()));
+    const auto [it, added] = all.indexes.try_emplace(name, static_cast<int>(all.names.size()));
     if (added)
     {
         all.names.push_back(name);
@@ -280,7 +281,7 @@
     return it->second;
 }
 
-task_view& view_of(pool_jobs& all, const std::string& task, core::mono_time now)
+task_record& find_or_add_task(pool_jobs& all, const std::string& task, core::mono_time now)
 {
     const auto [it, added] = all.tasks.try_emplace(task);
     if (added)
@@ -290,14 +291,14 @@
     return it->second;
 }
 
-int tasks_on(const pool_jobs& all, const std::string& host)
+int count_tasks_on(const pool_jobs& all, const std::string& host)
 {
     int n = 0;
     for (const auto& b : all.buckets)
     {
         n += static_cast<int>(std::count_if(b.document.jobs.begin(),
             b.document.jobs.end(),
-            [&](const job& j) { return holds_host(j) && j.host == host; }));
+            [&](const job& j) { return may_occupy_host(j) && j.host == host; }));
     }
     return n;
 }
--- a/libs/jobs/src/quota.cpp
+++ b/libs/jobs/src/quota.cpp
@@ -12,24 +12,24 @@
 namespace
 {
 
-/// A grant is made larger than asked, so that a growing queue doesn't cost a write for each job.
-constexpr double spare_factor = 1.25;
+/// A grant is larger than requested, so that a growing queue does not cost a write for each job.
+constexpr double headroom_factor = 1.25;
 
-amounts scaled(const amounts& a, double by)
+resources scaled(const resources& a, double by)
 {
     return {a.processors * by,
         a.memory_gb * by,
         static_cast<int>(std::ceil(static_cast<double>(a.accelerators) * by))};
 }
 
-amounts equal_part(const amounts& quota, int pools)
+resources equal_share(const resources& quota, int pools)
 {
     return {quota.processors / pools, quota.memory_gb / pools, quota.accelerators / pools};
 }
 
-amounts sum_of(const quota_document& d)
+resources sum_of(const quota_document& d)
 {
-    amounts sum;
+    resources sum;
     for (const auto& it : d.grants)
     {
         sum = sum + it.granted;
@@ -49,35 +49,37 @@
     return d.grants.back();
 }
 
-bool lacks(const quota_grant& it)
+bool is_short(const quota_grant& it)
 {
     return !fits(it.wanted, it.granted);
 }
 
-int lacking_pools(const quota_document& d, const std::string& but)
+int count_short_pools(const quota_document& d, const std::string& except)
 {
     return static_cast<int>(std::count_if(d.grants.begin(),
         d.grants.end(),
-        [&](const auto& it) { return it.pool != but && lacks(it); }));
+        [&](const auto& it) { return it.pool != except && is_short(it); }));
 }
 
-int pools_with_interest(const quota_document& d)
+int count_interested_pools(const quota_document& d)
 {
     const auto n = std::count_if(d.grants.begin(),
         d.grants.end(),
-        [](const auto& it) { return !(it.wanted == amounts{}) || !(it.granted == amounts{}); });
+        [](const auto& it) { return !(it.wanted == resources{}) || !(it.granted == resources{}); });
     return std::max(1, static_cast<int>(n));
 }
 
-amounts target_of(
-    const quota_document& d, const quota_grant& own, const amounts& in_use, const amounts& quota)
+resources target_for(const quota_document& d,
+    const quota_grant& own,
+    const resources& in_use,
+    const resources& quota)
 {
-    if (lacking_pools(d, own.pool) == 0)
+    if (count_short_pools(d, own.pool) == 0)
     {
-        return scaled(own.wanted, spare_factor);
+        return scaled(own.wanted, headroom_factor);
     }
-    const amounts part = equal_part(quota, pools_with_interest(d));
-    return larger(in_use, smaller(own.wanted, part));
+    const resources part = equal_share(quota, count_interested_pools(d));
+    return elementwise_max(in_use, elementwise_min(own.wanted, part));
 }
 
 } // namespace
@@ -87,11 +89,11 @@
     return model::keys::quotas + team;
 }
 
-std::optional<amounts> granted_to(const quota_document& d, const quota_wish& wish)
+std::optional<resources> find_grant(const quota_document& d, const quota_request& request)
 {
     for (const auto& it : d.grants)
     {
-        if (it.pool == wish.pool && it.owner == wish.owner)
+        if (it.pool == request.pool && it.owner == request.owner)
         {
             return it.granted;
         }
@@ -99,39 +101,42 @@
     return std::nullopt;
 }
 
-amounts smaller(const amounts& a, const amounts& b)
+resources elementwise_min(const resources& a, const resources& b)
 {
     return {std::min(a.processors, b.processors),
         std::min(a.memory_gb, b.memory_gb),
         std::min(a.accelerators, b.accelerators)};
 }
 
-amounts larger(const amounts& a, const amounts& b)
+resources elementwise_max(const resources& a, const resources& b)
 {
     return {std::max(a.processors, b.processors),
         std::max(a.memory_gb, b.memory_gb),
         std::max(a.accelerators, b.accelerators)};
 }
 
-bool adjust(quota_document& d, const quota_wish& wish, const amounts& quota)
+bool adjust_grant(quota_document& d, const quota_request& request, const resources& quota)
 {
-    const amounts before = sum_of(d);
-    quota_grant& own = grant_of(d, wish.pool);
+    const resources before = sum_of(d);
+    quota_grant& own = grant_of(d, request.pool);
     const quota_grant old = own;
-    if (old.owner.epoch > wish.owner.epoch)
+    if (old.owner.epoch > request.owner.epoch)
     {
         return false;
     }
-    own.owner = wish.owner;
-    own.wanted = smaller(wish.wanted, quota);
-    const amounts others = before - own.granted;
-    const amounts left = larger(quota - others, {});
-    const amounts target = smaller(target_of(d, own, wish.in_use, quota), left);
-    // What runs can't be taken back: after a quota was lowered the use stands until jobs end.
-    own.granted = larger(target, smaller(wish.in_use, own.granted));
-    core::require(
-        fits(sum_of(d), larger(quota, before)), "a team's grants exceed its quota", d.team);
-    return !(own.owner == old.owner) || !(own.granted == old.granted) || lacks(own) != lacks(old);
+    own.owner = request.owner;
+    own.wanted = elementwise_min(request.wanted, quota);
+    const resources others = before - own.granted;
+    const resources remaining = elementwise_max(quota - others, {});
+    const resources target = elementwise_min(target_for(d, own, request.in_use, quota), remaining);
+    // The quota of running jobs can't be taken back: after a quota was lowered, the use remains
+    // granted until jobs end.
+    own.granted = elementwise_max(target, elementwise_min(request.in_use, own.granted));
+    core::require(fits(sum_of(d), elementwise_max(quota, before)),
+        "a team's grants exceed its quota",
+        d.team);
+    return !(own.owner == old.owner) || !(own.granted == old.granted) ||
+           is_short(own) != is_short(old);
 }
 
 } // namespace camphorhitch::jobs
--- a/libs/jobs/src/reconcile.cpp
+++ b/libs/jobs/src/reconcile.cpp
@@ -12,28 +12,28 @@
 namespace
 {
 
-constexpr int most_doublings = 8;
+constexpr int max_doublings = 8;
 
-/// A longer name is taken for none: it would not fit the documents.
-constexpr std::size_t longest_checkpoint_name = 128;
+/// A longer name is ignored, because it would not fit the documents.
+constexpr std::size_t max_checkpoint_name_bytes = 128;
 
 /// Why a job may be given a new task.
-enum class restart_proof
+enum class restart_reason
 {
-    never_started, ///< the platform said that the order was not carried out
-    has_stopped,   ///< the worker says so
-    has_lapsed     ///< its lease has certainly lapsed; a paused worker may still run it
+    never_started, ///< the platform reported that the order was not carried out
+    has_stopped,   ///< the worker reported that the task has stopped
+    lease_expired  ///< the lease has certainly expired; a paused worker may still run the task
 };
 
-/// Everything that taking in one task needs.
-struct reconciling
+/// The state that the reconciliation of one task needs.
+struct task_context
 {
     pool_jobs& all;
     const round_input& in;
     std::vector<action>& actions;
-    bucket_view& bucket;
+    bucket_state& bucket;
     job& it;
-    task_view& task;
+    task_record& task;
 };
 
 std::int64_t now_ms(const round_input& in)
@@ -41,72 +41,74 @@
     return core::to_unix_ms(in.wall_now);
 }
 
-void change(reconciling& r, job_state next, write_need need, std::string rule, std::string weighed)
+void change_state(
+    task_context& r, job_state next, write_need need, std::string rule, std::string weighed)
 {
-    enter(r.it, next, now_ms(r.in), std::move(rule), std::move(weighed));
-    touch(r.bucket, r.it, need, r.in.now);
+    enter_state(r.it, next, now_ms(r.in), std::move(rule), std::move(weighed));
+    mark_changed(r.bucket, r.it, need, r.in.now);
 }
 
-void wait_again(reconciling& r, restart_proof proof, std::string rule, std::string weighed)
+void requeue(task_context& r, restart_reason proof, std::string rule, std::string weighed)
 {
-    core::require(r.it.idempotent || proof == restart_proof::never_started,
+    core::require(r.it.idempotent || proof == restart_reason::never_started,
         "a job that may run once only would start again",
         r.it.id);
     r.it.host.clear();
     r.it.reserved = {};
     r.it.throttled = false;
     r.it.releasing = release_reason::none;
-    change(r, job_state::waiting, write_need::soon, std::move(rule), std::move(weighed));
+    change_state(r, job_state::waiting, write_need::soon, std::move(rule), std::move(weighed));
 }
 
-void back_off(reconciling& r, int failures)
+void back_off(task_context& r, int failures)
 {
-    const int doublings = std::min(failures - 1, most_doublings);
-    r.all.wait_until[r.it.id] = r.in.now + r.in.rules.retry_wait * (1 << doublings);
+    const int doublings = std::min(failures - 1, max_doublings);
+    r.all.retry_at[r.it.id] = r.in.now + r.in.rules.retry_delay * (1 << doublings);
 }
 
-void suspect_host(reconciling& r)
+void record_host_failure(task_context& r)
 {
-    if (std::exchange(r.task.judged, true))
+    if (std::exchange(r.task.end_recorded, true))
     {
         return;
     }
-    const bool aside =
-        note_failure(r.all.health, r.it, r.in.rules, r.in.hosts.hosts.size(), r.in.now);
-    if (aside)
+    const bool set_aside =
+        record_failure(r.all.health, r.it, r.in.rules, r.in.hosts.hosts.size(), r.in.now);
+    if (set_aside)
     {
         r.actions.emplace_back(
-            worker_judged{r.it.host, true, "different jobs fail there that run elsewhere"});
+            worker_health_changed{r.it.host, true, "different jobs that run elsewhere fail there"});
     }
 }
 
-void praise_host(reconciling& r)
+void record_host_success(task_context& r)
 {
-    r.task.proved = true;
+    r.task.success_recorded = true;
     if (is_set_aside(r.all.health, r.it.host))
     {
-        r.actions.emplace_back(worker_judged{r.it.host, false, "a probe ran well"});
+        r.actions.emplace_back(worker_health_changed{r.it.host, false, "a probe ran well"});
     }
-    note_success(r.all.health, r.it);
+    record_success(r.all.health, r.it);
 }
 
-void keep_measures(reconciling& r)
+void store_measurements(task_context& r)
 {
-    r.it.used = r.task.peak;
+    r.it.peak_use = r.task.peak_use;
     if (r.task.ordered_at && r.it.checkpoint.empty())
     {
-        r.it.ran = std::chrono::duration_cast<core::millis>(r.in.now - *r.task.ordered_at);
+        r.it.measured_run_time =
+            std::chrono::duration_cast<core::millis>(r.in.now - *r.task.ordered_at);
     }
 }
 
-void on_finished(reconciling& r)
+void on_finished(task_context& r)
 {
-    keep_measures(r);
-    praise_host(r);
-    change(r, job_state::finished, write_need::soon, "task_finished", "on " + r.it.host);
-    if (!std::exchange(r.task.judged, true))
+    store_measurements(r);
+    record_host_success(r);
+    change_state(r, job_state::finished, write_need::soon, "task_finished", "on " + r.it.host);
+    if (!std::exchange(r.task.end_recorded, true))
     {
-        learn(r.all.sizes, r.it);
+        record_measurements(r.all.estimates, r.it);
     }
 }
 
@@ -131,7 +133,7 @@
     return n;
 }
 
-std::string failures_text(const job& j)
+std::string describe_failures(const job& j)
 {
     std::string text = "failed on";
     for (const auto& it : j.failures)
@@ -141,38 +143,38 @@
     return text;
 }
 
-void on_failed(reconciling& r)
+void on_failed(task_context& r)
 {
-    keep_measures(r);
+    store_measurements(r);
     const int failures = count_failure(r.it);
-    suspect_host(r);
-    const std::string text = failures_text(r.it) + ": " + r.task.report.detail;
+    record_host_failure(r);
+    const std::string text = describe_failures(r.it) + ": " + r.task.report.detail;
     if (!r.it.idempotent)
     {
-        change(r, job_state::failed, write_need::soon, "failed_and_may_run_once", text);
+        change_state(r, job_state::failed, write_need::soon, "failed_and_may_run_once", text);
     }
-    else if (job_at_fault(r.all.health, r.it, r.in.rules))
+    else if (is_job_at_fault(r.all.health, r.it, r.in.rules))
     {
-        change(r, job_state::set_aside, write_need::soon, "fails_on_several_hosts", text);
+        change_state(r, job_state::set_aside, write_need::soon, "fails_on_several_hosts", text);
     }
     else
     {
-        wait_again(r, restart_proof::has_stopped, "failed_and_tried_again", text);
+        requeue(r, restart_reason::has_stopped, "failed_and_tried_again", text);
         back_off(r, failures);
     }
 }
 
-bool has_new_checkpoint(const reconciling& r)
+bool has_new_checkpoint(const task_context& r)
 {
     const std::string& name = r.task.report.checkpoint;
-    return !name.empty() && name.size() <= longest_checkpoint_name && name != r.it.checkpoint;
+    return !name.empty() && name.size() <= max_checkpoint_name_bytes && name != r.it.checkpoint;
 }
 
-void on_stopped(reconciling& r)
+void on_stopped(task_context& r)
 {
     if (!r.it.idempotent)
     {
-        change(r,
+        change_state(r,
             job_state::failed,
             write_need::soon,
             "stopped_and_may_run_once",
@@ -187,73 +189,73 @@
     r.it.preemptions += r.it.releasing == release_reason::preempted ? 1 : 0;
     const std::string from = r.it.checkpoint.empty() ? std::string{"from its start"}
                                                      : "from checkpoint " + r.it.checkpoint;
-    wait_again(r,
-        restart_proof::has_stopped,
+    requeue(r,
+        restart_reason::has_stopped,
         std::string{core::name_of(release_reason_names, r.it.releasing)} + "_and_stopped",
-        "left " + r.it.host + "; goes on " + from);
+        "left " + r.it.host + "; continues " + from);
 }
 
-void on_lost(reconciling& r)
+void on_lost(task_context& r)
 {
-    suspect_host(r);
+    record_host_failure(r);
     if (!r.it.idempotent)
     {
-        change(r,
+        change_state(r,
             job_state::unknown,
             write_need::soon,
             "may_have_run_and_may_run_once",
-            "no word of its task on " + r.it.host + " within its lease");
+            "no report of its task on " + r.it.host + " within its lease");
         return;
     }
     const std::string host = r.it.host;
-    wait_again(r, restart_proof::has_lapsed, "lease_lapsed", "no word of its task on " + host);
+    requeue(r, restart_reason::lease_expired, "lease_lapsed", "no report of its task on " + host);
 }
 
-void on_refused(reconciling& r)
+void on_refused(task_context& r)
 {
-    suspect_host(r);
+    record_host_failure(r);
     const std::string host = r.it.host;
-    wait_again(r, restart_proof::never_started, "start_refused", "by " + host);
+    requeue(r, restart_reason::never_started, "start_refused", "by " + host);
     back_off(r, 1);
 }
 
-void on_running(reconciling& r)
+void on_running(task_context& r)
 {
     if (r.it.state == job_state::starting)
     {
-        r.it.state = job_state::running; // the record goes on saying why it was placed there
-        r.it.since_ms = now_ms(r.in);
-        touch(r.bucket, r.it, write_need::lazy, r.in.now);
+        r.it.state = job_state::running; // the record still states why the job was placed there
+        r.it.state_since_ms = now_ms(r.in);
+        mark_changed(r.bucket, r.it, write_need::lazy, r.in.now);
     }
     if (has_new_checkpoint(r) && r.it.state == job_state::running)
     {
         r.it.checkpoint = r.task.report.checkpoint;
-        touch(r.bucket, r.it, write_need::lazy, r.in.now);
+        mark_changed(r.bucket, r.it, write_need::lazy, r.in.now);
     }
-    const bool settled =
-        r.task.ordered_at && r.in.now - *r.task.ordered_at >= r.in.rules.proven_after;
-    if (!r.task.proved && (settled || !r.task.ordered_at))
+    const bool ran_long_enough =
+        r.task.ordered_at && r.in.now - *r.task.ordered_at >= r.in.rules.min_proof_run_time;
+    if (!r.task.success_recorded && (ran_long_enough || !r.task.ordered_at))
     {
-        praise_host(r);
+        record_host_success(r);
     }
 }
 
-/// A job that holds a task.
-void take_in_live(reconciling& r)
+/// Reconciles a job whose task may run.
+void reconcile_active(task_context& r)
 {
-    const bool ours = r.it.starter == r.all.mark.incarnation;
+    const bool ours = r.it.recorded_by == r.all.token.incarnation;
     if (ours && !r.task.ordered_at && !r.task.reported_at)
     {
         return; // recorded, not ordered yet
     }
-    if (r.task.order_ended == ports::platform_status::refused && !r.task.reported_at)
+    if (r.task.order_result == ports::platform_status::refused && !r.task.reported_at)
     {
         on_refused(r);
         return;
     }
-    if (is_silent(r.task, r.in.rules, r.in.now))
+    if (is_unresponsive(r.task, r.in.rules, r.in.now))
     {
-        if (has_lapsed(r.all, r.it, r.task, r.in))
+        if (has_lease_expired(r.all, r.it, r.task, r.in))
         {
             on_lost(r);
         }
@@ -283,55 +285,57 @@
     }
 }
 
-/// A cancelled job whose task may still run: its host's room is free only when it surely stopped.
-void take_in_cancelled(reconciling& r)
+/// Reconciles a cancelled job whose task may still run. The host's capacity becomes free only when
+/// the task has certainly stopped.
+void reconcile_cancelled(task_context& r)
 {
-    const bool ours = r.it.starter == r.all.mark.incarnation;
+    const bool ours = r.it.recorded_by == r.all.token.incarnation;
     const bool never_ordered = ours && !r.task.ordered_at && !r.task.reported_at;
     const bool refused =
-        r.task.order_ended == ports::platform_status::refused && !r.task.reported_at;
-    const bool reported_over =
+        r.task.order_result == ports::platform_status::refused && !r.task.reported_at;
+    const bool reported_ended =
         r.task.reported_at && r.task.report.state != ports::task_state::running;
-    const bool lapsed =
-        is_silent(r.task, r.in.rules, r.in.now) && has_lapsed(r.all, r.it, r.task, r.in);
-    if (reported_over && r.task.report.state == ports::task_state::finished)
+    const bool lease_expired = is_unresponsive(r.task, r.in.rules, r.in.now) &&
+                               has_lease_expired(r.all, r.it, r.task, r.in);
+    if (reported_ended && r.task.report.state == ports::task_state::finished)
     {
         on_finished(r);
-        r.it.why.weighed += "; the cancellation came too late";
+        r.it.decision.weighed += "; the cancellation came too late";
     }
-    else if (never_ordered || refused || reported_over || lapsed)
+    else if (never_ordered || refused || reported_ended || lease_expired)
     {
         r.it.host.clear();
-        touch(r.bucket, r.it, write_need::with_next, r.in.now);
+        mark_changed(r.bucket, r.it, write_need::with_next, r.in.now);
     }
 }
 
-/// A job of unknown outcome: only what a worker says of that very task can tell.
-void take_in_unknown(reconciling& r)
+/// Reconciles a job of unknown outcome. Only a worker's report about that task can decide the
+/// outcome.
+void reconcile_unknown(task_context& r)
 {
-    if (!r.task.reported_at || is_silent(r.task, r.in.rules, r.in.now))
+    if (!r.task.reported_at || is_unresponsive(r.task, r.in.rules, r.in.now))
     {
         return;
     }
     switch (r.task.report.state)
     {
     case ports::task_state::running:
-        change(r, job_state::running, write_need::soon, "seen_running_after_all", r.it.host);
+        change_state(r, job_state::running, write_need::soon, "seen_running_after_all", r.it.host);
         return;
     case ports::task_state::finished:
         on_finished(r);
         return;
     case ports::task_state::failed:
     case ports::task_state::stopped:
-        change(r, job_state::failed, write_need::soon, "seen_ended_after_all", r.it.host);
+        change_state(r, job_state::failed, write_need::soon, "seen_ended_after_all", r.it.host);
         return;
     case ports::task_state::lapsed:
         return;
     }
 }
 
-/// A job waiting for another try may prove to have finished in its last one.
-void take_in_late_end(reconciling& r)
+/// Reconciles a job that waits for another attempt. Its last attempt may turn out to have finished.
+void reconcile_waiting(task_context& r)
 {
     if (r.task.reported_at && r.task.report.state == ports::task_state::finished)
     {
@@ -340,51 +344,53 @@
     }
 }
 
-void take_in(reconciling r)
+void reconcile_task(task_context r)
 {
     switch (r.it.state)
     {
     case job_state::waiting:
-        take_in_late_end(r);
+        reconcile_waiting(r);
         return;
     case job_state::cancelled:
-        take_in_cancelled(r);
+        reconcile_cancelled(r);
         return;
     case job_state::unknown:
-        take_in_unknown(r);
+        reconcile_unknown(r);
         return;
     default:
-        take_in_live(r);
+        reconcile_active(r);
         return;
     }
 }
 
 } // namespace
 
-bool is_silent(const task_view& t, const settings& rules, core::mono_time now)
+bool is_unresponsive(const task_record& t, const settings& rules, core::mono_time now)
 {
     core::mono_time last = t.first_seen;
     last = std::max(last, t.ordered_at.value_or(last));
     last = std::max(last, t.reported_at.value_or(last));
-    return now - last > rules.report_patience;
+    return now - last > rules.report_timeout;
 }
 
-bool has_lapsed(const pool_jobs& all, const job& j, const task_view& t, const round_input& in)
+bool has_lease_expired(
+    const pool_jobs& all, const job& j, const task_record& t, const round_input& in)
 {
     core::mono_time last = t.first_seen;
     last = std::max(last, t.ordered_at.value_or(last));
     last = std::max(last, t.renewed_at.value_or(last));
-    if (j.starter != all.mark.incarnation)
+    if (j.recorded_by != all.token.incarnation)
     {
-        // An owner before us may have renewed after we took over: a pause hides from it that it
-        // lost the pool. Until it has certainly stopped, no lease of its tasks counts as lapsed.
-        if (!all.predecessor_stopped)
+        // A previous owner may have renewed the lease after this process became the owner, because
+        // a paused process does not notice that it lost the pool. Until the previous owner has
+        // certainly stopped, no lease of its tasks counts as expired.
+        if (!all.predecessor_stopped_at)
         {
             return false;
         }
-        last = std::max(last, *all.predecessor_stopped);
+        last = std::max(last, *all.predecessor_stopped_at);
     }
-    return in.now - last > j.lease + in.rules.lease_margin;
+    return in.now - last > j.lease_ttl + in.rules.lease_margin;
 }
 
 void reconcile(
@@ -392,7 +398,7 @@
 {
     for (const auto& it : active)
     {
-        take_in({all, in, actions, *it.bucket, *it.it, *it.task});
+        reconcile_task({all, in, actions, *it.bucket, *it.it, *it.task});
     }
 }
 
--- a/libs/jobs/src/reconcile.hpp
+++ b/libs/jobs/src/reconcile.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Takes what is known of tasks (reports, ended orders, lapsed leases) into the jobs.
+/// Applies the state of the tasks (reports, results of orders, expired leases) to the jobs.
 #pragma once
 
 #include "host_views.hpp"
@@ -7,15 +7,17 @@
 namespace camphorhitch::jobs
 {
 
-/// Changes the jobs' states from what is known of their tasks.
+/// Changes the jobs' states according to the state of their tasks.
 void reconcile(
     pool_jobs& all, const active_jobs& active, const round_input& in, std::vector<action>& actions);
 
-/// \return whether the task hasn't been seen for longer than settings::report_patience. Its lease
+/// \return whether no report has named the task for longer than settings::report_timeout. Its lease
 /// is not renewed any more.
-bool is_silent(const task_view& t, const settings& rules, core::mono_time now);
+bool is_unresponsive(const task_record& t, const settings& rules, core::mono_time now);
 
-/// \return whether the lease of a silent task has certainly lapsed, whoever renewed it last.
-bool has_lapsed(const pool_jobs& all, const job& j, const task_view& t, const round_input& in);
+/// \return whether the lease of an unresponsive task has certainly expired, whichever owner renewed
+/// it last.
+bool has_lease_expired(
+    const pool_jobs& all, const job& j, const task_record& t, const round_input& in);
 
 } // namespace camphorhitch::jobs
--- a/libs/jobs/src/round.cpp
+++ b/libs/jobs/src/round.cpp
@@ -2,11 +2,11 @@
 
 #include "commands.hpp"
 #include "core/invariant.hpp"
-#include "make_room.hpp"
 #include "place.hpp"
+#include "preemption.hpp"
+#include "quota_requests.hpp"
 #include "reconcile.hpp"
 #include "text.hpp"
-#include "wishes.hpp"
 
 #include <algorithm>
 
@@ -16,52 +16,53 @@
 namespace
 {
 
-/// Views of tasks that no job names and no report named for this long are forgotten.
-constexpr core::millis forget_after{600000};
-constexpr core::millis forget_interval{60000};
+/// Task records without a job are removed when no report has named the task for this long.
+constexpr core::millis task_record_retention{600000};
+constexpr core::millis cleanup_interval{60000};
 
-/// A new owner learns from the jobs that are over in the documents, as it has seen none itself.
+/// Adds the terminal jobs of the documents to the estimates, because a new owner has not seen any
+/// job end itself.
 void learn_from_documents(pool_jobs& all)
 {
-    if (all.learned)
+    if (all.learned_from_documents)
     {
         return;
     }
-    all.learned = true;
+    all.learned_from_documents = true;
     for (const auto& b : all.buckets)
     {
         for (const auto& j : b.document.jobs)
         {
-            if (is_over(j))
+            if (is_terminal(j))
             {
-                learn(all.sizes, j);
+                record_measurements(all.estimates, j);
             }
         }
     }
 }
 
-void forget_tasks(pool_jobs& all, const round_input& in)
+void remove_old_task_records(pool_jobs& all, const round_input& in)
 {
     std::erase_if(all.tasks,
         [&](const auto& it)
         {
-            const task_view& t = it.second;
+            const task_record& t = it.second;
             const core::mono_time last =
                 t.reported_at.value_or(t.ordered_at.value_or(t.first_seen));
-            if (in.now - last < forget_after)
+            if (in.now - last < task_record_retention)
             {
                 return false;
             }
-            const std::string id = job_of_task(it.first);
+            const std::string id = job_id_of_task(it.first);
             const auto& b = all.buckets.at(static_cast<std::size_t>(bucket_of(id)));
             const job* j = find_job(b.document, id);
-            return j == nullptr || is_over(*j) || attempt_of_task(*j, it.first) < j->attempt;
+            return j == nullptr || is_terminal(*j) || attempt_of_task(*j, it.first) < j->attempt;
         });
 }
 
-void forget_waits(pool_jobs& all, const round_input& in)
+void remove_old_waits(pool_jobs& all, const round_input& in)
 {
-    std::erase_if(all.wait_until, [&](const auto& it) { return it.second <= in.now; });
+    std::erase_if(all.retry_at, [&](const auto& it) { return it.second <= in.now; });
     std::erase_if(all.waiting_since,
         [&](const auto& it)
         {
@@ -71,21 +72,21 @@
         });
 }
 
-void forget_now_and_then(pool_jobs& all, const round_input& in)
+void clean_up_periodically(pool_jobs& all, const round_input& in)
 {
-    if (in.now - all.forgot_at < forget_interval)
+    if (in.now - all.last_cleanup_at < cleanup_interval)
     {
         return;
     }
-    all.forgot_at = in.now;
-    forget_tasks(all, in);
-    forget_waits(all, in);
+    all.last_cleanup_at = in.now;
+    remove_old_task_records(all, in);
+    remove_old_waits(all, in);
 }
 
-std::string size_line(const job& j)
+std::string describe_sizes(const job& j)
 {
     return "declared " + to_text(j.declared) + " for " + std::to_string(j.run_time.count() / 1000) +
-           " s; measured " + to_text(j.used);
+           " s; measured " + to_text(j.peak_use);
 }
 
 } // namespace
@@ -100,24 +101,24 @@
     all.rounds += 1;
     const active_jobs active = collect_active(all, in.now);
     renew_leases(active, in, actions);
-    if (!may_place(all))
+    if (!can_place(all))
     {
         return actions;
     }
     learn_from_documents(all);
     reconcile(all, active, in, actions);
-    drop_old_claims(all, in);
+    remove_stale_claims(all, in);
     round_state r{all, in, make_host_views(all, active, in), active, {}, {}, {}, {}};
-    collect(r);
-    leave_draining_hosts(r);
+    collect_waiting(r);
+    release_from_draining_hosts(r);
     place(r);
-    make_room_for_urgent(r);
-    unthrottle(r);
-    keep_hosts_for_the_longest_waiting(r);
-    wish_for_quota(r);
+    free_capacity_for_urgent(r);
+    unthrottle_tasks(r);
+    reserve_hosts_for_longest_waiting(r);
+    request_quotas(r);
     std::move(r.actions.begin(), r.actions.end(), std::back_inserter(actions));
-    command_stored(all, active, in, actions);
-    forget_now_and_then(all, in);
+    issue_commands(all, active, in, actions);
+    clean_up_periodically(all, in);
     return actions;
 }
 
@@ -127,13 +128,13 @@
     lines.push_back("job " + j.id + " of team " + j.team + " is " +
                     std::string{core::name_of(job_state_names, j.state)} +
                     (j.host.empty() ? "" : " on " + j.host) + (j.throttled ? ", throttled" : ""));
-    lines.push_back("rule " + j.why.rule + ": " + j.why.weighed);
+    lines.push_back("rule " + j.decision.rule + ": " + j.decision.weighed);
     if (j.state == job_state::waiting && j.waits_for != wait_reason::none)
     {
         lines.push_back("the last round left it waiting: " +
                         std::string{core::name_of(wait_reason_names, j.waits_for)});
     }
-    lines.push_back(size_line(j));
+    lines.push_back(describe_sizes(j));
     for (const auto& it : j.failures)
     {
         lines.push_back("failed on " + it.host + ' ' + std::to_string(it.count) + " times");
--- a/libs/jobs/src/submit.cpp
+++ b/libs/jobs/src/submit.cpp
@@ -14,14 +14,15 @@
 namespace
 {
 
-/// Names of fields, punctuation, numbers and times of one job, all at their longest.
+/// Maximum length of the field names, punctuation, numbers and times of one job.
 constexpr std::size_t fixed_job_bytes = 600;
 
-/// The same of what only a placed job has.
+/// Maximum length of the fields that only a placed job has.
 constexpr std::size_t placed_job_bytes = 260;
 
-/// Texts that a job gets when it is placed: host, starter, checkpoint, reasons.
-constexpr std::size_t texts_to_come = 400;
+/// Length reserved for the texts that a job gets when it is placed: host, incarnation of the owner,
+/// checkpoint, reasons.
+constexpr std::size_t placement_text_bytes = 400;
 constexpr std::size_t fixed_document_bytes = 256;
 constexpr std::size_t failure_bytes = 40;
 
@@ -42,8 +43,8 @@
     }
 }
 
-/// Every bit of a size counts, so the numbers are hashed as they are stored.
-std::uint64_t hash_of(const amounts& a)
+/// The numbers are hashed in their binary form, so that every bit of a size counts.
+std::uint64_t hash_of(const resources& a)
 {
     const std::array<double, 3> numbers{
         a.processors, a.memory_gb, static_cast<double>(a.accelerators)};
@@ -72,11 +73,11 @@
     j.payload = s.payload;
     j.body_hash = hash;
     j.submitted_ms = now_ms;
-    enter(j, job_state::waiting, now_ms, "submitted", "waits for a placement round");
+    enter_state(j, job_state::waiting, now_ms, "submitted", "waits for a placement round");
     return j;
 }
 
-/// Length as a JSON string: what must be escaped takes two or six characters.
+/// \return the length as a JSON string: an escaped character takes two or six characters.
 std::size_t json_length(const std::string& text)
 {
     std::size_t n = text.size();
@@ -102,72 +103,73 @@
     return it == teams.end() ? nullptr : &*it;
 }
 
-std::string unknown_team(const std::string& name, const std::vector<model::team_config>& teams)
+std::string describe_unknown_team(
+    const std::string& name, const std::vector<model::team_config>& teams)
 {
-    std::vector<std::string> known;
-    known.reserve(teams.size());
+    std::vector<std::string> names;
+    names.reserve(teams.size());
     for (const auto& it : teams)
     {
-        known.push_back(it.name);
+        names.push_back(it.name);
     }
-    const std::string near_miss = core::nearest_name(name, known);
+    const std::string near_miss = core::nearest_name(name, names);
     const std::string text = "team '" + name + "' has no quota in the configuration";
     return near_miss.empty() ? text : text + " (did you mean '" + near_miss + "'?)";
 }
 
-/// How far a host falls short, as a sum over what lacks, each relative to the need.
-double shortfall(const amounts& need, const amounts& room)
+/// \return how far a host falls short: the sum of the missing resources, each relative to the need.
+double shortfall(const resources& need, const resources& available)
 {
     const auto part = [](double want, double have)
     {
         return want > have ? (want - have) / want : 0.0;
     };
-    return part(need.processors, room.processors) + part(need.memory_gb, room.memory_gb) +
-           part(need.accelerators, room.accelerators);
+    return part(need.processors, available.processors) + part(need.memory_gb, available.memory_gb) +
+           part(need.accelerators, available.accelerators);
 }
 
-std::string no_host_fits(const amounts& need, const model::pool_document& hosts)
+std::string describe_missing_host(const resources& need, const model::pool_document& hosts)
 {
     const model::host_record* nearest = nullptr;
-    double smallest = 0;
+    double smallest_shortfall = 0;
     for (const auto& it : hosts.hosts)
     {
-        const amounts room{it.processors, it.memory_gb, it.accelerators};
-        if (fits(need, room))
+        const resources available{it.processors, it.memory_gb, it.accelerators};
+        if (fits(need, available))
         {
             return {};
         }
-        const double lack = shortfall(need, room);
-        if (nearest == nullptr || lack < smallest)
+        const double lack = shortfall(need, available);
+        if (nearest == nullptr || lack < smallest_shortfall)
         {
             nearest = &it;
-            smallest = lack;
+            smallest_shortfall = lack;
         }
     }
     if (nearest == nullptr)
     {
         return "pool '" + hosts.pool + "' has no host";
     }
-    const amounts room{nearest->processors, nearest->memory_gb, nearest->accelerators};
+    const resources available{nearest->processors, nearest->memory_gb, nearest->accelerators};
     return "needs " + to_text(need) + "; no host of pool '" + hosts.pool +
-           "' has that; the nearest is " + nearest->id + " with " + to_text(room) + ", short of " +
-           lacking_text(need, room);
+           "' has that; the nearest is " + nearest->id + " with " + to_text(available) +
+           ", short of " + shortfall_text(need, available);
 }
 
-struct bounds
+struct document_size
 {
     std::size_t jobs = 0;
     std::size_t bytes = 0;
 };
 
-bool has_room(const bounds& b, const settings& rules, std::size_t more)
+bool fits_document(const document_size& b, const settings& rules, std::size_t more)
 {
-    return b.jobs < rules.most_jobs && b.bytes + more <= rules.most_bytes;
+    return b.jobs < rules.max_jobs && b.bytes + more <= rules.max_document_bytes;
 }
 
 submit_outcome submit_one(job_document& d,
-    std::unordered_map<std::string, std::size_t>& known,
-    bounds& taken,
+    std::unordered_map<std::string, std::size_t>& by_id,
+    document_size& current,
     const submission& s,
     const submit_input& in)
 {
@@ -177,7 +179,7 @@
         return wrong;
     }
     const std::uint64_t hash = hash_of(s);
-    if (const auto it = known.find(s.id); it != known.end())
+    if (const auto it = by_id.find(s.id); it != by_id.end())
     {
         const job& before = d.jobs[it->second];
         if (before.body_hash != hash)
@@ -186,20 +188,20 @@
         }
         return accepted{true, before.state};
     }
-    std::string why = why_impossible(s.declared, s.team, in.hosts, in.teams);
+    std::string why = impossibility_reason(s.declared, s.team, in.hosts, in.teams);
     if (!why.empty())
     {
         return never_fits{std::move(why)};
     }
     job made = to_job(s, hash, core::to_unix_ms(in.now));
-    const std::size_t n = text_bound(made);
-    if (!has_room(taken, in.rules, n))
+    const std::size_t n = max_encoded_size(made);
+    if (!fits_document(current, in.rules, n))
     {
         return document_full{};
     }
-    taken.jobs += 1;
-    taken.bytes += n;
-    known.emplace(made.id, d.jobs.size());
+    current.jobs += 1;
+    current.bytes += n;
+    by_id.emplace(made.id, d.jobs.size());
     d.jobs.push_back(std::move(made));
     return accepted{};
 }
@@ -218,18 +220,18 @@
     {
         return cancel_outcome::was_over;
     }
-    const bool may_run = holds_host(*j);
+    const bool may_run = may_occupy_host(*j);
     if (!may_run)
     {
         j->host.clear();
     }
-    const bool doubt = j->state == job_state::unknown;
-    enter(*j,
+    const bool may_have_run = j->state == job_state::unknown;
+    enter_state(*j,
         job_state::cancelled,
         now_ms,
         "cancelled_by_command",
         command + (may_run ? "; its task is being stopped and may have run in part"
-                           : (doubt ? "; it may have run" : "; it held no host")));
+                           : (may_have_run ? "; it may have run" : "; it held no host")));
     j->releasing = release_reason::none;
     return may_run ? cancel_outcome::stopping : cancel_outcome::cancelled;
 }
@@ -250,13 +252,13 @@
     expect(all, s.declared.accelerators >= 0, "/accelerators", "must not be negative");
     expect(all, s.run_time.count() > 0, "/run_time_ms", "must be above 0");
     expect(all,
-        s.payload.size() <= rules.most_payload,
+        s.payload.size() <= rules.max_payload_bytes,
         "/payload",
-        "is longer than " + std::to_string(rules.most_payload) + " bytes");
+        "is longer than " + std::to_string(rules.max_payload_bytes) + " bytes");
     return all;
 }
 
-std::string why_impossible(const amounts& declared,
+std::string impossibility_reason(const resources& declared,
     const std::string& team,
     const model::pool_document& hosts,
     const std::vector<model::team_config>& teams)
@@ -264,32 +266,32 @@
     const model::team_config* quota = find_team(teams, team);
     if (quota == nullptr)
     {
-        return unknown_team(team, teams);
+        return describe_unknown_team(team, teams);
     }
-    const amounts limit{quota->processors, quota->memory_gb, quota->accelerators};
+    const resources limit{quota->processors, quota->memory_gb, quota->accelerators};
     if (!fits(declared, limit))
     {
         return "needs " + to_text(declared) + "; the quota of team '" + team + "' is " +
-               to_text(limit) + ", short of " + lacking_text(declared, limit);
+               to_text(limit) + ", short of " + shortfall_text(declared, limit);
     }
-    return no_host_fits(declared, hosts);
+    return describe_missing_host(declared, hosts);
 }
 
 std::vector<submit_outcome> submit(
     job_document& d, const std::vector<submission>& all, const submit_input& in)
 {
-    forget_old(d, in.rules, in.now);
-    std::unordered_map<std::string, std::size_t> known;
+    remove_expired_jobs(d, in.rules, in.now);
+    std::unordered_map<std::string, std::size_t> by_id;
     for (std::size_t i = 0; i < d.jobs.size(); ++i)
     {
-        known.emplace(d.jobs[i].id, i);
+        by_id.emplace(d.jobs[i].id, i);
     }
-    bounds taken{d.jobs.size(), text_bound(d)};
+    document_size current{d.jobs.size(), max_encoded_size(d)};
     std::vector<submit_outcome> outcomes;
     outcomes.reserve(all.size());
     for (const auto& it : all)
     {
-        outcomes.push_back(submit_one(d, known, taken, it, in));
+        outcomes.push_back(submit_one(d, by_id, current, it, in));
     }
     return outcomes;
 }
@@ -299,55 +301,58 @@
     const std::string& command,
     core::wall_time now)
 {
-    std::unordered_map<std::string, job*> known;
+    std::unordered_map<std::string, job*> by_id;
     for (auto& it : d.jobs)
     {
-        known.emplace(it.id, &it);
+        by_id.emplace(it.id, &it);
     }
     std::vector<cancel_outcome> outcomes;
     outcomes.reserve(ids.size());
     for (const auto& it : ids)
     {
-        const auto found = known.find(it);
+        const auto found = by_id.find(it);
         outcomes.push_back(cancel_one(
-            found == known.end() ? nullptr : found->second, command, core::to_unix_ms(now)));
+            found == by_id.end() ? nullptr : found->second, command, core::to_unix_ms(now)));
     }
     return outcomes;
 }
 
-std::size_t forget_old(job_document& d, const settings& rules, core::wall_time now)
+std::size_t remove_expired_jobs(job_document& d, const settings& rules, core::wall_time now)
 {
     const auto over =
-        static_cast<std::size_t>(std::count_if(d.jobs.begin(), d.jobs.end(), is_over));
-    const bool crowded = over > rules.most_over;
-    const core::millis kept = crowded ? rules.keep_over_least : rules.keep_over;
+        static_cast<std::size_t>(std::count_if(d.jobs.begin(), d.jobs.end(), is_terminal));
+    const bool is_crowded = over > rules.max_terminal_jobs;
+    const core::millis kept =
+        is_crowded ? rules.min_terminal_job_retention : rules.terminal_job_retention;
     const std::int64_t oldest = core::to_unix_ms(now) - kept.count();
-    return std::erase_if(
-        d.jobs, [&](const job& j) { return is_over(j) && !holds_host(j) && j.since_ms < oldest; });
+    return std::erase_if(d.jobs,
+        [&](const job& j)
+        { return is_terminal(j) && !may_occupy_host(j) && j.state_since_ms < oldest; });
 }
 
-std::size_t text_bound(const job& j)
+std::size_t max_encoded_size(const job& j)
 {
     std::size_t n = fixed_job_bytes + json_length(j.payload);
-    n += j.id.size() + j.team.size() + json_length(j.kind) + json_length(j.moved_in);
-    std::size_t texts = json_length(j.host) + json_length(j.starter) + json_length(j.checkpoint);
-    texts += json_length(j.why.weighed) + j.why.rule.size();
+    n += j.id.size() + j.team.size() + json_length(j.kind) + json_length(j.moved_by_wave);
+    std::size_t texts =
+        json_length(j.host) + json_length(j.recorded_by) + json_length(j.checkpoint);
+    texts += json_length(j.decision.weighed) + j.decision.rule.size();
     for (const auto& it : j.failures)
     {
         texts += failure_bytes + it.host.size();
     }
-    const bool placed = j.lease.count() != 0 || !j.reserved.empty();
-    const bool changes = !is_over(j) || holds_host(j);
-    n += changes ? std::max(texts, texts_to_come) : texts;
+    const bool placed = j.lease_ttl.count() != 0 || !j.reserved.empty();
+    const bool changes = !is_terminal(j) || may_occupy_host(j);
+    n += changes ? std::max(texts, placement_text_bytes) : texts;
     return n + (placed || changes ? placed_job_bytes : 0);
 }
 
-std::size_t text_bound(const job_document& d)
+std::size_t max_encoded_size(const job_document& d)
 {
-    std::size_t n = fixed_document_bytes + d.pool.size() + d.placer.incarnation.size();
+    std::size_t n = fixed_document_bytes + d.pool.size() + d.token.incarnation.size();
     for (const auto& it : d.jobs)
     {
-        n += text_bound(it);
+        n += max_encoded_size(it);
     }
     return n;
 }
--- a/libs/jobs/src/text.cpp
+++ b/libs/jobs/src/text.cpp
@@ -14,7 +14,7 @@
     return {buf.data(), static_cast<std::size_t>(n)};
 }
 
-std::string to_text(const amounts& a)
+std::string to_text(const resources& a)
 {
     std::string text =
         number_text(a.processors) + " processors, " + number_text(a.memory_gb) + " GB";
@@ -26,7 +26,7 @@
     return text;
 }
 
-std::string lacking_text(const amounts& need, const amounts& room)
+std::string shortfall_text(const resources& need, const resources& available)
 {
     std::string text;
     const auto add = [&](double lack, const char* unit)
@@ -36,9 +36,9 @@
             text += (text.empty() ? "" : ", ") + number_text(lack) + unit;
         }
     };
-    const int accelerators = need.accelerators - room.accelerators;
-    add(need.processors - room.processors, " processors");
-    add(need.memory_gb - room.memory_gb, " GB");
+    const int accelerators = need.accelerators - available.accelerators;
+    add(need.processors - available.processors, " processors");
+    add(need.memory_gb - available.memory_gb, " GB");
     add(accelerators, accelerators == 1 ? " accelerator" : " accelerators");
     return text;
 }
--- a/libs/jobs/src/text.hpp
+++ b/libs/jobs/src/text.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Sizes as text for people.
+/// Sizes as text for operators.
 #pragma once
 
 #include "jobs/job.hpp"
@@ -9,13 +9,13 @@
 namespace camphorhitch::jobs
 {
 
-/// \return a number without needless digits, such as "2.5".
+/// \return the number without trailing zeros, such as "2.5".
 std::string number_text(double v);
 
-/// \return such as "4 processors, 16 GB, 1 accelerators".
-std::string to_text(const amounts& a);
+/// \return a text such as "4 processors, 16 GB, 1 accelerator".
+std::string to_text(const resources& a);
 
-/// \return what \p room lacks for \p need, such as "32 processors".
-std::string lacking_text(const amounts& need, const amounts& room);
+/// \return what \p available lacks for \p need, such as "32 processors".
+std::string shortfall_text(const resources& need, const resources& available);
 
 } // namespace camphorhitch::jobs
--- a/libs/jobs/tests/codec_tests.cpp
+++ b/libs/jobs/tests/codec_tests.cpp
@@ -1,5 +1,5 @@
+#include "fixture.hpp"
 #include "jobs/codec.hpp"
-#include "small_world.hpp"
 
 #include <rapidcheck.h>
 
@@ -13,9 +13,9 @@
 namespace
 {
 
-int any_count(int most)
+int any_count(int max)
 {
-    return *rc::gen::inRange(0, most + 1);
+    return *rc::gen::inRange(0, max + 1);
 }
 
 double any_real()
@@ -23,17 +23,17 @@
     return any_count(1 << 30) / 7.0;
 }
 
-std::string any_text(int most)
+std::string any_text(int max)
 {
     std::string text;
-    for (int i = any_count(most); i > 0; --i)
+    for (int i = any_count(max); i > 0; --i)
     {
         text += static_cast<char>(any_count(126));
     }
     return text;
 }
 
-amounts any_amounts()
+resources any_amounts()
 {
     return {any_real(), any_real(), any_count(100)};
 }
@@ -63,26 +63,26 @@
     j.body_hash = *rc::gen::arbitrary<std::uint64_t>();
     j.submitted_ms = any_millis().count();
     j.state = any_of(job_state_names);
-    j.since_ms = any_millis().count();
+    j.state_since_ms = any_millis().count();
     j.attempt = any_count(1000);
     j.host = any_text(30);
-    j.starter = any_text(30);
+    j.recorded_by = any_text(30);
     j.reserved = any_amounts();
-    j.expected = any_millis();
-    j.lease = any_millis();
+    j.expected_run_time = any_millis();
+    j.lease_ttl = any_millis();
     j.throttled = any_count(1) == 1;
     j.releasing = any_of(release_reason_names);
     j.checkpoint = any_text(60);
     j.preemptions = any_count(100);
     j.moves = any_count(100);
-    j.moved_in = any_text(20);
+    j.moved_by_wave = any_text(20);
     for (int i = any_count(3); i > 0; --i)
     {
         j.failures.push_back({"w" + std::to_string(i), any_count(9)});
     }
-    j.used = any_amounts();
-    j.ran = any_millis();
-    j.why = {"rule", any_text(100), any_millis().count()};
+    j.peak_use = any_amounts();
+    j.measured_run_time = any_millis();
+    j.decision = {"rule", any_text(100), any_millis().count()};
     return j;
 }
 
@@ -98,13 +98,13 @@
             job_document d;
             d.pool = "quotes";
             d.bucket = any_count(buckets_per_pool - 1);
-            d.placer = {*rc::gen::arbitrary<std::uint64_t>(), "e1/2"};
+            d.token = {*rc::gen::arbitrary<std::uint64_t>(), "e1/2"};
             for (int i = any_count(5); i > 0; --i)
             {
                 d.jobs.push_back(any_job(i));
             }
             const std::string text = encode(d);
-            RC_ASSERT(text.size() <= text_bound(d));
+            RC_ASSERT(text.size() <= max_encoded_size(d));
             const auto read = decode_jobs(text, "d");
             if (const auto* wrong = std::get_if<core::findings>(&read))
             {
@@ -114,12 +114,12 @@
         }));
 }
 
-// A job that is accepted must fit its document at every later stage too: the owner's write would
-// otherwise be refused for its size, and with it those of all other jobs there.
-TEST(codec, what_was_accepted_never_outgrows_its_document)
+// An accepted job must fit its document at every later stage, too. Otherwise the owner's write
+// would be refused for its size, and with it the changes of all other jobs of the document.
+TEST(codec, an_accepted_job_never_outgrows_its_document)
 {
     job_fakes::world w = jobs_test::make_world(8);
-    w.rules.most_bytes = 20000;
+    w.rules.max_document_bytes = 20000;
     std::vector<submission> all;
     for (int i = 0; i < 1000; ++i)
     {
@@ -137,7 +137,7 @@
         jobs_test::pass_time(m, w, core::millis{2000});
         for (const auto& it : w.kv.entries)
         {
-            CHECK(encode(it.document).size() <= w.rules.most_bytes);
+            CHECK(encode(it.document).size() <= w.rules.max_document_bytes);
         }
     }
 }
--- a/libs/jobs/tests/fault_tests.cpp
+++ b/libs/jobs/tests/fault_tests.cpp
@@ -1,4 +1,4 @@
-#include "small_world.hpp"
+#include "fixture.hpp"
 
 #include <CppUTest/TestHarness.h>
 
@@ -38,8 +38,9 @@
     }
 };
 
-// One worker fails all it gets, at once, so that it always has room. Every job still finishes on
-// the others, and the worker costs a bounded number of starts however many jobs come.
+// One worker fails every task at once, so that it always has free capacity. Every job still
+// finishes on the other workers, and the number of starts wasted on this worker is bounded, however
+// many jobs are submitted.
 TEST(faults, a_worker_that_fails_everything_wastes_few_starts)
 {
     w.platform.all["w3"].fails_all = true;
@@ -62,8 +63,8 @@
     CHECK_FALSE(is_set_aside(m.jobs.health, "w3"));
 }
 
-// Jobs of one kind fail wherever they run, among others that run well: they are set aside after a
-// bounded number of starts each, and no worker is.
+// Jobs of one kind fail on every worker, among other jobs that run well: the jobs are set aside
+// after a bounded number of starts each, and no worker is set aside.
 TEST(faults, jobs_that_fail_everywhere_are_set_aside)
 {
     w.platform.behaviour = [](const ports::task_order& it)
@@ -71,7 +72,7 @@
         return job_fakes::real_task{{it.processors, it.memory_gb, 0},
             it.run_time,
             core::millis{300},
-            jobs::job_of_task(it.task).rfind("bad", 0) == 0};
+            jobs::job_id_of_task(it.task).rfind("bad", 0) == 0};
     };
     submit(20, "bad", "broken");
     submit(20, "good", "sound");
@@ -88,9 +89,9 @@
     }
 }
 
-// A host leaves for maintenance. Jobs near their end finish there, long ones that may run again are
-// checkpointed, move once to a host that stays, and go on from the checkpoint; one that may run
-// once is waited for. New jobs that can't finish in time go elsewhere.
+// A host is drained for maintenance. Jobs near their end finish there. Long jobs that may run again
+// are checkpointed, move once to a host that stays, and continue from the checkpoint. A job that
+// may run once only runs to its end. New jobs that can't finish in time are placed on other hosts.
 TEST(faults, jobs_follow_maintenance)
 {
     const auto send = [&](const std::string& id, core::millis time, bool idempotent)
@@ -121,11 +122,11 @@
     STRCMP_EQUAL("w5", host_of(w, "long").c_str());
     const job* moved = job_fakes::stored_job(w, "long");
     CHECK_EQUAL(1, moved->moves);
-    STRCMP_EQUAL("wave1", moved->moved_in.c_str());
+    STRCMP_EQUAL("wave1", moved->moved_by_wave.c_str());
     CHECK_TRUE(w.platform.starts.back().resumed);
     STRCMP_EQUAL("w0", host_of(w, "short").c_str());
     STRCMP_EQUAL("w0", host_of(w, "once").c_str());
-    CHECK_EQUAL(2, tasks_on(m.jobs, "w0"));
+    CHECK_EQUAL(2, count_tasks_on(m.jobs, "w0"));
 
     w.hosts.hosts[5].state = model::host_state::draining;
     send("fits", core::millis{50000}, true);
@@ -134,7 +135,7 @@
     STRCMP_EQUAL("starting", state_of(w, "fits").substr(0, 8).c_str());
     STRCMP_EQUAL("waiting", state_of(w, "too_long").c_str());
     pass_time(m, w, core::millis{300000}, core::millis{500});
-    CHECK_EQUAL(0, tasks_on(m.jobs, "w0"));
+    CHECK_EQUAL(0, count_tasks_on(m.jobs, "w0"));
     CHECK_EQUAL(1, starts_of(w, "once"));
     STRCMP_EQUAL("finished", state_of(w, "once").c_str());
 }
--- a/libs/jobs/tests/small_world.hpp
+++ b/libs/jobs/tests/fixture.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A pool of a few hosts on virtual time, for the tests of rounds.
+/// A pool of several hosts on virtual time, for the tests of rounds.
 #pragma once
 
 #include "job_fakes/member.hpp"
@@ -13,7 +13,7 @@
 inline constexpr core::millis tick{100};
 inline constexpr core::millis poll_interval{1000};
 
-/// Hosts w0, w1, ... of 8 processors and 32 GB in two zones, two to a rack.
+/// Hosts w0, w1, ... with 8 processors and 32 GB in two zones, two hosts to a rack.
 inline job_fakes::world make_world(int hosts)
 {
     job_fakes::world w;
@@ -53,7 +53,7 @@
         "run"};
 }
 
-/// Lets time pass with the member at work.
+/// Advances the time while the member runs its rounds.
 inline void pass_time(
     job_fakes::member& m, job_fakes::world& w, core::millis time, core::millis every = tick)
 {
--- a/libs/jobs/tests/order_tests.cpp
+++ b/libs/jobs/tests/order_tests.cpp
@@ -1,4 +1,4 @@
-#include "small_world.hpp"
+#include "fixture.hpp"
 
 #include <CppUTest/TestHarness.h>
 
@@ -29,10 +29,10 @@
         pass_time(m, w, core::millis{4000});
     }
 
-    core::millis time_to_start(const std::string& id, core::millis most)
+    core::millis time_to_start(const std::string& id, core::millis limit)
     {
         const core::mono_time from = w.now;
-        while (starts_of(w, id) == 0 && w.now - from < most)
+        while (starts_of(w, id) == 0 && w.now - from < limit)
         {
             pass_time(m, w, core::millis{10}, core::millis{10});
         }
@@ -40,10 +40,10 @@
     }
 };
 
-// All hosts are full of long jobs when an urgent one comes. Short of processors only, it starts as
-// soon as a long one is throttled; short of memory, as soon as one is checkpointed and stopped; a
-// worker that never writes its checkpoint doesn't hold it up. What may run once only is never
-// stopped, but may be throttled.
+// All hosts are full of long jobs when an urgent job is submitted. If only processors are short, it
+// starts as soon as a long job is throttled; if memory is short, as soon as one is checkpointed and
+// stopped. A worker that never writes its checkpoint does not delay it. A job that may run once
+// only is never stopped, but may be throttled.
 TEST(order, urgent_jobs_start_within_a_second_on_a_full_pool)
 {
     struct row
@@ -95,9 +95,9 @@
     }
 }
 
-// The worker doesn't get the command to throttle a task. Until it has taken it, the room that the
-// urgent job needs isn't there, however the record reads.
-TEST(order, room_counts_when_the_worker_has_throttled)
+// The command to throttle a task is lost on its way to the worker. Until the worker has throttled
+// the task, the capacity that the urgent job needs is not free, whatever the record states.
+TEST(order, capacity_counts_only_after_the_worker_has_throttled)
 {
     w = make_world(1);
     m = make_member("quotes", 1, "e1", w.now);
@@ -117,12 +117,12 @@
     CHECK_EQUAL(1, starts_of(w, "urgent"));
 }
 
-// Small jobs keep coming and always fit; one that needs a whole host would wait for ever if every
-// host were filled again as soon as a little room is free.
+// Small jobs are submitted all the time and always fit. A job that needs a whole host would wait
+// for ever if every host were filled again as soon as a little capacity is free.
 TEST(order, a_large_job_is_not_overtaken_for_ever)
 {
     int n = 0;
-    const auto more = [&]
+    const auto submit_more = [&]
     {
         for (int i = 0; i < 4; ++i)
         {
@@ -130,20 +130,20 @@
             submit(make_submission("small" + std::to_string(n), 2 + 0.1 * (n % 7)));
         }
     };
-    more();
+    submit_more();
     pass_time(m, w, core::millis{2000});
     submit(make_submission("large", 8));
     core::millis waited{0};
     while (starts_of(w, "large") == 0 && waited < core::millis{120000})
     {
-        more();
+        submit_more();
         pass_time(m, w, core::millis{1000});
         waited += core::millis{1000};
     }
     CHECK(waited < core::millis{60000});
 }
 
-TEST(order, quotas_hold_and_free_up)
+TEST(order, quotas_hold_and_are_reused)
 {
     w.teams[0].processors = 4;
     for (const char* id : {"j1", "j2", "j3"})
@@ -167,27 +167,28 @@
     CHECK_EQUAL(3u, w.platform.starts.size());
 }
 
-// Two pools share a team's quota. One gives back what it doesn't need; while its write is under way
-// it must not start a job on it, since the other pool may have been granted the same.
-TEST(order, nothing_starts_on_a_share_that_is_being_given_back)
+// Two pools share a team's quota. One pool returns the part that it does not need. While that write
+// is in flight, the pool must not start a job on this part, because the other pool may have been
+// granted it.
+TEST(order, nothing_starts_on_quota_that_is_being_returned)
 {
     w.teams[0].processors = 12;
     submit(make_submission("j1", 4));
     submit(make_submission("j2", 4));
     pass_time(m, w, core::millis{3000});
     quota_document& d = w.quotas["lens"];
-    quota_wish other{"lens", "other", {1, "x"}, {}, {12, 12, 0}};
-    const amounts quota{12, 4000, 10};
-    w.wishes_unanswered = true; // stored, but the answer doesn't come
+    quota_request other{"lens", "other", {1, "x"}, {}, {12, 12, 0}};
+    const resources quota{12, 4000, 10};
+    w.wishes_unanswered = true; // stored, but the answer is lost
     pass_time(m, w, core::millis{20000});
-    adjust(d, other, quota);
-    const double left = granted_to(d, other)->processors;
+    adjust_grant(d, other, quota);
+    const double left = find_grant(d, other)->processors;
     CHECK(left > 4);
     submit(make_submission("j3", 8));
     pass_time(m, w, core::millis{3000});
     CHECK_EQUAL(0, starts_of(w, "j3"));
     w.wishes_unanswered = false;
-    adjust(d, {"lens", "other", {1, "x"}, {}, {}}, quota);
+    adjust_grant(d, {"lens", "other", {1, "x"}, {}, {}}, quota);
     pass_time(m, w, core::millis{10000});
     CHECK_EQUAL(1, starts_of(w, "j3"));
 }
@@ -209,7 +210,7 @@
     {
         CHECK(it.job == "needs" || it.host != "w0");
     }
-    // With the accelerators in use there is nothing to save the rest of the host for.
+    // With the accelerators in use, the rest of the host need not be saved for other jobs.
     submit(make_submission("plain6", 4));
     pass_time(m, w, core::millis{500});
     STRCMP_EQUAL("w0", host_of(w, "plain6").c_str());
@@ -230,9 +231,9 @@
     CHECK_EQUAL(2, in_first_zone);
 }
 
-// Hosts come and go: a job that no host could ever hold says so, with the nearest miss, and waits
-// again when one comes.
-TEST(order, impossible_jobs_say_so_and_come_back)
+// Hosts are added and removed. A job that no host can hold becomes impossible, with the nearest
+// host in its record, and waits again when a suitable host is added.
+TEST(order, impossible_jobs_are_reported_and_become_possible_again)
 {
     w.hosts.hosts[3].processors = 16;
     submit(make_submission("large", 16));
@@ -240,14 +241,14 @@
     pass_time(m, w, core::millis{500});
     STRCMP_EQUAL("impossible", state_of(w, "large").c_str());
     STRCMP_CONTAINS(
-        "short of 8 processors", job_fakes::stored_job(w, "large")->why.weighed.c_str());
+        "short of 8 processors", job_fakes::stored_job(w, "large")->decision.weighed.c_str());
     w.hosts.hosts[3].processors = 16;
     pass_time(m, w, core::millis{500});
     STRCMP_EQUAL("starting", state_of(w, "large").c_str());
 }
 
-// A burst of cancellations of jobs that run and jobs that wait: one write for each document in all,
-// and one stop for each host, not one for each job.
+// A burst of cancellations of running and waiting jobs costs one write for each document in all,
+// and one stop command for each host, not for each job.
 TEST(order, a_burst_of_cancellations_costs_few_writes)
 {
     std::vector<std::string> ids;
--- a/libs/jobs/tests/history.cpp
+++ b/libs/jobs/tests/pool_simulation.cpp
@@ -1,4 +1,4 @@
-#include "history.hpp"
+#include "pool_simulation.hpp"
 
 #include <stdexcept>
 
@@ -19,11 +19,11 @@
     }
 }
 
-/// Some jobs fail wherever they run, some take far more or less than declared.
-job_fakes::real_task really(const ports::task_order& it)
+/// Some jobs fail on every worker, some use far more or less than declared.
+job_fakes::real_task actual_behaviour(const ports::task_order& it)
 {
     const std::uint32_t n =
-        static_cast<std::uint32_t>(std::hash<std::string>{}(jobs::job_of_task(it.task)));
+        static_cast<std::uint32_t>(std::hash<std::string>{}(jobs::job_id_of_task(it.task)));
     const double factor = 0.3 + 0.3 * (n % 10);
     return {{it.processors * factor, it.memory_gb * 0.5, it.accelerators},
         core::millis{static_cast<std::int64_t>(static_cast<double>(it.run_time.count()) * factor)},
@@ -45,42 +45,43 @@
 
 } // namespace
 
-history::history() : world_(make_world(hosts))
+pool_simulation::pool_simulation() : world_(make_world(hosts))
 {
-    world_.rules.trust_after = core::millis{1'000'000'000}; // so that what is reserved is counted
+    world_.rules.measurement_trust_delay =
+        core::millis{1'000'000'000}; // so that the reserved sizes are counted
     world_.teams = {{"lens", 12, 1000, 0}, {"trips", 14, 1000, 0}};
-    world_.platform.behaviour = really;
+    world_.platform.behaviour = actual_behaviour;
     world_.kv.next_fault = [this]
     {
-        if (faulty_writes_ <= 0)
+        if (write_faults_left_ <= 0)
         {
             return job_fakes::write_fault::none;
         }
-        faulty_writes_ -= 1;
-        write_fault_ = write_fault_ * 1664525 + 1013904223;
-        return static_cast<job_fakes::write_fault>(write_fault_ / 65536 % 4);
+        write_faults_left_ -= 1;
+        write_fault_seed_ = write_fault_seed_ * 1664525 + 1013904223;
+        return static_cast<job_fakes::write_fault>(write_fault_seed_ / 65536 % 4);
     };
     world_.command_lost = [this](const jobs::command_tasks&)
     {
-        return faulty_commands_-- > 0;
+        return lost_commands_left_-- > 0;
     };
     world_.order_fault = [this](const ports::task_order& it)
     {
-        return order(it);
+        return send_order(it);
     };
     owners_.push_back(job_fakes::make_member("quotes", epoch_, "e1", world_.now));
-    owners_.back().jobs.predecessor_stopped = world_.now;
+    owners_.back().jobs.predecessor_stopped_at = world_.now;
 }
 
-ports::platform_status history::order(const ports::task_order& it)
+ports::platform_status pool_simulation::send_order(const ports::task_order& it)
 {
-    if (faulty_orders_ <= 0)
+    if (order_faults_left_ <= 0)
     {
         return job_fakes::start(world_.platform, it, world_.now);
     }
-    faulty_orders_ -= 1;
-    order_fault_ = order_fault_ * 1664525 + 1013904223;
-    switch (order_fault_ / 65536 % 3)
+    order_faults_left_ -= 1;
+    order_fault_seed_ = order_fault_seed_ * 1664525 + 1013904223;
+    switch (order_fault_seed_ / 65536 % 3)
     {
     case 0: // the answer is lost
         job_fakes::start(world_.platform, it, world_.now);
@@ -92,12 +93,12 @@
     }
 }
 
-job_fakes::worker& history::worker_of(std::uint32_t random)
+job_fakes::worker& pool_simulation::random_worker(std::uint32_t random)
 {
     return world_.platform.all.at("w" + std::to_string(random % hosts));
 }
 
-void history::work(job_fakes::member& m)
+void pool_simulation::run_member(job_fakes::member& m)
 {
     job_fakes::read_changes(m, world_);
     if (world_.now - m.polled >= poll_interval)
@@ -107,15 +108,15 @@
     job_fakes::step(m, world_);
 }
 
-void history::pass(core::millis time)
+void pool_simulation::advance_time(core::millis time)
 {
     const core::mono_time until = world_.now + time;
     while (world_.now < until)
     {
         world_.now += step_time;
         job_fakes::advance(world_.platform, world_.now, step_time);
-        work(owners_.back());
-        // A late write arrives between two rounds now and then.
+        run_member(owners_.back());
+        // Some late writes take effect between two rounds.
         const auto n = static_cast<std::size_t>(world_.now.time_since_epoch().count() / 500000);
         if (!world_.kv.late.empty() && n % 3 == 0)
         {
@@ -124,7 +125,7 @@
     }
 }
 
-void history::submit_some(std::uint32_t random)
+void pool_simulation::submit_some(std::uint32_t random)
 {
     std::vector<jobs::submission> all;
     for (std::uint32_t i = 0; i <= random % 6; ++i)
@@ -142,7 +143,7 @@
     }
 }
 
-void history::cancel_some(std::uint32_t random)
+void pool_simulation::cancel_some(std::uint32_t random)
 {
     std::vector<std::string> ids;
     for (std::uint32_t i = 0; i < 1 + random % 40 && submitted_ > 0; ++i)
@@ -154,26 +155,26 @@
     job_fakes::cancel(world_, ids);
 }
 
-void history::apply(const event& e)
+void pool_simulation::apply(const event& e)
 {
     const std::uint32_t n = e.random;
     switch (e.kind)
     {
     case event_kind::pass_time:
-        pass(step_time * (1 + n % 60));
+        advance_time(step_time * (1 + n % 60));
         break;
     case event_kind::take_over:
         epoch_ += 1;
-        faulty_writes_ = static_cast<int>(n % 64); // the marks arrive at different times
-        write_fault_ = n;
+        write_faults_left_ = static_cast<int>(n % 64); // the tokens are stored at different times
+        write_fault_seed_ = n;
         owners_.push_back(
             job_fakes::make_member("quotes", epoch_, "e" + std::to_string(epoch_), world_.now));
         break;
     case event_kind::wake_old_owner:
         if (owners_.size() > 1)
         {
-            // It sends its orders although it isn't fresh; of other commands freshness has to keep
-            // it.
+            // The former owner sends its orders although it is not fresh. Other commands are
+            // prevented by the check of freshness.
             auto it = std::next(owners_.begin(), n % (owners_.size() - 1));
             job_fakes::read_changes_but_marks(*it, world_);
             job_fakes::poll(*it, world_);
@@ -182,16 +183,16 @@
         break;
     case event_kind::predecessor_gone:
         owners_.erase(owners_.begin(), std::prev(owners_.end()));
-        owners_.back().jobs.predecessor_stopped = world_.now;
+        owners_.back().jobs.predecessor_stopped_at = world_.now;
         break;
     case event_kind::fault_writes:
-        faulty_writes_ = 1 + n % 8;
-        write_fault_ = n;
+        write_faults_left_ = 1 + n % 8;
+        write_fault_seed_ = n;
         break;
     case event_kind::fault_orders:
-        faulty_orders_ = 1 + n % 4;
-        order_fault_ = n;
-        faulty_commands_ = static_cast<int>(n / 16 % 8);
+        order_faults_left_ = 1 + n % 4;
+        order_fault_seed_ = n;
+        lost_commands_left_ = static_cast<int>(n / 16 % 8);
         break;
     case event_kind::submit_some:
         submit_some(n);
@@ -202,23 +203,24 @@
             const auto it = std::next(accepted_.begin(), n % accepted_.size());
             const auto outcome = job_fakes::submit(world_, {it->second}).front();
             const auto* again = outcome ? std::get_if<jobs::accepted>(&*outcome) : nullptr;
-            expect(!outcome || (again != nullptr && again->repeat), "a repeat became another job");
+            expect(
+                !outcome || (again != nullptr && again->is_repeat), "a repeat became another job");
         }
         break;
     case event_kind::cancel_some:
         cancel_some(n);
         break;
     case event_kind::cut_worker_off:
-        worker_of(n).reachable = !worker_of(n).reachable;
+        random_worker(n).reachable = !random_worker(n).reachable;
         break;
     case event_kind::pause_worker:
-        worker_of(n).paused_until = world_.now + core::millis{n % 90000};
+        random_worker(n).paused_until = world_.now + core::millis{n % 90000};
         break;
     case event_kind::reboot_worker:
-        job_fakes::reboot(worker_of(n));
+        job_fakes::reboot(random_worker(n));
         break;
     case event_kind::break_worker:
-        worker_of(n).fails_all = !worker_of(n).fails_all;
+        random_worker(n).fails_all = !random_worker(n).fails_all;
         break;
     case event_kind::drain_host:
     {
@@ -243,7 +245,7 @@
     }
 }
 
-void history::check() const
+void pool_simulation::check() const
 {
     check_starts();
     check_accepted();
@@ -251,7 +253,7 @@
     check_hosts();
 }
 
-void history::check_starts() const
+void pool_simulation::check_starts() const
 {
     std::map<std::string, int> starts;
     for (const auto& it : world_.platform.starts)
@@ -263,7 +265,7 @@
     }
 }
 
-void history::check_accepted() const
+void pool_simulation::check_accepted() const
 {
     for (const auto& it : accepted_)
     {
@@ -275,10 +277,10 @@
 namespace
 {
 
-/// Calls \p fn for each task that runs under a live lease. A task whose lease has lapsed on a
-/// worker that is paused may run beside others; nothing can be done about it.
+/// Calls \p fn for each task that runs under a valid lease. A task whose lease has expired on a
+/// paused worker may run beside others, which can't be prevented.
 template <class Fn>
-void for_live_tasks(const job_fakes::world& w, Fn fn)
+void for_each_leased_task(const job_fakes::world& w, Fn fn)
 {
     for (const auto& host : w.platform.all)
     {
@@ -295,31 +297,33 @@
 
 } // namespace
 
-/// By the workers' own word: a job's record may lag behind its end, in the safe direction.
-void history::check_quotas() const
+/// The check uses the workers' own state: a job's record may show its end later, which is the safe
+/// direction.
+void pool_simulation::check_quotas() const
 {
-    std::map<std::string, jobs::amounts> use;
-    for_live_tasks(world_,
+    std::map<std::string, jobs::resources> use;
+    for_each_leased_task(world_,
         [&](const job_fakes::worker&, const job_fakes::worker_task& t)
         {
-            const jobs::job* j = job_fakes::stored_job(world_, jobs::job_of_task(t.order.task));
+            const jobs::job* j = job_fakes::stored_job(world_, jobs::job_id_of_task(t.order.task));
             use[j->team] = use[j->team] + j->declared;
         });
     for (const auto& it : world_.teams)
     {
-        const jobs::amounts quota{it.processors, it.memory_gb, it.accelerators};
+        const jobs::resources quota{it.processors, it.memory_gb, it.accelerators};
         expect(jobs::fits(use[it.name], quota), "a team is over its quota: " + it.name);
     }
 }
 
-void history::check_hosts() const
+void pool_simulation::check_hosts() const
 {
-    std::map<std::string, jobs::amounts> use;
-    for_live_tasks(world_,
+    std::map<std::string, jobs::resources> use;
+    for_each_leased_task(world_,
         [&](const job_fakes::worker& w, const job_fakes::worker_task& t)
         {
             const double share = t.throttled ? world_.rules.throttled_share : 1.0;
-            use[w.id] = use[w.id] + jobs::amounts{t.order.processors * share, t.order.memory_gb, 0};
+            use[w.id] =
+                use[w.id] + jobs::resources{t.order.processors * share, t.order.memory_gb, 0};
         });
     for (const auto& it : use)
     {
@@ -328,11 +332,11 @@
     }
 }
 
-void history::settle_and_check()
+void pool_simulation::end_faults_and_check()
 {
-    faulty_writes_ = 0;
-    faulty_orders_ = 0;
-    faulty_commands_ = 0;
+    write_faults_left_ = 0;
+    order_faults_left_ = 0;
+    lost_commands_left_ = 0;
     world_.leaving_in.clear();
     for (auto& it : world_.platform.all)
     {
@@ -345,27 +349,27 @@
         it.state = model::host_state::serving;
     }
     apply({event_kind::predecessor_gone, 0});
-    constexpr int most_minutes = 120;
-    const auto open = [&]
+    constexpr int max_minutes = 120;
+    const auto first_unsettled = [&]
     {
         std::string first;
         for (const auto& it : accepted_)
         {
             const jobs::job* j = job_fakes::stored_job(world_, it.first);
-            // That a cancelled task has stopped is only stored with the next change.
+            // The stop of a cancelled task is stored only with the next change.
             const bool stopping = j->state == jobs::job_state::cancelled &&
-                                  jobs::tasks_on(owners_.back().jobs, j->host) > 0;
-            const bool rests = jobs::is_over(*j) && !stopping;
-            first = first.empty() && !rests ? jobs::explain(*j).front() : first;
+                                  jobs::count_tasks_on(owners_.back().jobs, j->host) > 0;
+            const bool is_settled = jobs::is_terminal(*j) && !stopping;
+            first = first.empty() && !is_settled ? jobs::explain(*j).front() : first;
         }
         return first;
     };
-    for (int i = 0; i < most_minutes && !open().empty(); ++i)
+    for (int i = 0; i < max_minutes && !first_unsettled().empty(); ++i)
     {
-        pass(core::millis{60000});
+        advance_time(core::millis{60000});
         check();
     }
-    expect(open().empty(), "a job never came to its end: " + open());
+    expect(first_unsettled().empty(), "a job did not reach a terminal state: " + first_unsettled());
 }
 
 } // namespace camphorhitch::jobs_test
--- a/libs/jobs/tests/history.hpp
+++ b/libs/jobs/tests/pool_simulation.hpp
@@ -1,9 +1,9 @@
 /// \file
-/// A random history of a pool: several deciders, faults of the store, of orders and of workers, and
-/// what must hold after each step of it.
+/// A random simulation of a pool with several owners and with faults of the store, of orders and of
+/// workers, and the checks that must hold after each event.
 #pragma once
 
-#include "small_world.hpp"
+#include "fixture.hpp"
 
 #include <cstdint>
 #include <list>
@@ -19,7 +19,7 @@
 {
     pass_time,
     take_over,        ///< the roster changes: another member owns the pool
-    wake_old_owner,   ///< a former owner goes on with what it knew
+    wake_old_owner,   ///< a former owner continues with its old state
     predecessor_gone, ///< the former owners have certainly stopped
     fault_writes,
     fault_orders,
@@ -35,7 +35,7 @@
     announce_drain
 };
 
-inline constexpr int event_kinds = 16;
+inline constexpr int event_kind_count = 16;
 
 struct event
 {
@@ -43,26 +43,28 @@
     std::uint32_t random = 0;
 };
 
-class history
+class pool_simulation
 {
 public:
-    history();
+    pool_simulation();
 
     void apply(const event& e);
 
-    /// Everything that must hold at any moment; throws a sentence when something doesn't.
+    /// Checks everything that must hold at any moment; throws std::runtime_error with a
+    /// description.
     void check() const;
 
-    /// Ends all faults and lets the pool come to rest; then checks that every job has its end.
-    void settle_and_check();
+    /// Ends all faults, runs until every job has reached a terminal state, and checks that each one
+    /// has.
+    void end_faults_and_check();
 
 private:
-    void pass(core::millis time);
-    void work(job_fakes::member& m);
+    void advance_time(core::millis time);
+    void run_member(job_fakes::member& m);
     void submit_some(std::uint32_t random);
     void cancel_some(std::uint32_t random);
-    ports::platform_status order(const ports::task_order& it);
-    job_fakes::worker& worker_of(std::uint32_t random);
+    ports::platform_status send_order(const ports::task_order& it);
+    job_fakes::worker& random_worker(std::uint32_t random);
     void check_starts() const;
     void check_accepted() const;
     void check_quotas() const;
@@ -71,11 +73,11 @@
     job_fakes::world world_;
     std::list<job_fakes::member> owners_; ///< the newest last
     std::uint64_t epoch_ = 1;
-    int faulty_writes_ = 0;
-    std::uint32_t write_fault_ = 0;
-    int faulty_orders_ = 0;
-    std::uint32_t order_fault_ = 0;
-    int faulty_commands_ = 0;
+    int write_faults_left_ = 0;
+    std::uint32_t write_fault_seed_ = 0;
+    int order_faults_left_ = 0;
+    std::uint32_t order_fault_seed_ = 0;
+    int lost_commands_left_ = 0;
     int submitted_ = 0;
     std::map<std::string, jobs::submission> accepted_;
     std::set<std::string> refused_tasks_;
--- a/libs/jobs/tests/start_tests.cpp
+++ b/libs/jobs/tests/start_tests.cpp
@@ -1,4 +1,4 @@
-#include "small_world.hpp"
+#include "fixture.hpp"
 
 #include <CppUTest/TestHarness.h>
 
@@ -29,7 +29,7 @@
     pass_time(m, w, core::millis{15000});
     STRCMP_EQUAL("finished", state_of(w, "j1").c_str());
     CHECK_EQUAL(1, starts_of(w, "j1"));
-    CHECK_EQUAL(0, tasks_on(m.jobs, host_of(w, "j1")));
+    CHECK_EQUAL(0, count_tasks_on(m.jobs, host_of(w, "j1")));
 }
 
 TEST(starts, an_empty_pool_costs_no_write)
@@ -38,9 +38,9 @@
     CHECK_EQUAL(0, w.kv.writes);
 }
 
-// The store takes the write that records a start and its answer is lost. Ordering again after a
-// second write, or not at all, would both be wrong: the member reads the document, finds its own
-// record, and orders that task once.
+// The store applies the write that records a start, and its answer is lost. A second order after
+// another write would be wrong, and so would be no order at all: the member reads the document,
+// finds its own record, and orders that task once.
 TEST(starts, a_lost_answer_to_the_record_of_a_start_orders_one_task)
 {
     const write_fault faults[] = {
@@ -50,7 +50,7 @@
         w = make_world(4);
         m = make_member("quotes", 1, "e1", w.now);
         submit(make_submission("j1", 2, job_class::normal, false));
-        pass_time(m, w, tick); // fences
+        pass_time(m, w, tick); // writes the fencing tokens
         submit(make_submission("j2", 2, job_class::normal, false));
         int left = 1;
         w.kv.next_fault = [&]
@@ -64,9 +64,9 @@
     }
 }
 
-// An owner records a start, and dies before or after it ordered the task: nobody can tell. The next
-// owner may start an idempotent job again when the lease has certainly lapsed; one that may run
-// once becomes unknown and never runs again by itself.
+// An owner records a start and dies before or after it ordered the task, which can't be told apart.
+// The next owner may start an idempotent job again when the lease has certainly expired. A job that
+// may run once becomes unknown and is never started again by itself.
 TEST(starts, an_owner_dies_between_record_and_order)
 {
     struct row
@@ -103,18 +103,19 @@
         pass_time(next, w, core::millis{60000});
         if (!it.ordered)
         {
-            // The former owner might be paused and renew yet: no lease counts as lapsed.
+            // The former owner may be paused and renew the lease later, so no lease counts as
+            // expired.
             STRCMP_EQUAL("starting", state_of(w, "j1").c_str());
         }
-        next.jobs.predecessor_stopped = w.now;
+        next.jobs.predecessor_stopped_at = w.now;
         pass_time(next, w, core::millis{60000});
         STRCMP_EQUAL(it.state, state_of(w, "j1").c_str());
         CHECK_EQUAL(it.starts_at_the_end, starts_of(w, "j1"));
     }
 }
 
-// The platform says that it certainly did not start the task, so that even a job that may run once
-// goes to another try.
+// The platform reports that it certainly did not start the task, so even a job that may run once is
+// started again.
 TEST(starts, a_refused_start_is_tried_again)
 {
     int refusals = 2;
@@ -130,10 +131,11 @@
     CHECK_EQUAL(3, job_fakes::stored_job(w, "j1")->attempt);
 }
 
-// A former owner was paused, wakes up while the next one is taking over, and sees whatever is not
-// marked yet. It may place through documents that the new owner's mark hasn't reached, so the new
-// one must not place before all are marked: together they would fill a host twice. Once all are
-// marked, every write of the former owner is in conflict and it orders nothing.
+// A former owner was paused and wakes up while the next owner is taking over, and reads every
+// document that has no new token yet. It may place through documents that the new owner's token has
+// not reached, so the new owner must not place before all documents carry its token: together the
+// two would fill a host twice. Once all documents carry the token, every write of the former owner
+// ends in a conflict and it orders nothing.
 TEST(starts, a_paused_owner_wakes_during_a_take_over)
 {
     w = make_world(1);
@@ -147,7 +149,7 @@
     submit(urgent);
 
     member next = make_member("quotes", 2, "e2", w.now);
-    w.kv.refused_bucket = bucket_of("a"); // its mark doesn't get there for a while
+    w.kv.refused_bucket = bucket_of("a"); // its token is not stored for a while
     pass_time(next, w, core::millis{500});
     CHECK_EQUAL(1u, w.platform.starts.size());
     w.kv.refused_bucket = -1;
@@ -169,10 +171,11 @@
     STRCMP_EQUAL("finished", state_of(w, "c").c_str());
 }
 
-// The write that records a start gets no answer, and reading the document shows nothing of it; it
-// arrives later. Until the document has moved past it the room counts as taken: an urgent job that
-// was placed there meanwhile, through another document, would share the host with the late one.
-TEST(starts, room_that_a_late_write_may_take_stays_taken)
+// The write that records a start gets no answer, and the document that is read afterwards does not
+// contain it; the write takes effect later. Until the document has moved past this write, the
+// capacity counts as used. Otherwise an urgent job placed there meanwhile, through another
+// document, would share the host with the late job.
+TEST(starts, capacity_that_a_late_write_may_use_stays_reserved)
 {
     w = make_world(1);
     m = make_member("quotes", 1, "e1", w.now);
@@ -208,9 +211,10 @@
     CHECK_EQUAL(1, starts_of(w, "late"));
 }
 
-// A worker is cut off while it runs two jobs. Their leases run out without a word: the idempotent
-// one runs elsewhere, the other is unknown. Then the worker is back and has finished both: its
-// report settles the unknown one, and nothing ran twice that may run once.
+// A worker is cut off while it runs two jobs. Their leases expire without a report: the idempotent
+// job runs elsewhere, the other one becomes unknown. When the worker is reachable again and has
+// finished both, its report decides the unknown job, and the job that may run once has not run
+// twice.
 TEST(starts, a_worker_is_cut_off_and_comes_back)
 {
     submit(make_submission("twice", 2, job_class::normal, true));
--- a/libs/jobs/tests/submit_tests.cpp
+++ b/libs/jobs/tests/submit_tests.cpp
@@ -25,7 +25,7 @@
 
 const std::vector<model::team_config> teams = {{"lens", 64, 256, 2}, {"small", 2, 8, 0}};
 
-submission good(const std::string& id)
+submission valid_submission(const std::string& id)
 {
     return {
         id, "lens", "reconcile", job_class::normal, {2, 4, 0}, core::millis{60000}, true, "run"};
@@ -37,11 +37,11 @@
 {
     if (const auto* a = std::get_if<accepted>(&o))
     {
-        return a->repeat ? "repeat" : "accepted";
+        return a->is_repeat ? "repeat" : "accepted";
     }
     if (const auto* n = std::get_if<never_fits>(&o))
     {
-        return n->why;
+        return n->reason;
     }
     if (const auto* f = std::get_if<core::findings>(&o))
     {
@@ -109,22 +109,22 @@
     for (const auto& it : rows)
     {
         d = {};
-        submission s = good("j1");
+        submission s = valid_submission("j1");
         it.alter(s);
         STRCMP_EQUAL_TEXT(it.outcome, one(s).c_str(), it.name);
         CHECK_EQUAL(std::string{it.outcome} == "accepted" ? 1u : 0u, d.jobs.size());
     }
 }
 
-// The caller's answer was lost and it submits again, perhaps long after the job has ended: it is
-// told that this is the same job. The same id with anything else changed is somebody else's job or
-// a mistake, and must not silently stand for the first.
+// The caller's answer was lost and it submits again, perhaps long after the job has ended: the
+// answer says that this is the same job. The same id with any other value belongs to another job or
+// is a mistake, and must not be accepted silently in place of the first.
 TEST(submit, a_repeat_is_one_job_and_another_body_is_a_conflict)
 {
-    const submission first = good("j1");
+    const submission first = valid_submission("j1");
     STRCMP_EQUAL("accepted", one(first).c_str());
     STRCMP_EQUAL("repeat", one(first).c_str());
-    enter(d.jobs[0], job_state::finished, core::to_unix_ms(now), "task_finished", "");
+    enter_state(d.jobs[0], job_state::finished, core::to_unix_ms(now), "task_finished", "");
     STRCMP_EQUAL("repeat", one(first).c_str());
 
     void (*const changes[])(submission&) = {
@@ -143,23 +143,23 @@
     CHECK_EQUAL(1u, d.jobs.size());
 }
 
-TEST(submit, a_full_document_refuses_and_keeps_what_it_has)
+TEST(submit, a_full_document_refuses_and_keeps_its_jobs)
 {
-    rules.most_jobs = 3;
+    rules.max_jobs = 3;
     for (const char* id : {"j1", "j2", "j3"})
     {
-        STRCMP_EQUAL("accepted", one(good(id)).c_str());
+        STRCMP_EQUAL("accepted", one(valid_submission(id)).c_str());
     }
-    STRCMP_EQUAL("full", one(good("j4")).c_str());
-    STRCMP_EQUAL("repeat", one(good("j2")).c_str());
+    STRCMP_EQUAL("full", one(valid_submission("j4")).c_str());
+    STRCMP_EQUAL("repeat", one(valid_submission("j2")).c_str());
 
-    // What is over long enough makes room; what is over but may still hold a host doesn't.
-    const std::int64_t long_ago = core::to_unix_ms(now) - rules.keep_over.count() - 1;
-    enter(d.jobs[0], job_state::finished, long_ago, "task_finished", "");
-    enter(d.jobs[1], job_state::cancelled, long_ago, "cancelled_by_command", "");
+    // A terminal job older than the retention is removed; one that may still occupy a host is not.
+    const std::int64_t long_ago = core::to_unix_ms(now) - rules.terminal_job_retention.count() - 1;
+    enter_state(d.jobs[0], job_state::finished, long_ago, "task_finished", "");
+    enter_state(d.jobs[1], job_state::cancelled, long_ago, "cancelled_by_command", "");
     d.jobs[1].host = "w1";
-    STRCMP_EQUAL("accepted", one(good("j4")).c_str());
-    STRCMP_EQUAL("full", one(good("j5")).c_str());
+    STRCMP_EQUAL("accepted", one(valid_submission("j4")).c_str());
+    STRCMP_EQUAL("full", one(valid_submission("j5")).c_str());
 }
 
 TEST(submit, cancel_outcomes)
@@ -185,7 +185,7 @@
     for (const auto& it : rows)
     {
         d = {};
-        one(good("j1"));
+        one(valid_submission("j1"));
         d.jobs[0].state = it.state;
         d.jobs[0].host = it.host;
         const auto first = cancel(d, {"j1", "j9"}, "c7", now);
--- a/programs/camphorhitchd/src/job_intake.cpp
+++ b/programs/camphorhitchd/src/job_intake.cpp
@@ -19,7 +19,7 @@
     if (const auto* good = std::get_if<jobs::accepted>(&it))
     {
         out.accepted = true;
-        out.text = std::string(good->repeat ? "known, " : "accepted, ") +
+        out.text = std::string(good->is_repeat ? "known, " : "accepted, ") +
                    std::string(core::name_of(jobs::job_state_names, good->state));
     }
     else if (std::holds_alternative<jobs::other_body>(it))
@@ -29,7 +29,7 @@
     }
     else if (const auto* never = std::get_if<jobs::never_fits>(&it))
     {
-        out.text = "can never run: " + never->why;
+        out.text = "can never run: " + never->reason;
     }
     else if (std::holds_alternative<jobs::document_full>(it))
     {
