--- a/programs/camphorhitchd/src/job_service.cpp
+++ b/programs/camphorhitchd/src/job_service.cpp
@@ -111,7 +111,7 @@
         stored = it->second;
     }
     const auto cause = revision == o.tried[n] ? jobs::read_cause::same : jobs::read_cause::newer;
-    if (jobs::take_document(o.jobs, bucket, std::move(stored), cause, context_.scheduler.now()))
+    if (jobs::apply_document(o.jobs, bucket, std::move(stored), cause, context_.scheduler.now()))
     {
         o.revisions[n] = revision;
         o.tried[n] = -1;
@@ -172,9 +172,9 @@
     }
     const auto now = context_.scheduler.now();
     const auto stopped = members_.older_epochs_stopped();
-    if (stopped <= now && !o->jobs.predecessor_stopped)
+    if (stopped <= now && !o->jobs.predecessor_stopped_at)
     {
-        o->jobs.predecessor_stopped = stopped;
+        o->jobs.predecessor_stopped_at = stopped;
     }
     for (int bucket = 0; bucket < jobs::buckets_per_pool; ++bucket)
     {
@@ -213,7 +213,7 @@
     {
         return;
     }
-    for (const auto& due : jobs::due_writes(o->jobs, rules_, context_.scheduler.now()))
+    for (const auto& due : jobs::begin_due_writes(o->jobs, rules_, context_.scheduler.now()))
     {
         const auto text = jobs::encode(*due.document);
         const auto n = static_cast<std::size_t>(due.bucket);
@@ -221,11 +221,11 @@
             text,
             std::max<ports::revision>(o->revisions[n], 0),
             0,
-            [this, pool, bucket = due.bucket, text, mark = o->jobs.mark](
+            [this, pool, bucket = due.bucket, text, token = o->jobs.token](
                 const ports::kv_write& reply)
             {
                 auto* still = find_owned(pool);
-                if (still != nullptr && still->jobs.mark == mark)
+                if (still != nullptr && still->jobs.token == token)
                 {
                     on_written(pool, bucket, text, reply);
                 }
@@ -244,12 +244,12 @@
     case ports::kv_status::ok:
         o.revisions[n] = reply.modified;
         o.tried[n] = -1;
-        jobs::write_ended(o.jobs, bucket, jobs::write_end::stored);
+        jobs::record_write_result(o.jobs, bucket, jobs::write_result::stored);
         context_.documents->note({key, text, reply.modified, 0});
         round(pool);
         return;
     case ports::kv_status::conflict:
-        jobs::write_ended(o.jobs, bucket, jobs::write_end::conflict);
+        jobs::record_write_result(o.jobs, bucket, jobs::write_result::conflict);
         if (!reply.current.key.empty())
         {
             context_.documents->note(reply.current);
@@ -258,7 +258,7 @@
         return;
     default:
         // No answer tells: read it again, and only then go on with this document.
-        jobs::write_ended(o.jobs, bucket, jobs::write_end::doubt);
+        jobs::record_write_result(o.jobs, bucket, jobs::write_result::unknown);
         o.tried[n] = o.revisions[n];
         context_.documents->refresh();
         return;
@@ -278,7 +278,7 @@
             if (auto* still = find_owned(pool))
             {
                 still->polling.erase(host);
-                jobs::note_reports(still->jobs, host, reports, context_.scheduler.now());
+                jobs::record_reports(still->jobs, host, reports, context_.scheduler.now());
             }
         });
 }
@@ -293,7 +293,7 @@
         {
             if (auto* o = find_owned(pool))
             {
-                jobs::note_order_ended(o->jobs, task, status);
+                jobs::record_order_result(o->jobs, task, status);
             }
         });
 }
@@ -307,7 +307,7 @@
         {
             if (auto* o = find_owned(pool))
             {
-                jobs::note_command_ended(o->jobs, it.tasks, it.what, status);
+                jobs::record_command_result(o->jobs, it.tasks, it.what, status);
             }
         });
 }
@@ -317,7 +317,7 @@
     poll(pool, it.host);
 }
 
-void job_service::act(const std::string& pool, const jobs::quota_wish& it)
+void job_service::act(const std::string& pool, const jobs::quota_request& it)
 {
     const auto& teams = fleet_.config().teams;
     const auto team = std::find_if(
@@ -326,9 +326,9 @@
     {
         return;
     }
-    const jobs::amounts quota{team->processors, team->memory_gb, team->accelerators};
+    const jobs::resources quota{team->processors, team->memory_gb, team->accelerators};
     // What the update leaves behind, whether it had to write or not.
-    const auto granted = std::make_shared<std::optional<jobs::amounts>>();
+    const auto granted = std::make_shared<std::optional<jobs::resources>>();
     update_document(
         context_.writer(),
         jobs::quota_key(it.team),
@@ -344,8 +344,8 @@
                     document = std::move(*known);
                 }
             }
-            const bool changed = jobs::adjust(document, it, quota);
-            *granted = jobs::granted_to(document, it);
+            const bool changed = jobs::adjust_grant(document, it, quota);
+            *granted = jobs::find_grant(document, it);
             if (!changed)
             {
                 return std::optional<std::string>{};
@@ -358,27 +358,27 @@
             auto* o = find_owned(pool);
             if (o != nullptr && core::is_ok(end) && *granted)
             {
-                jobs::note_granted(o->jobs, it, **granted);
+                jobs::record_grant(o->jobs, it, **granted);
                 round(pool);
             }
         });
 }
 
-void job_service::act(const std::string& pool, const jobs::worker_judged& it)
+void job_service::act(const std::string& pool, const jobs::worker_health_changed& it)
 {
     context_.log(it.set_aside ? ports::log_level::warning : ports::log_level::info,
         it.set_aside ? "worker_set_aside" : "worker_back",
-        {{"pool", pool}, {"host", it.host}, {"why", it.why}});
+        {{"pool", pool}, {"host", it.host}, {"why", it.reason}});
 }
 
 std::optional<int> job_service::tasks_on(const std::string& pool, const std::string& host) const
 {
     const auto it = owned_.find(pool);
-    if (it == owned_.end() || !jobs::counts_all_tasks(it->second.jobs))
+    if (it == owned_.end() || !jobs::has_complete_task_count(it->second.jobs))
     {
         return std::nullopt;
     }
-    return jobs::tasks_on(it->second.jobs, host);
+    return jobs::count_tasks_on(it->second.jobs, host);
 }
 
 void job_service::move_off(const std::string& pool, const std::string& host, core::millis time_left)
--- a/programs/camphorhitchd/src/job_service.hpp
+++ b/programs/camphorhitchd/src/job_service.hpp
@@ -58,8 +58,8 @@
     void act(const std::string& pool, const jobs::start_task& it);
     void act(const std::string& pool, const jobs::command_tasks& it);
     void act(const std::string& pool, const jobs::poll_host& it);
-    void act(const std::string& pool, const jobs::quota_wish& it);
-    void act(const std::string& pool, const jobs::worker_judged& it);
+    void act(const std::string& pool, const jobs::quota_request& it);
+    void act(const std::string& pool, const jobs::worker_health_changed& it);
     void write_due(const std::string& pool);
     void on_written(
         const std::string& pool, int bucket, const std::string& text, const ports::kv_write& reply);
--- a/testing/daemon_fakes/include/daemon_fakes/platform.hpp
+++ b/testing/daemon_fakes/include/daemon_fakes/platform.hpp
@@ -31,7 +31,8 @@
     platform& operator=(const platform&) = delete;
 
     ports::platform port(process& from);
-    void add_host(const std::string& id, const std::string& target, const jobs::amounts& capacity);
+    void add_host(
+        const std::string& id, const std::string& target, const jobs::resources& capacity);
     /// Brings a host back that would not come by itself.
     void boot(const std::string& id);
 
--- a/testing/daemon_fakes/src/platform.cpp
+++ b/testing/daemon_fakes/src/platform.cpp
@@ -29,7 +29,7 @@
 }
 
 void platform::add_host(
-    const std::string& id, const std::string& target, const jobs::amounts& capacity)
+    const std::string& id, const std::string& target, const jobs::resources& capacity)
 {
     hosts[id].target = target;
     workers.all[id].id = id;
--- a/testing/job_fakes/include/job_fakes/store.hpp
+++ b/testing/job_fakes/include/job_fakes/store.hpp
@@ -48,7 +48,7 @@
 
 struct write_answer
 {
-    jobs::write_end how = jobs::write_end::stored;
+    jobs::write_result how = jobs::write_result::stored;
     std::int64_t revision = 0; ///< when stored
 };
 
--- a/testing/job_fakes/include/job_fakes/workers.hpp
+++ b/testing/job_fakes/include/job_fakes/workers.hpp
@@ -18,7 +18,7 @@
 /// What a task really does, whatever was declared.
 struct real_task
 {
-    jobs::amounts size;
+    jobs::resources size;
     core::millis run_time{0};
     core::millis checkpoint_time{300};
     bool fails = false; ///< at once, wherever it runs
@@ -46,7 +46,7 @@
 struct worker
 {
     std::string id;
-    jobs::amounts capacity;
+    jobs::resources capacity;
     bool fails_all = false;
     bool reachable = true;
     core::mono_time paused_until{}; ///< its own clock stands still until then; tasks run on
@@ -90,6 +90,6 @@
 void reboot(worker& w);
 
 /// What a task uses at this point of its run: memory grows to its full size early on.
-jobs::amounts use_of(const worker_task& t);
+jobs::resources use_of(const worker_task& t);
 
 } // namespace camphorhitch::job_fakes
--- a/testing/job_fakes/src/member.cpp
+++ b/testing/job_fakes/src/member.cpp
@@ -21,26 +21,26 @@
     {
         end = start(w.platform, it.order, w.now);
     }
-    jobs::note_order_ended(m.jobs, it.order.task, end);
+    jobs::record_order_result(m.jobs, it.order.task, end);
 }
 
 void carry_out(member& m, world& w, const jobs::command_tasks& it)
 {
     if (w.command_lost && w.command_lost(it))
     {
-        jobs::note_command_ended(m.jobs, it.tasks, it.what, ports::platform_status::unknown);
+        jobs::record_command_result(m.jobs, it.tasks, it.what, ports::platform_status::unknown);
         return;
     }
     const auto end = act(w.platform, it.host, it.tasks, it.what, w.now);
-    jobs::note_command_ended(m.jobs, it.tasks, it.what, end);
+    jobs::record_command_result(m.jobs, it.tasks, it.what, end);
 }
 
 void carry_out(member& m, world& w, const jobs::poll_host& it)
 {
-    jobs::note_reports(m.jobs, it.host, read_tasks(w.platform, it.host, w.now), w.now);
+    jobs::record_reports(m.jobs, it.host, read_tasks(w.platform, it.host, w.now), w.now);
 }
 
-void carry_out(member& m, world& w, const jobs::quota_wish& it)
+void carry_out(member& m, world& w, const jobs::quota_request& it)
 {
     const auto team = std::find_if(
         w.teams.begin(), w.teams.end(), [&](const auto& t) { return t.name == it.team; });
@@ -50,15 +50,15 @@
     }
     jobs::quota_document& d = w.quotas[it.team];
     d.team = it.team;
-    jobs::adjust(d, it, {team->processors, team->memory_gb, team->accelerators});
-    if (const auto granted = jobs::granted_to(d, it); granted && !w.wishes_unanswered)
+    jobs::adjust_grant(d, it, {team->processors, team->memory_gb, team->accelerators});
+    if (const auto granted = jobs::find_grant(d, it); granted && !w.wishes_unanswered)
     {
-        jobs::note_granted(m.jobs, it, *granted);
+        jobs::record_grant(m.jobs, it, *granted);
         m.again = true;
     }
 }
 
-void carry_out(member&, world&, const jobs::worker_judged&)
+void carry_out(member&, world&, const jobs::worker_health_changed&)
 {
 }
 
@@ -66,8 +66,8 @@
 {
     const auto n = static_cast<std::size_t>(it.bucket);
     const write_answer answer = put_if(w.kv, it.bucket, *it.document, m.revisions[n]);
-    jobs::write_ended(m.jobs, it.bucket, answer.how);
-    if (answer.how == jobs::write_end::stored)
+    jobs::record_write_result(m.jobs, it.bucket, answer.how);
+    if (answer.how == jobs::write_result::stored)
     {
         m.revisions[n] = answer.revision;
         m.tried[n] = 0;
@@ -75,7 +75,7 @@
         return;
     }
     m.must_read[n] = true;
-    if (answer.how == jobs::write_end::doubt)
+    if (answer.how == jobs::write_result::unknown)
     {
         m.tried[n] = m.revisions[n];
     }
@@ -111,13 +111,13 @@
     {
         const store::entry& it = w.kv.entries[i];
         const bool unchanged = !m.must_read[i] && it.revision == m.revisions[i];
-        if (unchanged || (!newer_marks && it.document.placer.epoch > m.jobs.mark.epoch))
+        if (unchanged || (!newer_marks && it.document.token.epoch > m.jobs.token.epoch))
         {
             continue;
         }
         const auto cause =
             it.revision == m.tried[i] ? jobs::read_cause::same : jobs::read_cause::newer;
-        if (jobs::take_document(m.jobs, static_cast<int>(i), it.document, cause, w.now))
+        if (jobs::apply_document(m.jobs, static_cast<int>(i), it.document, cause, w.now))
         {
             m.revisions[i] = it.revision;
             m.must_read[i] = false;
@@ -141,7 +141,7 @@
 {
     for (const auto& it : w.hosts.hosts)
     {
-        jobs::note_reports(m.jobs, it.id, read_tasks(w.platform, it.id, w.now), w.now);
+        jobs::record_reports(m.jobs, it.id, read_tasks(w.platform, it.id, w.now), w.now);
     }
     m.polled = w.now;
 }
@@ -180,7 +180,7 @@
                 std::visit([&](const auto& a) { carry_out(m, w, a); }, it);
             }
         }
-        for (const auto& it : jobs::due_writes(m.jobs, w.rules, w.now))
+        for (const auto& it : jobs::begin_due_writes(m.jobs, w.rules, w.now))
         {
             write_one(m, w, it);
         }
@@ -222,7 +222,7 @@
             batch.push_back(all[n]);
         }
         const auto made = jobs::submit(d, batch, {w.hosts, w.teams, w.rules, wall_now(w)});
-        if (put_if(w.kv, it.first, d, entry.revision).how != jobs::write_end::stored)
+        if (put_if(w.kv, it.first, d, entry.revision).how != jobs::write_result::stored)
         {
             continue;
         }
--- a/testing/job_fakes/src/store.cpp
+++ b/testing/job_fakes/src/store.cpp
@@ -31,27 +31,27 @@
 {
     if (bucket == s.refused_bucket)
     {
-        return {jobs::write_end::doubt, 0};
+        return {jobs::write_result::unknown, 0};
     }
     const write_fault fault = s.next_fault ? s.next_fault() : write_fault::none;
     switch (fault)
     {
     case write_fault::no_effect:
-        return {jobs::write_end::doubt, 0};
+        return {jobs::write_result::unknown, 0};
     case write_fault::late:
         s.late.push_back({bucket, expected, d});
-        return {jobs::write_end::doubt, 0};
+        return {jobs::write_result::unknown, 0};
     case write_fault::lost_answer:
         apply(s, bucket, d, expected);
-        return {jobs::write_end::doubt, 0};
+        return {jobs::write_result::unknown, 0};
     case write_fault::none:
         break;
     }
     if (!apply(s, bucket, d, expected))
     {
-        return {jobs::write_end::conflict, 0};
+        return {jobs::write_result::conflict, 0};
     }
-    return {jobs::write_end::stored, s.newest_revision};
+    return {jobs::write_result::stored, s.newest_revision};
 }
 
 void arrive(store& s, std::size_t n)
--- a/testing/job_fakes/src/workers.cpp
+++ b/testing/job_fakes/src/workers.cpp
@@ -130,7 +130,7 @@
 
 } // namespace
 
-jobs::amounts use_of(const worker_task& t)
+jobs::resources use_of(const worker_task& t)
 {
     const double full = static_cast<double>(std::max<std::int64_t>(1, t.real.run_time.count()));
     const double grown =
@@ -149,7 +149,7 @@
     {
         return ports::platform_status::ok;
     }
-    all.starts.push_back({jobs::job_of_task(order.task), order.task, order.host, order.resume});
+    all.starts.push_back({jobs::job_id_of_task(order.task), order.task, order.host, order.resume});
     worker_task t;
     t.order = order;
     t.real = all.behaviour(order);
