--- a/libs/jobs/include/jobs/pool_jobs.hpp
+++ b/libs/jobs/include/jobs/pool_jobs.hpp
@@ -142,7 +142,7 @@
     name_index team_names;  ///< jobs hold their indexes, so that a round compares no strings
     name_index group_names; ///< of group_name()
     /// The terminal jobs of the documents were added to the estimates.
-    bool learned_from_documents = false;
+    bool documents_in_estimates = false;
 };
 
 /// \param token the roster's epoch (above 0) and a text that no other call has ever used, such as
--- a/libs/jobs/src/candidates.cpp
+++ b/libs/jobs/src/candidates.cpp
@@ -141,7 +141,7 @@
     const group_usage& g)
 {
     const int need = static_cast<int>(std::floor(s.size.size.processors));
-    int weighed = 0;
+    int compared = 0;
     for (auto it = hosts.lower_bound({need, 0}); it != hosts.end(); ++it)
     {
         host_view& v = index.at(it->second);
@@ -161,8 +161,8 @@
             best.result.host = &v;
             best.cost = cost;
         }
-        weighed += 1;
-        if (weighed == max_candidates_per_zone)
+        compared += 1;
+        if (compared == max_candidates_per_zone)
         {
             return;
         }
--- a/libs/jobs/src/place.cpp
+++ b/libs/jobs/src/place.cpp
@@ -53,7 +53,7 @@
         {
             continue;
         }
-        const auto suits = [&](job_ref& w)
+        const auto is_suitable = [&](job_ref& w)
         {
             const estimate size = apply_correction(*w.it, group_usage_of(r, *w.it).size);
             const bool not_failed_there = std::none_of(w.it->failures.begin(),
@@ -67,7 +67,7 @@
                        {},
                        r.in.rules);
         };
-        const auto found = std::find_if(r.waiting.rbegin(), r.waiting.rend(), suits);
+        const auto found = std::find_if(r.waiting.rbegin(), r.waiting.rend(), is_suitable);
         if (found == r.waiting.rend())
         {
             continue;
--- a/libs/jobs/src/preemption.cpp
+++ b/libs/jobs/src/preemption.cpp
@@ -270,11 +270,12 @@
     core::mono_time best_at{};
     for (auto& v : r.views.hosts)
     {
-        const bool suits = v.accepts_jobs && !v.set_aside && v.reserved_for == nullptr &&
-                           size.run_time < v.time_to_drain && fits(j.declared, v.capacity);
+        const bool is_suitable = v.accepts_jobs && !v.set_aside && v.reserved_for == nullptr &&
+                                 size.run_time < v.time_to_drain && fits(j.declared, v.capacity);
         const auto at =
-            suits ? predict_free_at(v, required_resources(size.size, j.declared, v.capacity), r.in)
-                  : std::nullopt;
+            is_suitable
+                ? predict_free_at(v, required_resources(size.size, j.declared, v.capacity), r.in)
+                : std::nullopt;
         if (at && (best == nullptr || *at < best_at))
         {
             best = &v;
@@ -389,13 +390,13 @@
 
 void remove_stale_claims(pool_jobs& all, const round_input& in)
 {
-    const auto waits = [&](const std::string& id)
+    const auto is_waiting = [&](const std::string& id)
     {
         const auto& b = all.buckets.at(static_cast<std::size_t>(bucket_of(id)));
         const job* j = find_job(b.document, id);
         return j != nullptr && j->state == job_state::waiting;
     };
-    const auto is_open = [&](const std::string& host)
+    const auto is_usable = [&](const std::string& host)
     {
         const model::host_record* it = model::find_host(in.hosts, host);
         return it != nullptr && it->state == model::host_state::serving &&
@@ -404,14 +405,14 @@
     std::erase_if(all.capacity_claims,
         [&](const auto& it)
         {
-            return !waits(it.first) || !is_open(it.second.host) ||
+            return !is_waiting(it.first) || !is_usable(it.second.host) ||
                    in.now - it.second.since > in.rules.capacity_claim_timeout;
         });
     std::erase_if(all.reservations,
         [&](const auto& it)
         {
             const bool is_overdue = in.now > it.second.free_at + in.rules.reservation_delay;
-            return !waits(it.first) || !is_open(it.second.host) || is_overdue;
+            return !is_waiting(it.first) || !is_usable(it.second.host) || is_overdue;
         });
 }
 
--- a/libs/jobs/src/round.cpp
+++ b/libs/jobs/src/round.cpp
@@ -22,13 +22,13 @@
 
 /// Adds the terminal jobs of the documents to the estimates, because a new owner has not seen any
 /// job end itself.
-void learn_from_documents(pool_jobs& all)
+void add_documents_to_estimates(pool_jobs& all)
 {
-    if (all.learned_from_documents)
+    if (all.documents_in_estimates)
     {
         return;
     }
-    all.learned_from_documents = true;
+    all.documents_in_estimates = true;
     for (const auto& b : all.buckets)
     {
         for (const auto& j : b.document.jobs)
@@ -105,7 +105,7 @@
     {
         return actions;
     }
-    learn_from_documents(all);
+    add_documents_to_estimates(all);
     reconcile(all, active, in, actions);
     remove_stale_claims(all, in);
     round_state r{all, in, make_host_views(all, active, in), active, {}, {}, {}, {}};
--- a/libs/jobs/src/submit.cpp
+++ b/libs/jobs/src/submit.cpp
@@ -319,9 +319,9 @@
 
 std::size_t remove_expired_jobs(job_document& d, const settings& rules, core::wall_time now)
 {
-    const auto over =
+    const auto terminal_jobs =
         static_cast<std::size_t>(std::count_if(d.jobs.begin(), d.jobs.end(), is_terminal));
-    const bool is_crowded = over > rules.max_terminal_jobs;
+    const bool is_crowded = terminal_jobs > rules.max_terminal_jobs;
     const core::millis kept =
         is_crowded ? rules.min_terminal_job_retention : rules.terminal_job_retention;
     const std::int64_t oldest = core::to_unix_ms(now) - kept.count();
