--- a/libs/dispatch/src/flow_claim.cpp
+++ b/libs/dispatch/src/flow_claim.cpp
@@ -50,12 +50,13 @@
     {
         return;
     }
-    auto finish = claims::due_finish(*flow.claim, sender.settings.claims, sender.epoch, now);
+    auto finish =
+        claims::next_finish_message(*flow.claim, sender.settings.claims, sender.epoch, now);
     if (finish)
     {
         trim_answer(*finish, sender.settings.answer_kept_bytes);
         flow.phase = flow_phase::finishing_claim;
-        flow.retry_at = now + sender.settings.claims.finish_delay;
+        flow.retry_at = now + sender.settings.claims.finish_retry_delay;
         out.emplace_back(finish_claim{std::move(*finish)});
     }
 }
@@ -79,7 +80,7 @@
         end_flow(flow, sender, now, out);
         return out;
     }
-    if (const auto* again = std::get_if<claims::ask_again>(&step))
+    if (const auto* again = std::get_if<claims::retry_claim>(&step))
     {
         wait_for_retry(flow, flow_phase::claim_retry_wait, again->delay, now);
     }
@@ -105,7 +106,7 @@
     {
         claims::on_finish_ack(*flow.claim, ack);
         const bool acknowledged =
-            !claims::due_finish(*flow.claim, sender.settings.claims, sender.epoch, now);
+            !claims::next_finish_message(*flow.claim, sender.settings.claims, sender.epoch, now);
         flow.phase = acknowledged ? flow_phase::ended : flow_phase::finishing_claim;
     }
     return {};
