--- a/bench/placement_days/src/main.cpp
+++ b/bench/placement_days/src/main.cpp
@@ -86,11 +86,11 @@
     all.push_back(it);
     it = all.front();
     it.name = "no_foresight";
-    it.demand.young_share = 0;
+    it.demand.early_phase_share = 0;
     all.push_back(it);
     it = all.front();
     it.name = "never_rests";
-    it.rebalance.rest = core::millis{1'000'000};
+    it.rebalance.standby_delay = core::millis{1'000'000};
     all.push_back(it);
     return all;
 }
--- a/libs/coordinator/include/coordinator/answers.hpp
+++ b/libs/coordinator/include/coordinator/answers.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What the answers of runners prove.
+/// Applies the answers of runners to the fleet: which runs have started, ended or are lost.
 #pragma once
 
 #include "coordinator/fleet.hpp"
@@ -7,8 +7,10 @@
 namespace camphorhitch::coordinator
 {
 
-/// \return false when the runner knows a newer owner: this one has lost its ownership.
-bool start_answered(fleet& f,
+/// Applies the answer to a start order.
+/// \return false when the runner has accepted orders of a newer coordinator: this coordinator no
+/// longer leads.
+bool handle_start_answer(fleet& f,
     const std::string& host,
     const workflow::task_name& task,
     std::int64_t run,
@@ -16,8 +18,9 @@
     core::mono_time now,
     task_events& out);
 
-/// As start_answered, for a stop.
-bool stop_answered(fleet& f,
+/// Applies the answer to a stop order.
+/// \return as handle_start_answer
+bool handle_stop_answer(fleet& f,
     const std::string& host,
     const workflow::task_name& task,
     std::int64_t run,
@@ -25,21 +28,21 @@
     core::mono_time now,
     task_events& out);
 
-/// Takes the answer to a call that only renews a lease: whether the host answers, and its clock.
-/// What it runs and what has ended there is left to a poll.
-/// \return false when the runner knows a newer owner: this one must give up
-bool contact_answered(fleet& f,
+/// Applies the answer to a call that only renews a lease: whether the host answers, and its clock.
+/// Its active and ended runs are learned from polls.
+/// \return as handle_start_answer
+bool handle_renewal_answer(fleet& f,
     const std::string& host,
     const ports::runner_answer& answer,
     core::mono_time now,
     task_events& out);
 
-/// Takes in what a runner reports: ends first, then what runs, then what is missing.
-/// \param begun when the poll was sent; later changes are not in its answer
-/// \return as start_answered
-bool poll_answered(fleet& f,
+/// Applies a poll answer: first the ended runs, then the active runs, then runs that are missing.
+/// \param sent_at when the poll was sent; the answer doesn't show later changes
+/// \return as handle_start_answer
+bool handle_poll_answer(fleet& f,
     const std::string& host,
-    core::mono_time begun,
+    core::mono_time sent_at,
     const ports::poll_answer& answer,
     core::mono_time now,
     task_events& out);
--- a/libs/coordinator/include/coordinator/demand.hpp
+++ b/libs/coordinator/include/coordinator/demand.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// What each pool asks for: the work that waits, the rate at which it comes, and when its next busy
-/// time is expected.
+/// Estimates the need of each pool: from waiting work, the rate at which work arrives, and the
+/// expected start of its next busy period.
 #pragma once
 
 #include "coordinator/fleet.hpp"
@@ -13,97 +13,110 @@
 namespace camphorhitch::coordinator
 {
 
+/// Time constants and factors of the estimate.
 struct demand_settings
 {
-    /// Tasks that wait should be done within about this long; longer ones start at once.
+    /// Waiting tasks should be done within about this time; longer tasks are expected to start at
+    /// once.
     core::millis horizon{1300};
     /// Time constant of the measured rate of arriving work.
-    core::millis rate_memory{800};
-    /// Time constant of the rate against which its trend is seen.
-    core::millis trend_memory{2400};
-    /// The trend is followed this far ahead: a move, the new runner's first report and its first
-    /// look take about so long.
-    core::millis foresight{2200};
-    /// A trend raises a rate to this many times its present value at most: few large jobs that come
-    /// together look like a steep one.
-    double steepest = 1.5;
-    /// The more jobs show a trend, the less it is their chance: with so many within the rate's
-    /// memory or more it may raise the rate by trusted_factor times as much.
+    core::millis rate_time_constant{800};
+    /// Time constant of the slower rate that the measured rate is compared with to determine its
+    /// trend.
+    core::millis trend_time_constant{2400};
+    /// The trend is extrapolated this far ahead: about the time of a move, the first report of the
+    /// new runner and its first poll.
+    core::millis trend_lookahead{2200};
+    /// A trend raises a rate to at most this multiple of its present value, since a few large jobs
+    /// that arrive together look like a steep trend.
+    double max_trend_factor = 1.5;
+    /// The more jobs show a trend, the less likely it is a coincidence. With this many jobs within
+    /// the time constant of the rate, or more, the trend may raise the rate by trusted_factor times
+    /// as much.
     double trusted_jobs = 20;
     double trusted_factor = 3;
-    /// A pool is busy while work comes at this many times its long-run rate.
+    /// A pool becomes busy when work arrives at this multiple of its long-run rate.
     double busy_factor = 2.0;
-    /// Jobs within the rate's memory that make a busy time; one large job makes none.
+    /// Jobs within the time constant of the rate that a busy period needs; one large job is not
+    /// enough.
     double busy_jobs = 2.5;
-    /// Time constant of the long-run rate; several busy times long.
-    core::millis long_memory{20000};
-    /// A busy time is expected this long ahead.
-    core::millis lead{2700};
-    /// Share of a busy time's peak that its begin asks for: it rises over seconds.
-    double first_share = 0.3;
-    /// A busy time is young for so long: hosts that are asked for then come in time for its peak.
-    core::millis young{2500};
-    /// Share of the highest peak of any pool that a young busy time asks for at least.
-    double young_share = 0.5;
-    /// Room above the computed need, since work comes in lumps.
+    /// Time constant of the long-run rate, which spans several busy periods.
+    core::millis long_time_constant{20000};
+    /// Hosts are requested this long before the expected start of a busy period.
+    core::millis busy_lead_time{2700};
+    /// Share of the peak of a busy period that is requested at its start, since it rises over
+    /// seconds.
+    double initial_share = 0.3;
+    /// Duration of the early phase of a busy period: hosts that are requested in it arrive before
+    /// the peak.
+    core::millis early_phase{2500};
+    /// Minimum request in the early phase, as a share of the highest peak of any pool.
+    double early_phase_share = 0.5;
+    /// Factor on the computed need, since work arrives in bursts.
     double margin = 1.2;
 };
 
-/// Work that arrives at one pool, as rates in cores (core-seconds a second).
+/// Work that arrives at one pool, as rates in cores (core-seconds per second).
 struct pool_arrivals
 {
-    double fast = 0;
-    double middle = 0;
-    double slow = 0;
-    double jobs = 0; ///< within the fast rate's memory
-    double peak = 0; ///< highest fast rate of the latest busy time
-    core::mono_time updated;
+    /// With rate_time_constant.
+    double fast_rate = 0;
+    /// With trend_time_constant.
+    double medium_rate = 0;
+    /// With long_time_constant.
+    double slow_rate = 0;
+    double recent_jobs = 0; ///< jobs within the time constant of the fast rate
+    double peak_rate = 0;   ///< highest fast_rate of the latest busy period
+    core::mono_time updated_at;
     bool busy = false;
 };
 
-/// The begin of one pool's busy time.
-struct busy_begin
+/// Start of a busy period of one pool.
+struct busy_start
 {
     std::string pool;
     core::mono_time at;
 };
 
+/// Measured demand of all pools.
 struct demand
 {
     demand_settings settings;
     std::map<std::string, pool_arrivals> pools;
-    std::deque<busy_begin> history; ///< of all pools, oldest first
+    std::deque<busy_start> history; ///< busy periods of all pools, oldest first
 };
 
-/// What a pool needs now.
+/// Present need of a pool.
 struct pool_need
 {
-    double cores = 0;         ///< in all, the long-running tasks included
-    double lasting_cores = 0; ///< of long-running tasks
-    int least_hosts = 0;      ///< that its long-running steps must be spread over
-    bool expected = false;    ///< raised because its busy time is about to begin
+    double cores = 0;              ///< total, including long-running tasks
+    double long_running_cores = 0; ///< of long-running tasks
+    int min_hosts = 0; ///< minimum number of hosts for the spread of its long-running steps
+    bool busy_expected = false; ///< the need is raised because a busy period is about to start
 };
 
-/// Work comes in: call once a job.
-/// \param core_seconds of all its tasks
-void note_arrival(demand& d, const std::string& pool, double core_seconds, core::mono_time now);
+/// Records the arrival of a job. Called once for each job.
+/// \param core_seconds work of all its tasks
+void record_arrival(demand& d, const std::string& pool, double core_seconds, core::mono_time now);
 
-/// Work could not come in, or nobody could decide on it, until now: rates are as when that began.
-/// Taken for quiet, the time without would send the hosts away that callers are about to need.
+/// Resumes the measurement after a time in which no work could arrive or no coordinator decided.
+/// The rates continue with their earlier values: if the gap counted as a time without work, hosts
+/// would be sent away that callers need right after it.
 void resume_demand(demand& d, core::mono_time now);
 
-/// Lets rates decay, and notes where busy times begin and end.
+/// Lets the rates decay, and detects the start and end of busy periods.
 void update_demand(demand& d, core::mono_time now);
 
-/// \return when the pool's next busy time is expected to begin, from the order and the distance of
-/// those before; nothing when no pattern shows.
-std::optional<core::mono_time> next_busy(const demand& d, const std::string& pool);
+/// \return the expected start of the pool's next busy period, derived from the order and the
+/// intervals of earlier busy periods; nothing when they show no pattern.
+std::optional<core::mono_time> next_busy_time(const demand& d, const std::string& pool);
 
-/// \return cores that the job's batch tasks take now, and those that its ready ones would take to
-/// be done within the horizon. Tasks of later steps don't count: more hosts would not hasten them.
-double cores_now(const fleet& f, const demand_settings& d, const job_entry& j);
+/// \return the cores that the job's batch tasks use now, plus those that its ready tasks would need
+/// to be done within the horizon. Tasks of later steps don't count: more hosts would not speed them
+/// up.
+double demanded_cores(const fleet& f, const demand_settings& d, const job_entry& j);
 
-/// \return each pool's need.
+/// \return the need of each pool.
 std::map<std::string, pool_need> pool_needs(const fleet& f, const demand& d, core::mono_time now);
 
 } // namespace camphorhitch::coordinator
--- a/libs/coordinator/include/coordinator/explain.hpp
+++ b/libs/coordinator/include/coordinator/explain.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Why a job is where it is, in the coordinator's view, for people who ask.
+/// Explains the state of a job to operators and callers.
 #pragma once
 
 #include "coordinator/fleet.hpp"
@@ -10,9 +10,9 @@
 namespace camphorhitch::coordinator
 {
 
-/// \param unix_ms wall time
-/// \return a line for each step that is not done: its counts, where its tasks run, and why others
-/// wait; empty when the job is not known or final.
+/// \param unix_ms wall time in milliseconds
+/// \return one line for each step that is not done: its counts, the hosts of its tasks, and why
+/// other tasks wait; empty when the job is unknown or final.
 std::vector<std::string> explain_job(
     const fleet& f, const std::string& id, core::mono_time now, std::int64_t unix_ms);
 
--- a/libs/coordinator/include/coordinator/fleet.hpp
+++ b/libs/coordinator/include/coordinator/fleet.hpp
@@ -8,7 +8,7 @@
 /// values are read from the clock of this process.
 #pragma once
 
-#include "coordinator/learning.hpp"
+#include "coordinator/run_time_estimates.hpp"
 #include "core/names.hpp"
 #include "core/time.hpp"
 #include "ports/key_value.hpp"
@@ -337,7 +337,7 @@
     std::unordered_map<std::string, std::unique_ptr<job_entry>> jobs; ///< by job id
     std::unordered_set<std::string> open_jobs; ///< ids of jobs that are not final or have live runs
     std::map<std::string, host_entry> hosts;   ///< by runner id
-    coordinator::learnt run_time_estimates;    ///< from runs of this term
+    coordinator::run_time_estimates run_time_estimates; ///< from runs of this term
     /// Runners that have certainly ended, by runner id, with the time at which this became known.
     /// The list of runners may still contain them for ended_runner_retention.
     std::map<std::string, core::mono_time> ended_runners;
--- a/libs/coordinator/include/coordinator/intake.hpp
+++ b/libs/coordinator/include/coordinator/intake.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Jobs and hosts come into the coordinator's view, and leave it.
+/// Adds jobs and hosts to the state of the coordinator and removes them; ends and leases of hosts.
 #pragma once
 
 #include "coordinator/fleet.hpp"
@@ -7,103 +7,112 @@
 namespace camphorhitch::coordinator
 {
 
-/// Takes a job in; a job that is known already changes nothing.
-/// \param created store revision of its acceptance
-/// \param progress as stored, with \p stored its revision; revision 0: nothing is stored
+/// Adds a job. Does nothing when the job is already present.
+/// \param created store revision at which the job was accepted
+/// \param progress stored progress of the job
+/// \param stored store revision of \p progress; 0: no progress is stored
 void add_job(fleet& f,
     workflow::job spec,
     ports::revision created,
     const workflow::job_progress& progress,
     ports::revision stored);
 
-/// Ends a job at its caller's wish: nothing of it starts any more, and what runs is stopped.
+/// Cancels a job for its caller: no more tasks of the job start, and its active runs are stopped.
 void cancel_job(fleet& f, const std::string& id, core::mono_time now, task_events& out);
 
-/// Gives up the tasks of a job that is final, stored and without runs. Its entry stays: the job may
-/// come into view again by a reading that began before its removal, and must not start anew.
-void shrink_job(fleet& f, job_entry& j);
+/// Releases the memory of the tasks of a job that is final, stored and without runs. The job entry
+/// itself stays: a read of the store that began before the job was removed may return the job
+/// again, and it must not start anew.
+void release_job_tasks(fleet& f, job_entry& j);
 
-/// Runners that a former owner used: each has to be examined, or its leases to have lapsed, before
-/// an inherited task of its pool starts anywhere.
-void add_prior_hosts(fleet& f, const std::vector<inherited_host>& all, core::mono_time now);
+/// Adds the runners that previous coordinators used. Inherited tasks of a pool start only after
+/// each inherited runner of that pool was polled or its leases have expired.
+void add_inherited_hosts(fleet& f, const std::vector<inherited_host>& all, core::mono_time now);
 
-/// As add_prior_hosts when it can't be read which runners those were: all inherited tasks wait
-/// until every lease has lapsed.
-void hold_inherited(fleet& f, core::mono_time now);
+/// Replaces add_inherited_hosts when the record of these runners is unreadable: all inherited tasks
+/// wait until every lease of previous coordinators has expired.
+void delay_inherited_tasks(fleet& f, core::mono_time now);
 
-/// The newest list of runners.
-void see_hosts(
+/// Applies the newest list of runners.
+void apply_host_list(
     fleet& f, const std::vector<host_listing>& all, core::mono_time now, task_events& out);
 
-/// What shows that a runner's life has certainly ended.
-enum class life_proof
+/// Evidence that an incarnation of a runner has certainly ended.
+enum class termination_evidence
 {
-    other_life,   ///< the list of machines names the next one
-    no_life,      ///< the list says that its machine moves or is maintained
-    moved,        ///< the own order to move its machine was carried out
-    address_taken ///< another runner answers at its address, and all its leases have ended
+    other_life,   ///< the machine list names another incarnation on its machine
+    no_life,      ///< the machine list shows its machine as moving or in maintenance
+    moved,        ///< the order of this coordinator to move its machine was carried out
+    address_taken ///< another runner answers at its address, and all of its own leases have expired
 };
 
-inline constexpr core::name_table<life_proof, 4> life_proof_names{{
-    {life_proof::other_life, "other_life"},
-    {life_proof::no_life, "no_life"},
-    {life_proof::moved, "moved"},
-    {life_proof::address_taken, "address_taken"},
+inline constexpr core::name_table<termination_evidence, 4> termination_evidence_names{{
+    {termination_evidence::other_life, "other_life"},
+    {termination_evidence::no_life, "no_life"},
+    {termination_evidence::moved, "moved"},
+    {termination_evidence::address_taken, "address_taken"},
 }};
 
-/// A runner's life has certainly ended: all its runs are over. One that ended by itself may have
-/// been crashed by a task.
-void end_host(
-    fleet& f, const std::string& id, life_proof proof, core::mono_time now, task_events& out);
+/// Removes a host whose runner has certainly ended, with all its runs. When the runner ended
+/// without an order (other_life), a task may have crashed it, and its runs count as lost.
+void end_host(fleet& f,
+    const std::string& id,
+    termination_evidence proof,
+    core::mono_time now,
+    task_events& out);
 
-/// A host whose runs were given up because its leases had ended.
-struct host_lapse
+/// A host whose runs were abandoned because all of its leases have expired.
+struct expired_host
 {
     std::string host;
     std::size_t runs = 0;
-    core::mono_time answered; ///< when it last answered a poll; zero: never in this term
-    core::mono_time polled;   ///< when its latest poll was sent; zero: none in this term
+    /// Time of its latest answer to a poll or renewal; zero: none in this term.
+    core::mono_time last_answer_at;
+    core::mono_time polled_at; ///< when its latest poll was sent; zero: none in this term
 };
 
-/// Removes hosts whose leases have certainly lapsed unheard, and frees their tasks.
-/// \return those that had runs.
-std::vector<host_lapse> lapse_hosts(fleet& f, core::mono_time now, task_events& out);
+/// Abandons the runs of unresponsive hosts whose leases have certainly expired, so that their tasks
+/// can start elsewhere. Removes such a host when it isn't listed or another runner has its address.
+/// \return the hosts that had runs
+std::vector<expired_host> expire_hosts(fleet& f, core::mono_time now, task_events& out);
 
-/// \return the runner's clock now, at least; -1 when it never told.
-std::int64_t least_clock(const fleet& f, const host_entry& h, core::mono_time now);
+/// \return lower bound of the runner's clock at \p now, in milliseconds; -1: its clock is unknown
+std::int64_t min_runner_clock(const fleet& f, const host_entry& h, core::mono_time now);
 
-/// \return whether every lease that may have been granted on \p h has certainly ended.
-bool has_lapsed(const fleet& f, const host_entry& h, core::mono_time now);
+/// \return whether every lease that may have been granted to \p h has certainly expired.
+bool leases_expired(const fleet& f, const host_entry& h, core::mono_time now);
 
-/// \return how long from now until every lease that may have been granted on \p h has certainly
-/// ended, if none is granted any more; 0: it has.
-core::millis time_to_lapse(const fleet& f, const host_entry& h, core::mono_time now);
+/// \return time from \p now until every lease that may have been granted to \p h has certainly
+/// expired, provided that no further lease is granted; 0: all have expired.
+core::millis time_to_lease_expiry(const fleet& f, const host_entry& h, core::mono_time now);
 
-/// \return whether \p h may hold runs that a successor has to know of. A runner that never answered
-/// was given no lease, so it runs nothing.
+/// \return whether \p h may have runs that the next coordinator must know of. A runner that never
+/// answered was granted no lease, so it runs nothing.
 bool may_hold_runs(const fleet& f, const host_entry& h, core::mono_time now);
 
-/// \return the end of a lease granted now, on the runner's clock; 0 when its clock is unknown, it
-/// does not answer, a successor would not wait for it, or a start that was given up might begin
-/// under it: then none is granted.
+/// \return the end of a lease granted now, in milliseconds of the runner's clock; 0: no lease may
+/// be granted, because the runner's clock is unknown, the runner is unresponsive, the next
+/// coordinator would not wait for this runner, or an abandoned start could still begin under the
+/// lease.
 std::int64_t lease_end_for(const fleet& f, const host_entry& h, core::mono_time now);
 
-/// Notes that a lease until \p until_ms may be in force on \p h.
-void note_lease(host_entry& h, std::int64_t until_ms);
+/// Records that a lease that ends at \p until_ms of the runner's clock may be in force on \p h.
+void record_lease(host_entry& h, std::int64_t until_ms);
 
-/// \return the progress to store.
+/// \return the progress of the job in the form that is stored.
 workflow::job_progress progress_of(const job_entry& j);
 
-/// Where runs of a former owner may be that nobody has looked at.
-struct unexamined
+/// Pools in which runs of a previous coordinator may be active that this one has not seen.
+struct unseen_run_pools
 {
-    bool anywhere = false; ///< the pool is not known
+    bool all_pools = false; ///< the pool of such runs is unknown, so they may be in any pool
     std::set<std::string> pools;
 };
 
-unexamined find_unexamined(const fleet& f, core::mono_time now);
+/// \return the pools in which runs of a previous coordinator may be active unseen.
+unseen_run_pools find_unseen_run_pools(const fleet& f, core::mono_time now);
 
-/// \return whether a task of this pool may run unseen.
-bool covers(const unexamined& u, const std::string& pool);
+/// \return whether a task of this pool may have an active run that this coordinator has not seen.
+bool may_have_unseen_runs(const unseen_run_pools& u, const std::string& pool);
 
 } // namespace camphorhitch::coordinator
--- a/libs/coordinator/include/coordinator/placement.hpp
+++ b/libs/coordinator/include/coordinator/placement.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Which task starts where, and which run has to be stopped.
+/// Decides which task starts on which host, and which runs are stopped.
 #pragma once
 
 #include "coordinator/advice.hpp"
@@ -11,6 +11,7 @@
 namespace camphorhitch::coordinator
 {
 
+/// A start order to be sent to a runner.
 struct start_action
 {
     ports::runner_ref host;
@@ -18,9 +19,10 @@
     std::int64_t run = 0;
     std::string payload;
     std::string checkpoint;
-    std::string ticket; ///< of the platform's advice, or empty
+    std::string ticket; ///< ticket of the platform's advice service, or empty
 };
 
+/// A stop order to be sent to a runner.
 struct stop_action
 {
     ports::runner_ref host;
@@ -28,47 +30,50 @@
     std::int64_t run = 0;
 };
 
+/// The orders and requests that were decided together.
 struct plan
 {
     std::vector<start_action> starts;
     std::vector<stop_action> stops;
-    std::vector<ask_action> asks;
-    int room = 0;     ///< orders that may still join
-    bool cut = false; ///< more was due than there was room for
+    std::vector<advice_request> advice_requests;
+    int remaining_orders = 0; ///< orders that may still be added
+    bool truncated = false;   ///< some orders that are due were left out because of the bound
 };
 
-/// Decides all orders that are due, and notes them in \p f as sent.
-/// \param unix_ms wall time, for scheduled jobs and the age of jobs
-/// \param may_start false: only stops (nothing that starts could be recorded)
-/// \param most_orders that are decided; the rest waits as before, for a later plan. A gang is not
-/// divided.
+/// Decides all orders that are due, and records them in \p f as sent.
+/// \param unix_ms wall time in milliseconds, for scheduled jobs and the age of jobs
+/// \param may_start false: only stops are decided, because starts could not be recorded
+/// \param max_orders bound of the decided orders; the others stay waiting for a later plan. A gang
+/// is not divided.
 plan make_plan(fleet& f,
     core::mono_time now,
     std::int64_t unix_ms,
     bool may_start,
     task_events& out,
-    int most_orders = std::numeric_limits<int>::max());
+    int max_orders = std::numeric_limits<int>::max());
 
-/// Wants a run stopped; the next plan orders it. The task may start again once its end is certain.
-void want_stop(fleet& f,
+/// Marks a run as stopping; the next plan orders the stop. The task may start again once the end of
+/// the run is certain.
+void request_stop(fleet& f,
     const workflow::task_name& task,
     std::int64_t run,
     core::mono_time now,
     const std::string& reason,
     task_events& out);
 
-/// \return tasks of the same step that are not at work, or not known to be, without \p task itself.
-int others_away(const fleet& f, const job_entry& j, const workflow::task_name& task);
+/// \return number of tasks of the same step, without \p task itself, that are not confirmed as
+/// working on a reachable host.
+int other_unavailable_tasks(const fleet& f, const job_entry& j, const workflow::task_name& task);
 
-/// \return whether another host than \p but may run the task now.
-bool has_place_elsewhere(const fleet& f,
+/// \return whether another host than \p excluded_host may run the task now.
+bool can_run_elsewhere(const fleet& f,
     const job_entry& j,
     const workflow::task_name& task,
-    const std::string& but,
+    const std::string& excluded_host,
     core::mono_time now);
 
-/// \return the number of accepted jobs by queue of which no task has started, scheduled ones left
-/// out.
+/// \return by queue, the number of accepted jobs of which no task has started; scheduled jobs are
+/// not counted.
 std::map<std::string, int> pending_jobs(const fleet& f);
 
 } // namespace camphorhitch::coordinator
--- a/libs/coordinator/include/coordinator/rebalance.hpp
+++ b/libs/coordinator/include/coordinator/rebalance.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Hosts follow demand between pools: idle ones go to pools that are short, or to the standby pool,
-/// where they are switched off.
+/// Moves hosts between pools according to demand: idle hosts go to pools that lack hosts, or to the
+/// standby pool, whose machines are switched off.
 #pragma once
 
 #include "coordinator/demand.hpp"
@@ -9,26 +9,29 @@
 namespace camphorhitch::coordinator
 {
 
+/// Bounds and delays of moves between pools.
 struct rebalance_settings
 {
-    /// Hosts that each pool keeps beyond its need, against lumps.
+    /// Hosts that each pool keeps beyond its need, because work arrives in bursts.
     int spare_hosts = 1;
-    /// A pool's surplus must have stood this long before hosts go to the standby pool: a host pays
-    /// for being sent off and fetched back within about 4 s of rest.
-    core::millis rest{1500};
-    /// A pool's need is let go at this many hosts a second: needs jump with each job.
-    double release = 8;
-    /// Share of the hosts kept that is let go a second on top, once the pool's busy time is over:
-    /// what it keeps then is no reserve for the next jobs, and in a large pool would stand for
-    /// longer than the busy time lasted.
+    /// A pool must have had a surplus for this long before hosts go to the standby pool: moving a
+    /// host there and back pays only when it stays for at least about 4 s.
+    core::millis standby_delay{1500};
+    /// Hosts per second by which the number of retained hosts falls towards the need, because the
+    /// need changes abruptly with each job.
+    double release_rate = 8;
+    /// Share of the retained hosts that is released per second in addition, once the busy period of
+    /// the pool is over: the hosts it still retains are no reserve for further jobs then, and a
+    /// large pool would retain them for longer than its busy period lasted.
     double release_share = 0.5;
-    /// A pool that lacks so many hosts gets them also from pools that wanted theirs just now.
-    int far_short = 4;
-    /// Most moves ordered in one plan; the platform bounds its calls a second.
-    int most_moves = 12;
-    /// A host that another pool lacks is freed of tasks that keep their progress, when they would
-    /// hold it for longer than this. 0: never.
-    core::millis stops_tasks_above{800};
+    /// A pool that lacks this many hosts also gets hosts that other pools retain above their
+    /// present need.
+    int urgent_shortage = 4;
+    /// Moves ordered in one plan; the platform limits its calls per second.
+    int max_moves_per_plan = 12;
+    /// A host that another pool lacks is freed of tasks with checkpoints that would occupy it for
+    /// longer than this. 0: tasks are never stopped for a move.
+    core::millis task_stop_threshold{800};
 };
 
 /// A pool as the operators configured it.
@@ -38,34 +41,43 @@
     bool standby = false;
 };
 
+/// A move of a machine to another pool that is not completed.
 struct pending_move
 {
-    std::string to;
-    std::string runner; ///< the life that ends with the move
+    std::string to_pool;
+    std::string runner; ///< id of the runner that ends with the move
+    /// The order was sent to the platform.
     bool ordered = false;
     core::mono_time ordered_at;
 };
 
+/// State of the moves between pools.
 struct rebalancer
 {
     rebalance_settings settings;
-    std::map<std::string, pending_move> moves; ///< by machine, until seen up in its new pool
+    /// By machine; until the machine list shows the machine up in its new pool.
+    std::map<std::string, pending_move> moves;
     std::map<std::string, core::mono_time> surplus_since; ///< by pool
-    std::map<std::string, double> kept; ///< by pool: hosts that it does not give away yet
-    core::mono_time kept_at;
-    std::set<std::string> without_spare;
-    std::map<std::string, int> told; ///< by pool: hosts wanted, as last logged
+    /// By pool: number of hosts that it does not give away yet.
+    std::map<std::string, double> retained;
+    /// When `retained` was last updated.
+    core::mono_time retained_at;
+    /// Pools that have no host to give away, according to the latest plan.
+    std::set<std::string> pools_without_spare;
+    /// By pool: number of wanted hosts that was logged last.
+    std::map<std::string, int> logged_needs;
 };
 
+/// A move order for the platform.
 struct move_action
 {
     std::string machine;
     std::string pool;
 };
 
-/// Chooses hosts, closes them, and picks those that are empty by now.
-/// \param held machines that a wave holds or will take next; they stay where they are
-/// \return moves to order now.
+/// Chooses hosts to move, closes them to new tasks, and selects those that are empty now.
+/// \param held machines that a maintenance wave holds or will take next; they are not moved
+/// \return the moves to order now.
 std::vector<move_action> plan_moves(fleet& f,
     rebalancer& r,
     const demand& d,
@@ -75,21 +87,23 @@
     core::mono_time now,
     task_events& out);
 
-/// Nothing was planned until now: surplus is judged anew.
-void resume_moves(rebalancer& r, core::mono_time now);
+/// Restarts the measurement of surplus after a time without plans, since the surplus during that
+/// time is unknown.
+void reset_surplus_timers(rebalancer& r, core::mono_time now);
 
-/// \return pools that have no host to give away, as the latest plan saw them.
+/// \return the pools that have no host to give away, according to the latest plan.
 std::set<std::string> pools_without_spare(const rebalancer& r);
 
-/// The platform's answer to a move.
-void move_answered(fleet& f,
+/// Applies the platform's answer to a move order.
+void handle_move_answer(fleet& f,
     rebalancer& r,
     const std::string& machine,
     ports::machine_verdict verdict,
     core::mono_time now,
     task_events& out);
 
-/// Notes what the newest list shows of moves under way.
-void see_moves(rebalancer& r, const machine_table& list, core::millis list_lag);
+/// Removes the moves that the newest machine list shows as completed.
+/// \param list_lag a list may be this much older than the request for it
+void remove_completed_moves(rebalancer& r, const machine_table& list, core::millis list_lag);
 
 } // namespace camphorhitch::coordinator
--- a/libs/coordinator/include/coordinator/retention.hpp
+++ b/libs/coordinator/include/coordinator/retention.hpp
@@ -1,9 +1,10 @@
 /// \file
-/// How long the state of a job is kept after its end.
+/// Retention of the state of finished jobs.
 ///
-/// Without an end the store fills up, and each take-over reads every job there ever was. Callers
-/// may ask for a state, and repeat an acceptance whose answer they missed, for a bounded time only;
-/// until then the state is kept, since a repeat that met none would start the job anew.
+/// Without a bound the store would fill up, and each takeover would read every job that was ever
+/// accepted. Callers may ask for the state of a job, and repeat a submission whose answer they
+/// missed, for a bounded time only. The state is kept for that long, since a repeated submission
+/// that finds no state would start the job again.
 #pragma once
 
 #include "coordinator/fleet.hpp"
@@ -14,19 +15,23 @@
 namespace camphorhitch::coordinator
 {
 
-/// Notes that the final state of a job is stored.
-/// \param ended_unix_ms wall time of its end; 0: not known, then \p unix_ms, now, counts
-void note_finished(fleet& f,
+/// Records that the final state of a job is stored.
+/// \param ended_unix_ms wall time of its end in milliseconds; 0: unknown, then \p unix_ms is used
+/// \param stored store revision of the final state
+/// \param unix_ms wall time now in milliseconds
+void record_finished_job(fleet& f,
     const std::string& id,
     std::int64_t ended_unix_ms,
     ports::revision stored,
     std::int64_t unix_ms);
 
-/// Takes out at most \p most jobs that ended \p keep ago or earlier.
-std::vector<finished_job> take_expired(
-    fleet& f, core::millis keep, std::int64_t unix_ms, std::size_t most);
+/// Removes from the fleet's list, and returns, at most \p max_jobs finished jobs that ended at
+/// least
+/// \p retention ago.
+std::vector<finished_job> take_expired_jobs(
+    fleet& f, core::millis retention, std::int64_t unix_ms, std::size_t max_jobs);
 
-/// The state of the job is gone from the store.
-void forget_job(fleet& f, const std::string& id);
+/// Removes a finished job without runs, after its state was removed from the store.
+void purge_job(fleet& f, const std::string& id);
 
 } // namespace camphorhitch::coordinator
--- a/libs/coordinator/include/coordinator/waves.hpp
+++ b/libs/coordinator/include/coordinator/waves.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Maintenance waves: which hosts are emptied next, and which may go down now.
+/// Maintenance waves: which hosts are emptied next, and which may enter maintenance now. Also
+/// applies the platform's list of machines to the hosts.
 #pragma once
 
 #include "coordinator/fleet.hpp"
@@ -10,85 +11,96 @@
 namespace camphorhitch::coordinator
 {
 
-/// The platform's newest list of machines, by id.
+/// The platform's newest list of machines.
 struct machine_table
 {
+    /// By machine id.
     std::map<std::string, ports::machine_entry> machines;
-    std::set<std::string> moving;      ///< a move between pools is decided
-    std::set<std::string> short_pools; ///< they have no host to spare
-    core::mono_time read_at;           ///< when the call for it was sent
+    std::set<std::string> moving; ///< machines with a move between pools that is decided
+    std::set<std::string> pools_without_spare; ///< pools that have no host to give away
+    core::mono_time requested_at;              ///< when the request for the list was sent
+    /// False: no list has been received.
     bool known = false;
 };
 
-/// \return the machine's entry, or nullptr when the list doesn't show it.
+/// \return the machine's entry, or nullptr when the list doesn't contain the machine.
 const ports::machine_entry* find_machine(const machine_table& list, const std::string& id);
 
-/// Notes which machine each runner is a life of, and ends the runners whose machine has another
-/// one by now, or none while it moves or is maintained: a machine has one life at a time, so
-/// nothing of the old one still runs. Saves a successor the wait for their leases.
-/// \param list_lag a list may be so much older than the call for it
-void match_machines(fleet& f,
+/// Records on which machine each runner lives. Ends the runners whose machine has another runner
+/// now, or has none because it moves or is in maintenance: a machine has one runner at a time, so
+/// nothing of the former runner is active any more. This spares the next coordinator the wait for
+/// the leases of these runners.
+/// \param list_lag a list may be this much older than the request for it
+void apply_machine_list(fleet& f,
     const machine_table& list,
     core::millis list_lag,
     core::mono_time now,
     task_events& out);
 
-/// \return whether the list of machines may spare tasks the wait for their runner's leases.
-bool awaits_list(const fleet& f);
+/// \return whether a machine list may end the wait of tasks for the leases of their runner.
+bool needs_machine_list(const fleet& f);
 
-/// An order to maintain a machine that has no answer yet.
-struct order_out
+/// An order to maintain a machine that has no final answer yet.
+struct pending_maintenance_order
 {
-    std::string runner;      ///< that the list named when the order was decided
-    core::mono_time sent_at; ///< last; zero: not yet
-    bool unheard = false;    ///< a try had no answer: it may be carried out any time
+    std::string runner;      ///< id of the runner that the list named when the order was decided
+    core::mono_time sent_at; ///< when the order was last sent; zero: not yet
+    /// An attempt had no answer: the platform may still carry it out at any time.
+    bool unanswered = false;
 };
 
+/// A request of the operators to maintain a set of machines.
 struct wave
 {
     std::int64_t number = 0;
     std::vector<std::string> machines;
-    int most_at_once = 1;
+    /// Machines that may be down at the same time.
+    int max_at_once = 1;
+    /// When the wave should be completed.
     core::mono_time due;
-    core::mono_time taken_at;                       ///< when this owner read the request
-    std::set<std::string> begun;                    ///< their maintenance has begun, or is over
-    std::map<std::string, order_out> asked;         ///< by machine
-    std::map<std::string, core::mono_time> down_at; ///< begun and not seen up again
+    core::mono_time request_read_at;        ///< when this coordinator read the request
+    std::set<std::string> started_machines; ///< machines whose maintenance has started or is over
+    std::map<std::string, pending_maintenance_order> pending_orders; ///< by machine
+    /// By machine: when its maintenance started; until a list shows it up again.
+    std::map<std::string, core::mono_time> down_since;
     bool completed = false;
 };
 
+/// Times and bounds of maintenance waves.
 struct wave_settings
 {
-    /// Hosts that are emptied ahead of a free place, so that one is ready when it comes.
-    int ahead = 2;
-    /// A list that was asked for sooner after an order, or after the wave's request, may not show
-    /// its effect, or all machines of the wave, yet.
+    /// Hosts that are emptied in advance, so that one is ready when another machine may go down.
+    int hosts_closed_ahead = 2;
+    /// A list that was requested within this time after an order may not show the effect of the
+    /// order yet. The same holds for the request of the wave: such a list may lack machines of the
+    /// wave.
     core::millis list_lag{300};
-    /// A closed host's batch tasks get this long to end by themselves, then they are stopped.
-    core::millis patience{2500};
-    /// A host takes about this long to be emptied and maintained; by it the wave's end is judged.
-    core::millis turn{4000};
-    /// Kept free before the wave's end, for turns that take longer.
-    core::millis reserve{3500};
-    /// From the stop of a long-running task to its being at work elsewhere: so long the next one of
-    /// its step may have to wait.
-    core::millis evacuation{2000};
+    /// The batch tasks of a closed host may end by themselves for this long, then they are stopped.
+    core::millis batch_task_timeout{2500};
+    /// Usual time for emptying and maintaining a host; the end of a wave is estimated from it.
+    core::millis time_per_host{4000};
+    /// Kept free before the due time of the wave, for hosts that take longer.
+    core::millis schedule_reserve{3500};
+    /// Time from the stop of a long-running task until it works on another host. The next task of
+    /// its step may have to wait for this long.
+    core::millis evacuation_time{2000};
 };
 
-/// Notes what the newest list shows.
-/// \return whether the wave has become completed.
-bool see_machines(wave& w, const machine_table& list, const wave_settings& s);
+/// Applies the newest machine list to the wave.
+/// \return whether the wave has become completed by this call.
+bool update_wave(wave& w, const machine_table& list, const wave_settings& s);
 
-/// Opens hosts that the wave has closed and needs no more: their maintenance was done before the
-/// order that this owner sent.
-void reopen_maintained(fleet& f, const wave& w, const machine_table& list);
+/// Opens the hosts that the wave closed and whose maintenance turned out to be done before the
+/// order that this coordinator sent.
+void reopen_maintained_hosts(fleet& f, const wave& w, const machine_table& list);
 
-/// \return machines that the wave has closed or taken; they are not to be moved.
+/// \return the machines that the wave has closed or ordered into maintenance; they must not be
+/// moved.
 std::set<std::string> held_machines(const fleet& f, const wave& w, const machine_table& list);
 
-/// Closes hosts that come next, wants their tasks stopped where that is allowed, and picks those
-/// that are empty.
-/// \return machines whose maintenance may begin now.
+/// Closes the hosts that are maintained next, stops their tasks where that is allowed, and selects
+/// the hosts that are empty.
+/// \return the machines whose maintenance may be ordered now.
 std::vector<std::string> plan_wave(fleet& f,
     wave& w,
     const machine_table& list,
@@ -96,11 +108,12 @@
     core::mono_time now,
     task_events& out);
 
-/// An order may have been carried out unheard, and the host be back with work. Before a repeat the
-/// host is closed and emptied, once the service of machines answers. Tasks that have nowhere to go
-/// hold the repeat up for a while only.
-/// \return whether the order may be sent now; it counts as sent then.
-bool may_send_order(fleet& f,
+/// Prepares sending or repeating the maintenance order for a machine. An earlier attempt may have
+/// been carried out without an answer, and the host may be back with tasks. Before a repeat the
+/// host is therefore closed and emptied, once the platform's machine service answers. Tasks that
+/// can't run elsewhere delay the repeat for a limited time only.
+/// \return whether the order may be sent now; it is recorded as sent in this case.
+bool prepare_maintenance_order(fleet& f,
     wave& w,
     const machine_table& list,
     const std::string& machine,
@@ -108,28 +121,30 @@
     core::mono_time now,
     task_events& out);
 
-/// The platform says that the maintenance of \p machine has begun, now or for an earlier order, of
-/// this owner or another. So it proves nothing of the runner that is there: the list tells.
-void maintenance_began(
+/// Applies the platform's answer that the maintenance of \p machine has started, by this order or
+/// by an earlier one, of this coordinator or of another. The answer therefore proves nothing about
+/// the runner that is on the machine now; the machine list shows it.
+void handle_maintenance_started(
     fleet& f, wave& w, const machine_table& list, const std::string& machine, core::mono_time now);
 
-/// The platform gave no answer to the order.
-void order_unheard(wave& w, const std::string& machine);
+/// Records that the platform gave no answer to the maintenance order.
+void record_unanswered_order(wave& w, const std::string& machine);
 
-/// The platform refused to maintain \p machine now.
-/// \return whether the order is out all the same: a try before had no answer, and the machine
-/// hasn't left since.
-bool keeps_place(const wave& w, const machine_table& list, const std::string& machine);
+/// Evaluates a refusal of the platform to maintain \p machine now.
+/// \return whether an earlier order may still take effect: an earlier attempt had no answer, and
+/// the machine hasn't left since.
+bool order_may_take_effect(const wave& w, const machine_table& list, const std::string& machine);
 
-/// The platform says that \p machine is not part of the wave: nothing is left to be done for it.
-void not_in_wave(fleet& f, wave& w, const machine_table& list, const std::string& machine);
+/// Applies the platform's answer that \p machine is not part of the wave: the wave has nothing left
+/// to do for it.
+void remove_from_wave(fleet& f, wave& w, const machine_table& list, const std::string& machine);
 
-/// Moves long-running tasks off hosts that are about to leave, as far as their steps allow; batch
-/// tasks mostly end before.
-void empty_draining_hosts(fleet& f, core::mono_time now, task_events& out);
+/// Stops the long-running tasks on hosts that are about to leave, as far as max_unavailable of
+/// their steps allows. Batch tasks usually end before the host leaves.
+void evacuate_draining_hosts(fleet& f, core::mono_time now, task_events& out);
 
-/// Wants the host's tasks stopped: long-running ones within what their steps may miss, others
-/// when \p batch_too.
-void empty_host(fleet& f, host_entry& h, bool batch_too, core::mono_time now, task_events& out);
+/// Stops the tasks of the host: long-running tasks within max_unavailable of their steps, batch
+/// tasks only when \p batch_too.
+void evacuate_host(fleet& f, host_entry& h, bool batch_too, core::mono_time now, task_events& out);
 
 } // namespace camphorhitch::coordinator
--- a/libs/coordinator/src/given_up.cpp
+++ b/libs/coordinator/src/abandoned_starts.cpp
@@ -1,4 +1,4 @@
-#include "given_up.hpp"
+#include "abandoned_starts.hpp"
 
 #include "bookkeeping.hpp"
 
@@ -10,15 +10,16 @@
 namespace
 {
 
-/// A confirmed run has ended with its leases, after which its runner refuses the order.
-bool may_be_carried_out(const run_entry& it)
+/// Returns false for confirmed runs: they ended when their leases expired, and the runner refuses
+/// to start them again.
+bool may_still_start(const run_entry& it)
 {
     return it.phase != run_phase::running && !it.stop_confirmed;
 }
 
 } // namespace
 
-void give_up_starts(fleet& f, const host_entry& h, task_events& out)
+void abandon_starts(fleet& f, const host_entry& h, task_events& out)
 {
     for (const auto& [text, name] : h.runs)
     {
@@ -29,16 +30,21 @@
         }
         for (const auto& it : t->runs)
         {
-            if (it.host == h.ref.id && may_be_carried_out(it))
+            if (it.host == h.ref.id && may_still_start(it))
             {
                 f.abandoned_starts[h.ref.id].push_back({name, it.number, false, {}});
-                note(out, "start_given_up", name, it.number, h.ref.id, "no answer to its order");
+                record_event(out,
+                    "start_given_up",
+                    name,
+                    it.number,
+                    h.ref.id,
+                    "no answer to the start order");
             }
         }
     }
 }
 
-void stop_given_up(fleet& f, core::mono_time now, plan& to)
+void stop_abandoned_starts(fleet& f, core::mono_time now, plan& to)
 {
     for (auto& [host, starts] : f.abandoned_starts)
     {
@@ -53,19 +59,19 @@
             {
                 continue;
             }
-            if (to.room <= 0)
+            if (to.remaining_orders <= 0)
             {
-                to.cut = true;
+                to.truncated = true;
                 return;
             }
-            --to.room;
+            --to.remaining_orders;
             it.stop_in_flight = true;
             to.stops.push_back({h->ref, it.task, it.number});
         }
     }
 }
 
-void given_up_answered(fleet& f,
+void handle_abandoned_start_answer(fleet& f,
     const std::string& host,
     const workflow::task_name& task,
     std::int64_t run,
--- a/libs/coordinator/src/advice.cpp
+++ b/libs/coordinator/src/advice.cpp
@@ -42,7 +42,7 @@
     return it == a->tickets.end() || now >= it->second.until ? nullptr : &it->second.text;
 }
 
-ask_action plan_ask(fleet& f,
+advice_request plan_advice_request(fleet& f,
     job_entry& j,
     int occurrence,
     int step,
@@ -50,15 +50,15 @@
     core::mono_time now)
 {
     const auto& s = f.settings;
-    ask_action out{{j.spec.id, occurrence, step, 0}, {}};
+    advice_request out{{j.spec.id, occurrence, step, 0}, {}};
     auto& a = advice_of(j, occurrence, step);
     if (a.request_in_flight || now < a.not_before ||
         f.advice_requests_in_flight >= s.max_advice_requests)
     {
         return out;
     }
-    // Each runner that is named costs time: no more of them than the step has tasks waiting, and a
-    // few for those that may not.
+    // Each runner in a request takes processing time of the service. The request names as many as
+    // the step has waiting tasks, and a few more in case some are rejected.
     const int waiting = step_of(j, occurrence, step).idle;
     const auto wanted = static_cast<std::size_t>(waiting) + s.extra_runners_asked;
     for (const auto* const h : hosts)
@@ -78,32 +78,32 @@
     return out;
 }
 
-void advice_answered(fleet& f,
-    const ask_action& asked,
+void handle_advice_answer(fleet& f,
+    const advice_request& request,
     const ports::advice_answer& answer,
     core::mono_time now,
     task_events& out)
 {
     --f.advice_requests_in_flight;
-    auto* const j = find_job(f, asked.step.job);
+    auto* const j = find_job(f, request.step.job);
     if (j == nullptr || workflow::is_final(j->state))
     {
         return;
     }
-    auto& a = advice_of(*j, asked.step.occurrence, asked.step.step);
+    auto& a = advice_of(*j, request.step.occurrence, request.step.step);
     a.request_in_flight = false;
     out.push_back({"advice",
-        write_step_name(asked.step),
+        write_step_name(request.step),
         0,
         "",
-        "asked=" + std::to_string(asked.runners.size()) + " good=" +
+        "asked=" + std::to_string(request.runners.size()) + " good=" +
             std::to_string(answer.tickets.size()) + (answer.known ? "" : " unanswered=1")});
     if (!answer.known)
     {
         a.not_before = now + f.settings.advice_retry_delay;
         return;
     }
-    a.rejected_hosts.insert(asked.runners.begin(), asked.runners.end());
+    a.rejected_hosts.insert(request.runners.begin(), request.runners.end());
     for (const auto& it : answer.tickets)
     {
         a.rejected_hosts.erase(it.runner);
@@ -111,11 +111,11 @@
     }
 }
 
-/// A ticket's end is reckoned from when the answer is taken in. Where that lay unread, or the
-/// machine was suspended, the ticket ends sooner, and each start with it would be refused until the
-/// reckoned end. The runner's refusal is the proof; reckoned from the call, tickets of a slow
-/// service would end before they came.
-void ticket_refused(fleet& f, const workflow::task_name& step, const std::string& host)
+/// The end of a ticket is computed from the time at which the answer is applied. If the answer was
+/// unread for a while, or the machine was suspended, the ticket ends sooner, and each start with it
+/// would be refused until the computed end. The refusal of the runner shows this. If the end were
+/// computed from the time of the request, tickets of a slow service would end before they arrive.
+void discard_ticket(fleet& f, const workflow::task_name& step, const std::string& host)
 {
     if (auto* const j = find_job(f, step.job))
     {
--- a/libs/coordinator/src/answers.cpp
+++ b/libs/coordinator/src/answers.cpp
@@ -1,11 +1,11 @@
 #include "coordinator/answers.hpp"
 
+#include "abandoned_starts.hpp"
 #include "bookkeeping.hpp"
 #include "coordinator/advice.hpp"
 #include "coordinator/intake.hpp"
-#include "ends.hpp"
-#include "given_up.hpp"
-#include "losses.hpp"
+#include "lost_runs.hpp"
+#include "run_ends.hpp"
 #include "workflow/records.hpp"
 
 #include <algorithm>
@@ -25,7 +25,7 @@
     return "answer=" + std::string{core::name_of(ports::runner_verdict_names, answer.verdict)};
 }
 
-void note_clock(host_entry& h, const ports::runner_answer& answer, core::mono_time now)
+void record_clock(host_entry& h, const ports::runner_answer& answer, core::mono_time now)
 {
     if (answer.clock_ms >= 0)
     {
@@ -42,11 +42,12 @@
     {
         return nullptr;
     }
-    const auto place = place_of_run(*t, host, number);
-    return place == t->runs.size() ? nullptr : &t->runs[place];
+    const auto index = run_index(*t, host, number);
+    return index == t->runs.size() ? nullptr : &t->runs[index];
 }
 
-/// The runner says that the run is there. One that is being stopped stays so.
+/// Applies the runner's report that it executes the run. A run that is being stopped stays in that
+/// phase.
 void confirm_running(job_entry& j, run_entry& run, core::mono_time now)
 {
     if (run.phase == run_phase::ordered || run.phase == run_phase::unsettled)
@@ -55,11 +56,11 @@
         run.phase_changed_at = now;
     }
     run.confirmed = true;
-    note_begun(j);
+    mark_job_started(j);
 }
 
-/// The run never began and never will.
-void start_refused(fleet& f,
+/// Applies a refused start: the run has not started and never will.
+void handle_refused_start(fleet& f,
     const workflow::task_name& name,
     const std::string& host,
     std::int64_t number,
@@ -68,19 +69,20 @@
     task_events& out)
 {
     auto* const t = find_task(f, name);
-    const auto place = place_of_run(*t, host, number);
-    // Ordered again at once, a start that is refused each time would keep the process busy.
+    const auto index = run_index(*t, host, number);
+    // If the start were repeated at once, a start that is refused each time would keep the process
+    // busy.
     t->not_before = now + f.settings.refused_start_delay;
     t->failed_on.push_back(host);
-    note(out, "start_refused", name, number, host, verdict_text(answer));
+    record_event(out, "start_refused", name, number, host, verdict_text(answer));
     if (answer.verdict == runner_verdict::bad_ticket)
     {
-        ticket_refused(f, name, host);
+        discard_ticket(f, name, host);
     }
-    remove_run(f, *find_job(f, name.job), name, place);
+    remove_run(f, *find_job(f, name.job), name, index);
 }
 
-void see_stray(fleet& f, host_entry& h, const ports::reported_run& it, task_events& out)
+void record_orphaned_run(fleet& f, host_entry& h, const ports::reported_run& it, task_events& out)
 {
     ++h.orphaned_runs;
     const auto same = [&](const orphaned_run& known)
@@ -94,8 +96,8 @@
     }
 }
 
-/// A run of a former owner: it is this owner's from now on.
-void adopt(fleet& f,
+/// Adds a run that a previous coordinator ordered to the runs of this one.
+void adopt_run(fleet& f,
     host_entry& h,
     job_entry& j,
     const workflow::task_name& name,
@@ -113,12 +115,12 @@
     run.adopted = true;
     run.phase_changed_at = now;
     add_run(f, j, name, run);
-    see_later_run(t, it.run);
-    adopt_trial(t, it.run);
-    note(out, wanted ? "run_adopted" : "run_unwanted", name, it.run, h.ref.id, "");
+    apply_later_run(t, it.run);
+    adopt_isolated_run(t, it.run);
+    record_event(out, wanted ? "run_adopted" : "run_unwanted", name, it.run, h.ref.id, "");
 }
 
-void see_running(
+void apply_reported_run(
     fleet& f, host_entry& h, const ports::reported_run& it, core::mono_time now, task_events& out)
 {
     const auto read = workflow::read_task_name(it.task);
@@ -126,48 +128,49 @@
     auto* const t = name == nullptr ? nullptr : find_task(f, *name);
     if (t == nullptr)
     {
-        see_stray(f, h, it, out);
+        record_orphaned_run(f, h, it, out);
         return;
     }
     auto& j = *find_job(f, name->job);
-    if (place_of_run(*t, h.ref.id, it.run) == t->runs.size())
+    if (run_index(*t, h.ref.id, it.run) == t->runs.size())
     {
-        adopt(f, h, j, *name, it, now, out);
+        adopt_run(f, h, j, *name, it, now, out);
     }
-    auto& run = t->runs[place_of_run(*t, h.ref.id, it.run)];
+    auto& run = t->runs[run_index(*t, h.ref.id, it.run)];
     confirm_running(j, run, now);
     run.progress_percent = it.progress_percent;
     run.load_metric = it.load_metric;
-    clear_if_proven(f, h, j, *name, run, out);
+    clear_losses_if_proven(f, h, j, *name, run, out);
     if (!it.checkpoint.empty())
     {
         t->progress.checkpoint = it.checkpoint;
     }
 }
 
-/// Takes in the ends that are new, in whatever order the runner lists them.
-void take_ends(fleet& f,
+/// Applies the ends that are new, in any order in which the runner lists them.
+void apply_run_ends(fleet& f,
     host_entry& h,
     const std::vector<ports::reported_end>& ended,
     core::mono_time now,
     task_events& out)
 {
-    const auto seen = h.last_applied_end;
+    const auto previously_applied = h.last_applied_end;
     for (const auto& it : ended)
     {
-        if (it.number > seen)
+        if (it.number > previously_applied)
         {
-            take_end(f, h, it, now, out);
+            apply_run_end(f, h, it, now, out);
             h.last_applied_end = std::max(h.last_applied_end, it.number);
         }
     }
 }
 
-/// A run that the runner does not list: it is over, or the answer is too old to tell.
-void judge_missing(fleet& f,
+/// Evaluates a run that the runner does not list: the run is over, or the answer is too old to show
+/// it.
+void evaluate_missing_run(fleet& f,
     host_entry& h,
     const workflow::task_name& name,
-    core::mono_time begun,
+    core::mono_time sent_at,
     core::mono_time now,
     task_events& out)
 {
@@ -176,29 +179,35 @@
     for (std::size_t i = t.runs.size(); i-- > 0;)
     {
         auto& run = t.runs[i];
-        if (run.host != h.ref.id || run.phase_changed_at >= begun)
+        if (run.host != h.ref.id || run.phase_changed_at >= sent_at)
         {
             continue;
         }
         if (run.phase == run_phase::unsettled)
         {
-            // The order may still be on its way. After a stop the runner refuses it for good, so
-            // only then the task may start elsewhere.
-            note(out, "order_unsettled", name, run.number, h.ref.id, "not listed; stopping it");
+            // The order may still be on its way. After a stop the runner refuses it permanently, so
+            // the task may start on another host only then.
+            record_event(out,
+                "order_unsettled",
+                name,
+                run.number,
+                h.ref.id,
+                "not listed by its runner; stopping it");
             run.phase = run_phase::stopping;
             run.phase_changed_at = now;
         }
         else if (run.phase == run_phase::running || run.stop_confirmed)
         {
-            note(out, "run_over", name, run.number, h.ref.id, "not listed by its runner");
+            record_event(out, "run_over", name, run.number, h.ref.id, "not listed by its runner");
             remove_run(f, j, name, i);
         }
     }
 }
 
-/// Another runner answers at the host's address. An address may be handed on while the one that had
-/// it is cut off and works, so this ends nothing before its leases have ended.
-void lose_address(host_entry& h, task_events& out)
+/// Marks a host at whose address another runner answers. The address may have been reassigned while
+/// the runner of this host is cut off and still works, so this ends nothing before its leases have
+/// expired.
+void mark_address_lost(host_entry& h, task_events& out)
 {
     if (!h.address_lost)
     {
@@ -207,10 +216,10 @@
     h.address_lost = true;
 }
 
-/// What any answer, or none, says of the host itself.
-/// \return false when the runner knows a newer owner, true when there was no answer of the runner,
-/// nothing when it answered.
-std::optional<bool> take_contact(fleet& f,
+/// Applies an answer, or its absence, to the host itself.
+/// \return false when the runner has accepted orders of a newer coordinator; true when the runner
+/// gave no answer; nothing when it answered.
+std::optional<bool> record_contact(fleet& f,
     host_entry& h,
     const ports::runner_answer& answer,
     core::mono_time now,
@@ -223,7 +232,7 @@
     }
     if (answer.verdict == runner_verdict::other_life)
     {
-        lose_address(h, out);
+        mark_address_lost(h, out);
     }
     if (answer.verdict != runner_verdict::done)
     {
@@ -237,13 +246,13 @@
     }
     if (!h.reachable)
     {
-        const auto* const why = h.inherited ? "first look of this term" : "";
+        const auto* const why = h.inherited ? "first poll of this term" : "";
         out.push_back({"host_answers", "", 0, h.ref.id, why});
     }
     h.reachable = true;
     h.address_lost = false;
     h.last_answer_at = now;
-    note_clock(h, answer, now);
+    record_clock(h, answer, now);
     if (!f.uncertain_losses.empty())
     {
         withdraw_losses(f, h.ref.id, out);
@@ -251,36 +260,36 @@
     return std::nullopt;
 }
 
-void judge_all_missing(fleet& f,
+void evaluate_missing_runs(fleet& f,
     host_entry& h,
     const std::set<std::string>& listed,
-    core::mono_time begun,
+    core::mono_time sent_at,
     core::mono_time now,
     task_events& out)
 {
-    const auto runs = h.runs; // judging removes from the host's own table
+    const auto runs = h.runs; // evaluating a run may remove it from h->runs
     for (const auto& [text, name] : runs)
     {
         if (!listed.contains(text))
         {
-            judge_missing(f, h, name, begun, now, out);
+            evaluate_missing_run(f, h, name, sent_at, now, out);
         }
     }
 }
 
 } // namespace
 
-bool contact_answered(fleet& f,
+bool handle_renewal_answer(fleet& f,
     const std::string& host,
     const ports::runner_answer& answer,
     core::mono_time now,
     task_events& out)
 {
     auto* const h = find_host(f, host);
-    return h == nullptr || take_contact(f, *h, answer, now, out).value_or(true);
+    return h == nullptr || record_contact(f, *h, answer, now, out).value_or(true);
 }
 
-bool start_answered(fleet& f,
+bool handle_start_answer(fleet& f,
     const std::string& host,
     const workflow::task_name& task,
     std::int64_t run,
@@ -292,21 +301,21 @@
     {
         return false;
     }
-    const bool unheard =
+    const bool unanswered =
         answer.verdict == runner_verdict::unknown || answer.verdict == runner_verdict::other_life;
     auto* const h = find_host(f, host);
-    if (h != nullptr && !unheard)
+    if (h != nullptr && !unanswered)
     {
-        note_clock(*h, answer, now);
+        record_clock(*h, answer, now);
     }
     auto* const it = find_run(f, task, host, run);
     if (it == nullptr)
     {
         return true;
     }
-    if (unheard)
+    if (unanswered)
     {
-        note(out, "start_unknown", task, run, host, verdict_text(answer));
+        record_event(out, "start_unknown", task, run, host, verdict_text(answer));
         if (it->phase == run_phase::ordered)
         {
             it->phase = run_phase::unsettled;
@@ -316,14 +325,14 @@
     }
     if (answer.verdict != runner_verdict::done)
     {
-        start_refused(f, task, host, run, answer, now, out);
+        handle_refused_start(f, task, host, run, answer, now, out);
         return true;
     }
     confirm_running(*find_job(f, task.job), *it, now);
     return true;
 }
 
-bool stop_answered(fleet& f,
+bool handle_stop_answer(fleet& f,
     const std::string& host,
     const workflow::task_name& task,
     std::int64_t run,
@@ -335,7 +344,7 @@
     {
         return false;
     }
-    given_up_answered(f, host, task, run, answer.verdict, now);
+    handle_abandoned_start_answer(f, host, task, run, answer.verdict, now);
     auto* const it = find_run(f, task, host, run);
     if (it == nullptr)
     {
@@ -343,7 +352,7 @@
     }
     it->stop_in_flight = false;
     const bool confirmed = answer.verdict == runner_verdict::done;
-    note(out,
+    record_event(out,
         confirmed ? "stop_confirmed" : "stop_unanswered",
         task,
         run,
@@ -361,9 +370,9 @@
     return true;
 }
 
-bool poll_answered(fleet& f,
+bool handle_poll_answer(fleet& f,
     const std::string& host,
-    core::mono_time begun,
+    core::mono_time sent_at,
     const ports::poll_answer& answer,
     core::mono_time now,
     task_events& out)
@@ -373,29 +382,29 @@
     {
         return true;
     }
-    if (const auto over = take_contact(f, *h, answer.call, now, out))
+    if (const auto over = record_contact(f, *h, answer.call, now, out))
     {
         return *over;
     }
-    take_ends(f, *h, answer.ended, now, out);
+    apply_run_ends(f, *h, answer.ended, now, out);
     h->orphaned_runs = 0;
     std::set<std::string> listed;
     for (const auto& it : answer.running)
     {
-        see_running(f, *h, it, now, out);
+        apply_reported_run(f, *h, it, now, out);
         listed.insert(it.task);
     }
     if (h->inherited)
     {
-        // A former owner's lease may reach further than this owner's first.
-        note_lease(*h, h->clock_ms + (f.settings.runner_lease + f.settings.leader_lease).count());
+        // A lease of a previous coordinator may end later than the first lease of this one.
+        record_lease(*h, h->clock_ms + (f.settings.runner_lease + f.settings.leader_lease).count());
     }
-    // With ends left out a run that is not listed may have ended, and be told of in a later answer:
-    // started again now, its task would have run twice by then.
+    // When the list of ends is truncated, a run that is not listed may have ended and be reported
+    // by a later answer. If its task started again now, it would have run twice by then.
     if (!answer.ends_truncated)
     {
-        judge_all_missing(f, *h, listed, begun, now, out);
-        h->inherited = false; // a first look is over once it has seen all
+        evaluate_missing_runs(f, *h, listed, sent_at, now, out);
+        h->inherited = false; // the first poll of the term is complete only with all ends
     }
     return true;
 }
--- a/libs/coordinator/src/bookkeeping.cpp
+++ b/libs/coordinator/src/bookkeeping.cpp
@@ -1,7 +1,7 @@
 #include "bookkeeping.hpp"
 
 #include "core/invariant.hpp"
-#include "losses.hpp"
+#include "lost_runs.hpp"
 #include "workflow/records.hpp"
 
 #include <algorithm>
@@ -55,14 +55,14 @@
         });
 }
 
-workflow::resources room_of(const workflow::step& s)
+workflow::resources required_resources(const workflow::step& s)
 {
-    auto room = s.need;
+    auto need = s.need;
     if (s.best_effort)
     {
-        room.cpu = 0;
+        need.cpu = 0;
     }
-    return room;
+    return need;
 }
 
 bool fits(const host_entry& h, const workflow::resources& need)
@@ -119,10 +119,10 @@
     }
     if (auto* const h = find_host(f, run.host))
     {
-        const auto room = room_of(step_spec(j, name));
-        h->used.cpu += room.cpu;
-        h->used.memory_mb += room.memory_mb;
-        h->used.gpus += room.gpus;
+        const auto need = required_resources(step_spec(j, name));
+        h->used.cpu += need.cpu;
+        h->used.memory_mb += need.memory_mb;
+        h->used.gpus += need.gpus;
         h->best_effort_runs += step_spec(j, name).best_effort ? 1 : 0;
         h->runs_after_loss += run.after_loss ? 1 : 0;
         h->isolated_runs += run.isolated ? 1 : 0;
@@ -135,28 +135,29 @@
     return t.runs.back();
 }
 
-void remove_run(fleet& f, job_entry& j, const workflow::task_name& name, std::size_t place)
+void remove_run(fleet& f, job_entry& j, const workflow::task_name& name, std::size_t index)
 {
     auto& t = task_of(j, name);
-    const auto host = t.runs[place].host;
+    const auto host = t.runs[index].host;
     if (auto* const h = find_host(f, host))
     {
-        unwatch_run(*h, t.runs[place]);
+        clear_loss_flags(*h, t.runs[index]);
     }
-    const auto number = t.runs[place].number;
-    t.runs.erase(t.runs.begin() + static_cast<std::ptrdiff_t>(place));
+    const auto number = t.runs[index].number;
+    t.runs.erase(t.runs.begin() + static_cast<std::ptrdiff_t>(index));
     if (t.reserved_run_number != 0 && t.reserved_run_number == number)
     {
-        release_trial(f, j, t, number);
+        release_isolated_run(f, j, t, number);
     }
     if (auto* const h = find_host(f, host))
     {
-        const auto room = room_of(step_spec(j, name));
-        h->used.cpu -= room.cpu;
-        h->used.memory_mb -= room.memory_mb;
-        h->used.gpus -= room.gpus;
+        const auto need = required_resources(step_spec(j, name));
+        h->used.cpu -= need.cpu;
+        h->used.memory_mb -= need.memory_mb;
+        h->used.gpus -= need.gpus;
         h->best_effort_runs -= step_spec(j, name).best_effort ? 1 : 0;
-        core::require(h->used.cpu >= 0 && h->used.memory_mb >= 0, "room in use is never negative");
+        core::require(
+            h->used.cpu >= 0 && h->used.memory_mb >= 0, "used capacity is never negative");
         if (!runs_on(t, host))
         {
             h->runs.erase(workflow::write_task_name(name));
@@ -173,7 +174,7 @@
     }
 }
 
-bool runs_only(const host_entry& h, const job_entry& j, const workflow::task_name& name)
+bool runs_nothing_else(const host_entry& h, const job_entry& j, const workflow::task_name& name)
 {
     const bool gang = step_spec(j, name).gang;
     const auto own = [&](const auto& it)
@@ -185,17 +186,17 @@
     return std::all_of(h.runs.begin(), h.runs.end(), own);
 }
 
-void unwatch_run(host_entry& h, run_entry& run)
+void clear_loss_flags(host_entry& h, run_entry& run)
 {
     h.runs_after_loss -= run.after_loss ? 1 : 0;
     h.isolated_runs -= run.isolated ? 1 : 0;
-    core::require(
-        h.runs_after_loss >= 0 && h.isolated_runs >= 0, "watched runs are never negative");
+    core::require(h.runs_after_loss >= 0 && h.isolated_runs >= 0,
+        "counts of isolated runs and of runs after a loss are never negative");
     run.after_loss = false;
     run.isolated = false;
 }
 
-std::size_t place_of_run(const task_entry& t, const std::string& host, std::int64_t number)
+std::size_t run_index(const task_entry& t, const std::string& host, std::int64_t number)
 {
     std::size_t i = 0;
     while (i < t.runs.size() && (t.runs[i].host != host || t.runs[i].number != number))
@@ -214,7 +215,7 @@
     }
 }
 
-void note_begun(job_entry& j)
+void mark_job_started(job_entry& j)
 {
     if (j.state == workflow::job_state::queued)
     {
@@ -243,7 +244,7 @@
     }
 }
 
-void note(task_events& out,
+void record_event(task_events& out,
     const char* what,
     const workflow::task_name& task,
     std::int64_t run,
--- a/libs/coordinator/src/explain.cpp
+++ b/libs/coordinator/src/explain.cpp
@@ -2,7 +2,7 @@
 
 #include "bookkeeping.hpp"
 #include "coordinator/intake.hpp"
-#include "losses.hpp"
+#include "lost_runs.hpp"
 #include "starts.hpp"
 
 #include <algorithm>
@@ -13,8 +13,8 @@
 namespace
 {
 
-/// Hosts that one line names at most; more are counted.
-constexpr std::size_t most_named = 6;
+/// Hosts that are named in one line; further hosts are counted.
+constexpr std::size_t max_hosts_named = 6;
 
 std::string list_hosts(const job_entry& j, int occurrence, int step)
 {
@@ -32,16 +32,16 @@
     std::size_t named = 0;
     for (const auto& [host, n] : by_host)
     {
-        if (named++ == most_named)
+        if (named++ == max_hosts_named)
         {
-            return out + " and " + std::to_string(by_host.size() - most_named) + " more";
+            return out + " and " + std::to_string(by_host.size() - max_hosts_named) + " more";
         }
         out += (out.empty() ? "" : ", ") + host + " (" + std::to_string(n) + ")";
     }
     return out;
 }
 
-std::string steps_before(const job_entry& j, int occurrence, int step)
+std::string unfinished_dependencies(const job_entry& j, int occurrence, int step)
 {
     std::string out;
     for (const int it : j.spec.steps[static_cast<std::size_t>(step)].depends_on)
@@ -55,12 +55,12 @@
     return out;
 }
 
-/// How many hosts of the pool are ruled out by what.
+/// Number of hosts of the pool by the reason that excludes them.
 struct host_counts
 {
     int all = 0;
-    int closed = 0; ///< silent, leaving, or not looked at yet
-    int unfit = 0;  ///< without the label
+    int closed = 0; ///< unresponsive, leaving, closed, or not polled yet in this term
+    int unfit = 0;  ///< without the required label
     int full = 0;
 };
 
@@ -76,7 +76,7 @@
             continue;
         }
         ++n.all;
-        if (!may_host(f, h, now))
+        if (!accepts_tasks(f, h, now))
         {
             ++n.closed;
         }
@@ -84,7 +84,7 @@
         {
             ++n.unfit;
         }
-        else if (!may_run_there(h, j, occurrence, step, s))
+        else if (!can_run_step(h, j, occurrence, step, s))
         {
             ++n.full;
         }
@@ -92,43 +92,43 @@
     return n;
 }
 
-std::string why_no_host(const host_counts& n, const job_entry& j)
+std::string describe_unavailable_hosts(const host_counts& n, const job_entry& j)
 {
     if (n.closed + n.unfit + n.full == n.all)
     {
         return "none of the " + std::to_string(n.all) + " hosts of pool " + j.spec.pool +
-               " may take one: " + std::to_string(n.closed) + " silent, leaving or closed, " +
+               " may take one: " + std::to_string(n.closed) + " unresponsive, leaving or closed, " +
                std::to_string(n.unfit) + " without the label, " + std::to_string(n.full) +
-               " without room";
+               " without free capacity";
     }
     return j.spec.needs_advice ? "the advice service has named no host yet"
                                : "the next plan starts them";
 }
 
-std::string why_waiting(const fleet& f,
+std::string describe_wait(const fleet& f,
     const job_entry& j,
     int occurrence,
     int step,
     core::mono_time now,
     std::int64_t unix_ms)
 {
-    const auto due = due_at(j.spec, occurrence);
+    const auto due = occurrence_due_ms(j.spec, occurrence);
     if (due > unix_ms && workflow::is_scheduled(j.spec))
     {
         return "due in " + std::to_string(due - unix_ms) + " ms";
     }
-    if (const auto before = steps_before(j, occurrence, step); !before.empty())
+    if (const auto before = unfinished_dependencies(j, occurrence, step); !before.empty())
     {
         return "after " + before;
     }
-    if (j.inherited && covers(find_unexamined(f, now), j.spec.pool))
+    if (j.inherited && may_have_unseen_runs(find_unseen_run_pools(f, now), j.spec.pool))
     {
-        return "a silent host of the pool may still run them for a former coordinator";
+        return "an unresponsive host of the pool may still run them for a previous coordinator";
     }
-    return why_no_host(count_hosts(f, j, occurrence, step, now), j);
+    return describe_unavailable_hosts(count_hosts(f, j, occurrence, step, now), j);
 }
 
-std::string step_line(const fleet& f,
+std::string describe_step(const fleet& f,
     const job_entry& j,
     int occurrence,
     int step,
@@ -149,7 +149,7 @@
     if (counts.idle > 0)
     {
         out += ", " + std::to_string(counts.idle) +
-               " wait: " + why_waiting(f, j, occurrence, step, now, unix_ms);
+               " wait: " + describe_wait(f, j, occurrence, step, now, unix_ms);
         const auto lost = describe_losses(f, j, occurrence, step, now);
         out += lost.empty() ? "" : "; of these " + lost;
     }
@@ -175,7 +175,7 @@
         {
             if (step_of(j, k, s).done < j.spec.steps[static_cast<std::size_t>(s)].tasks)
             {
-                out.push_back(step_line(f, j, k, s, now, unix_ms));
+                out.push_back(describe_step(f, j, k, s, now, unix_ms));
             }
         }
     }
--- a/libs/coordinator/src/gangs.cpp
+++ b/libs/coordinator/src/gangs.cpp
@@ -10,68 +10,71 @@
 namespace
 {
 
-/// How many members go to a host.
-struct share
+/// Number of gang members for one host.
+struct member_share
 {
     host_entry* host = nullptr;
     int members = 0;
 };
 
-/// \return how many of \p most members the host can take at once.
-int room_for(const host_entry& h, const workflow::step& s, int most)
+/// \return how many of \p most members the host can take at the same time.
+int max_members(const host_entry& h, const workflow::step& s, int most)
 {
-    auto trial = h;
-    const auto room = room_of(s);
+    auto filled = h;
+    const auto need = required_resources(s);
     int n = 0;
-    while (n < most && fits(trial, room) && (s.max_per_host == 0 || n < s.max_per_host))
+    while (n < most && fits(filled, need) && (s.max_per_host == 0 || n < s.max_per_host))
     {
-        trial.used.cpu += room.cpu;
-        trial.used.memory_mb += room.memory_mb;
-        trial.used.gpus += room.gpus;
+        filled.used.cpu += need.cpu;
+        filled.used.memory_mb += need.memory_mb;
+        filled.used.gpus += need.gpus;
         ++n;
     }
     return n;
 }
 
-/// \return the shares of a whole gang, or none when the hosts can't take all of it.
-std::vector<share> divide(const std::vector<host_entry*>& hosts, const workflow::step& s)
+/// \return the hosts of a complete gang; empty when the hosts can't take all members.
+std::vector<member_share> place_members(
+    const std::vector<host_entry*>& hosts, const workflow::step& s)
 {
-    std::vector<share> out;
+    std::vector<member_share> out;
     int left = s.tasks;
     for (auto* const h : hosts)
     {
-        const int n = has_label(*h, s.required_label) ? room_for(*h, s, left) : 0;
+        const int n = has_label(*h, s.required_label) ? max_members(*h, s, left) : 0;
         if (n > 0)
         {
             out.push_back({h, n});
             left -= n;
         }
     }
-    return left == 0 ? out : std::vector<share>{};
+    return left == 0 ? out : std::vector<member_share>{};
 }
 
-/// Several racks are slower for some gangs, but better than never.
-std::vector<share> divide_by_rack(const std::vector<host_entry*>& hosts, const workflow::step& s)
+/// Prefers one rack if the step does; several racks are slower for some gangs, but better than
+/// waiting for a rack that may never have the capacity.
+std::vector<member_share> place_members_by_rack(
+    const std::vector<host_entry*>& hosts, const workflow::step& s)
 {
     std::map<std::string, std::vector<host_entry*>> racks;
     for (auto* const h : hosts)
     {
         racks[h->rack].push_back(h);
     }
-    for (const auto& [rack, its] : racks)
+    for (const auto& [rack, rack_hosts] : racks)
     {
-        auto out = s.prefers_one_rack ? divide(its, s) : std::vector<share>{};
+        auto out = s.prefers_one_rack ? place_members(rack_hosts, s) : std::vector<member_share>{};
         if (!out.empty())
         {
             return out;
         }
     }
-    return divide(hosts, s);
+    return place_members(hosts, s);
 }
 
 } // namespace
 
-std::int64_t gang_number(fleet& f, const waiting_step& w, int tasks)
+std::int64_t next_gang_run_number(fleet& f, const waiting_step& w, int tasks)
 {
     std::int64_t number = 0;
     for (int i = 0; i < tasks; ++i)
@@ -93,19 +96,19 @@
     const auto& s = j.spec.steps[static_cast<std::size_t>(w.step)];
     if (step_of(j, w.occurrence, w.step).idle < s.tasks)
     {
-        return; // some member of an earlier run is not certainly over
+        return; // the end of some member of an earlier run is not certain
     }
-    if (to.room <= 0)
+    if (to.remaining_orders <= 0)
     {
-        to.cut = true;
+        to.truncated = true;
         return;
     }
     auto allowed = hosts;
-    std::erase_if(
-        allowed, [&](const auto* h) { return !is_advised(*h, j, w.occurrence, w.step, now); });
-    const auto number = gang_number(f, w, s.tasks);
+    std::erase_if(allowed,
+        [&](const auto* h) { return !has_required_ticket(*h, j, w.occurrence, w.step, now); });
+    const auto number = next_gang_run_number(f, w, s.tasks);
     int index = 0;
-    for (const auto& it : divide_by_rack(allowed, s))
+    for (const auto& it : place_members_by_rack(allowed, s))
     {
         for (int i = 0; i < it.members; ++i)
         {
--- a/libs/coordinator/src/host_release.cpp
+++ b/libs/coordinator/src/host_release.cpp
@@ -1,8 +1,8 @@
 #include "host_release.hpp"
 
 #include "bookkeeping.hpp"
-#include "coordinator/learning.hpp"
 #include "coordinator/placement.hpp"
+#include "coordinator/run_time_estimates.hpp"
 
 namespace camphorhitch::coordinator
 {
@@ -10,33 +10,37 @@
 namespace
 {
 
-/// From the wish to the work going on elsewhere: the stop, its report, a new start and the
-/// restoring of the checkpoint.
-constexpr core::millis pause_of_a_stop{1000};
+/// Time from the request of the stop until the task works on another host: the stop, its report, a
+/// new start and the restoring of the checkpoint.
+constexpr core::millis stop_overhead{1000};
 
-/// \return the time that the run still needs by what is known of its kind.
-core::micros rest_of(
+/// \return the time that the run still needs, by the expected run time of its step.
+core::micros remaining_run_time(
     const fleet& f, const workflow::step& s, const run_entry& it, core::mono_time now)
 {
-    return expected_time(f.run_time_estimates, s) - (now - it.ordered_at);
+    return expected_run_time(f.run_time_estimates, s) - (now - it.ordered_at);
 }
 
-/// \return how long the job's remaining steps may still be held up.
-core::micros slack_of(const fleet& f,
+/// \return how long the remaining steps of the job may still be delayed.
+core::micros job_slack(const fleet& f,
     const job_entry& j,
     const workflow::task_name& name,
     const run_entry& it,
     core::mono_time now)
 {
-    const auto due = j.added_at + objective_of(f.run_time_estimates, j.spec);
+    const auto due = j.added_at + completion_objective(f.run_time_estimates, j.spec);
     const auto passed = now - it.ordered_at;
-    return due - now - (time_to_end(f.run_time_estimates, j.spec.steps, name.step) - passed);
+    return due - now -
+           (expected_remaining_time(f.run_time_estimates, j.spec.steps, name.step) - passed);
 }
 
 } // namespace
 
-void stop_resumable_tasks(
-    fleet& f, const host_entry& h, core::millis longest, core::mono_time now, task_events& out)
+void stop_resumable_tasks(fleet& f,
+    const host_entry& h,
+    core::millis max_remaining,
+    core::mono_time now,
+    task_events& out)
 {
     for (const auto& [text, name] : h.runs)
     {
@@ -54,10 +58,10 @@
         for (const auto& it : t->runs)
         {
             const bool here = it.host == h.ref.id && it.phase == run_phase::running;
-            if (here && rest_of(f, s, it, now) > longest &&
-                slack_of(f, j, name, it, now) > pause_of_a_stop)
+            if (here && remaining_run_time(f, s, it, now) > max_remaining &&
+                job_slack(f, j, name, it, now) > stop_overhead)
             {
-                want_stop(f, name, it.number, now, "another pool waits for its host", out);
+                request_stop(f, name, it.number, now, "another pool needs its host", out);
             }
         }
     }
--- a/libs/coordinator/src/host_release.hpp
+++ b/libs/coordinator/src/host_release.hpp
@@ -1,8 +1,9 @@
 /// \file
-/// Frees a host that another pool waits for of tasks that can go on elsewhere.
+/// Frees a host that another pool waits for of tasks that can continue on another host.
 ///
-/// A long task holds its host for seconds after the host was chosen. When busy times of queues with
-/// long and with short tasks follow each other, the short ones are late before the host is there.
+/// A long task would occupy its host for seconds after the host was chosen for a move. When busy
+/// periods of queues with long and with short tasks follow each other, the short tasks would be
+/// late before the host arrives.
 #pragma once
 
 #include "coordinator/fleet.hpp"
@@ -10,9 +11,13 @@
 namespace camphorhitch::coordinator
 {
 
-/// Wants a stop of the host's runs that keep their progress, still need more than \p longest, and
-/// whose job can bear the pause. They go on from their checkpoint on another host of their pool.
-void stop_resumable_tasks(
-    fleet& f, const host_entry& h, core::millis longest, core::mono_time now, task_events& out);
+/// Stops the runs of the host that have checkpoints, still need more than \p max_remaining, and
+/// whose job can afford the interruption. They continue from their checkpoint on another host of
+/// their pool.
+void stop_resumable_tasks(fleet& f,
+    const host_entry& h,
+    core::millis max_remaining,
+    core::mono_time now,
+    task_events& out);
 
 } // namespace camphorhitch::coordinator
--- a/libs/coordinator/src/intake.cpp
+++ b/libs/coordinator/src/intake.cpp
@@ -1,8 +1,8 @@
 #include "coordinator/intake.hpp"
 
+#include "abandoned_starts.hpp"
 #include "bookkeeping.hpp"
-#include "given_up.hpp"
-#include "losses.hpp"
+#include "lost_runs.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -18,21 +18,22 @@
     const auto& steps = j.spec.steps;
     const auto occurrences = static_cast<std::size_t>(workflow::occurrence_count(j.spec));
     j.steps.assign(steps.size() * occurrences, {});
-    std::size_t place = 0;
+    std::size_t index = 0;
     for (auto& counts : j.steps)
     {
         const auto& s = steps[static_cast<std::size_t>(&counts - j.steps.data()) % steps.size()];
         for (int i = 0; i < s.tasks; ++i)
         {
-            const bool done = j.tasks[place++].progress.done;
+            const bool done = j.tasks[index++].progress.done;
             ++(done ? counts.done : counts.idle);
             j.done_tasks += done ? 1 : 0;
         }
     }
 }
 
-/// A former owner may have stored nothing about a task and yet have ordered runs of it. Numbers of
-/// a term start above all numbers of the terms before, so no runner has seen a higher one.
+/// A previous coordinator may have stored nothing about a task and yet have ordered runs of it. The
+/// run numbers of a term start above all numbers of earlier terms, so no runner has received a
+/// higher one.
 void raise_run_numbers(const fleet& f, job_entry& j)
 {
     for (auto& it : j.tasks)
@@ -41,42 +42,43 @@
     }
 }
 
-/// How the runs of a host came to be dropped.
-struct drop_cause
+/// Why the runs of a host are removed.
+struct removal_cause
 {
     const char* event;
     std::string why;
-    bool by_itself;      ///< the host was not taken down: a task may have crashed it
-    bool certain;        ///< its life has ended
-    bool single = false; ///< no other task ran there
+    bool by_itself;         ///< the host was not taken down by an order: a task may have crashed it
+    bool certain;           ///< the runner has certainly ended
+    bool only_task = false; ///< no other task was active on the host
 };
 
-void drop_run(fleet& f,
+void remove_ended_run(fleet& f,
     const host_entry& h,
     const workflow::task_name& name,
-    std::size_t place,
-    const drop_cause& cause,
+    std::size_t index,
+    const removal_cause& cause,
     core::mono_time now,
     task_events& out)
 {
     auto& j = *find_job(f, name.job);
-    auto run = find_task(f, name)->runs[place];
-    run.only_suspect = run.only_suspect || cause.single;
-    note(out, cause.event, name, run.number, h.ref.id, cause.why);
-    remove_run(f, j, name, place);
+    auto run = find_task(f, name)->runs[index];
+    run.only_suspect = run.only_suspect || cause.only_task;
+    record_event(out, cause.event, name, run.number, h.ref.id, cause.why);
+    remove_run(f, j, name, index);
     if (cause.by_itself)
     {
-        lose_run(f, j, name, run, h, cause.certain ? cause.why : "", now, out);
+        record_lost_run(f, j, name, run, h, cause.certain ? cause.why : "", now, out);
     }
 }
 
-void drop_runs(fleet& f, host_entry& h, drop_cause cause, core::mono_time now, task_events& out)
+void remove_ended_runs(
+    fleet& f, host_entry& h, removal_cause cause, core::mono_time now, task_events& out)
 {
-    const auto runs = h.runs; // removing a run changes the host's own table
+    const auto runs = h.runs; // removing a run changes h.runs
     if (!runs.empty())
     {
         const auto& name = runs.begin()->second;
-        cause.single = runs_only(h, *find_job(f, name.job), name);
+        cause.only_task = runs_nothing_else(h, *find_job(f, name.job), name);
     }
     for (const auto& [text, name] : runs)
     {
@@ -89,36 +91,39 @@
         {
             if (t->runs[i].host == h.ref.id)
             {
-                drop_run(f, h, name, i, cause, now, out);
+                remove_ended_run(f, h, name, i, cause, now, out);
             }
         }
     }
 }
 
-/// \return a time that certainly passes on this clock while \p told passes on another.
-core::millis by_slow_clock(const fleet& f, core::millis told)
+/// \return a time that certainly passes on this clock while \p duration passes on another.
+core::millis slow_clock_bound(const fleet& f, core::millis duration)
 {
     const auto slowest = 1.0 + f.settings.clock_drift;
     return core::millis{
-        static_cast<std::int64_t>(std::ceil(static_cast<double>(told.count()) * slowest))};
+        static_cast<std::int64_t>(std::ceil(static_cast<double>(duration.count()) * slowest))};
 }
 
-/// \return within what time after a take-over all leases of former owners have ended. The last may
-/// have been granted just before the former owner's own lease ended, which may be as late as now
-/// and one leader's lease more, when its key was taken away early.
-core::millis longest_prior_lease(const fleet& f)
+/// \return the time after a takeover within which all leases of previous coordinators have expired.
+/// The last one may have been granted just before the leader's lease of the previous coordinator
+/// ended. That lease may end as late as one lease duration from now, when its key was removed
+/// early.
+core::millis max_inherited_lease(const fleet& f)
 {
     const auto& s = f.settings;
-    return by_slow_clock(f, s.runner_lease + s.leader_lease) + s.lease_expiry_margin;
+    return slow_clock_bound(f, s.runner_lease + s.leader_lease) + s.lease_expiry_margin;
 }
 
-/// One life has one address and one pool. An entry that says otherwise of a runner that has
-/// answered there is not its own: followed, the answer of whoever lives at the other address would
-/// pass for proof that this runner has ended, and its tasks would run a second time.
-bool contradicts(const host_entry& h, const host_listing& it)
+/// A runner has one address and one pool during its incarnation. A list entry that contradicts this
+/// for a runner that has answered belongs to another runner. If the entry were applied, the answer
+/// of the runner at the other address would count as evidence that this runner has ended, and its
+/// tasks would run a second time.
+bool conflicts_with(const host_entry& h, const host_listing& it)
 {
-    const bool heard = h.inherited || h.clock_ms >= 0;
-    return heard && (h.ref.address != it.ref.address || (!h.pool.empty() && h.pool != it.pool));
+    const bool has_answered = h.inherited || h.clock_ms >= 0;
+    return has_answered &&
+           (h.ref.address != it.ref.address || (!h.pool.empty() && h.pool != it.pool));
 }
 
 std::int64_t ms_since(core::mono_time then, core::mono_time now)
@@ -126,8 +131,8 @@
     return std::chrono::duration_cast<core::millis>(now - then).count();
 }
 
-/// What a former owner ordered there may have been lost with it.
-void note_lost_prior(fleet& f, const host_entry& h)
+/// Runs that a previous coordinator ordered on the host may have been lost with it.
+void record_lost_inherited_host(fleet& f, const host_entry& h)
 {
     if (h.inherited)
     {
@@ -135,7 +140,7 @@
     }
 }
 
-void erase_strays(fleet& f, const std::string& host)
+void erase_orphaned_runs(fleet& f, const std::string& host)
 {
     std::erase_if(f.orphaned_runs, [&](const orphaned_run& it) { return it.host == host; });
 }
@@ -185,7 +190,7 @@
     auto* const j = find_job(f, id);
     if (j == nullptr)
     {
-        return; // the cancel comes again with what changed since: after its job
+        return; // the cancel is read again together with the job
     }
     if (workflow::is_final(j->state))
     {
@@ -197,7 +202,7 @@
     finish_job(f, *j, workflow::job_state::cancelled, now);
 }
 
-void shrink_job(fleet& f, job_entry& j)
+void release_job_tasks(fleet& f, job_entry& j)
 {
     if (!workflow::is_final(j.state) || j.live_runs > 0 || j.dirty)
     {
@@ -210,7 +215,7 @@
     j.spec.payload = {};
 }
 
-void add_prior_hosts(fleet& f, const std::vector<inherited_host>& all, core::mono_time now)
+void add_inherited_hosts(fleet& f, const std::vector<inherited_host>& all, core::mono_time now)
 {
     for (const auto& it : all)
     {
@@ -223,18 +228,18 @@
         h.added_at = now;
         h.unresponsive_since = now;
         h.recorded = !it.remaining.has_value();
-        // With a rest told, no owner has granted anything since.
+        // With a stored remaining time, no coordinator has granted a lease since.
         h.inherited_leases_end_at =
-            now + (it.remaining ? by_slow_clock(f, *it.remaining) : longest_prior_lease(f));
+            now + (it.remaining ? slow_clock_bound(f, *it.remaining) : max_inherited_lease(f));
     }
 }
 
-void hold_inherited(fleet& f, core::mono_time now)
+void delay_inherited_tasks(fleet& f, core::mono_time now)
 {
-    f.inherited_not_before = now + longest_prior_lease(f);
+    f.inherited_not_before = now + max_inherited_lease(f);
 }
 
-void see_hosts(
+void apply_host_list(
     fleet& f, const std::vector<host_listing>& all, core::mono_time now, task_events& out)
 {
     for (auto& [id, h] : f.hosts)
@@ -249,10 +254,10 @@
         {
             continue;
         }
-        auto [place, added] = f.hosts.try_emplace(it.ref.id);
-        auto& h = place->second;
-        const bool odd = !added && contradicts(h, it);
-        if (odd && !h.entry_conflicts)
+        auto [entry, added] = f.hosts.try_emplace(it.ref.id);
+        auto& h = entry->second;
+        const bool conflicts = !added && conflicts_with(h, it);
+        if (conflicts && !h.entry_conflicts)
         {
             out.push_back({"host_entry_odd",
                 "",
@@ -260,8 +265,8 @@
                 it.ref.id,
                 "address=" + it.ref.address + " pool=" + it.pool});
         }
-        h.entry_conflicts = odd;
-        if (odd)
+        h.entry_conflicts = conflicts;
+        if (conflicts)
         {
             continue;
         }
@@ -286,20 +291,23 @@
     }
 }
 
-void end_host(
-    fleet& f, const std::string& id, life_proof proof, core::mono_time now, task_events& out)
+void end_host(fleet& f,
+    const std::string& id,
+    termination_evidence proof,
+    core::mono_time now,
+    task_events& out)
 {
     f.ended_runners[id] = now;
     f.abandoned_starts.erase(id);
-    const bool by_itself = proof == life_proof::other_life;
-    const std::string text{core::name_of(life_proof_names, proof)};
+    const bool by_itself = proof == termination_evidence::other_life;
+    const std::string text{core::name_of(termination_evidence_names, proof)};
     if (by_itself)
     {
         confirm_losses(f, id, text, now, out);
     }
-    else if (proof != life_proof::address_taken)
+    else if (proof != termination_evidence::address_taken)
     {
-        f.uncertain_losses.erase(id); // it may have been alive until then
+        f.uncertain_losses.erase(id); // the runner may have been active until then
     }
     auto* const h = find_host(f, id);
     if (h == nullptr)
@@ -313,41 +321,43 @@
         text + " machine=" + h->machine + " runs=" + std::to_string(h->runs.size()) +
             (h->reachable ? " since_answer_ms=" + std::to_string(ms_since(h->last_answer_at, now))
                           : " silent_ms=" + std::to_string(ms_since(h->unresponsive_since, now)))});
-    note_lost_prior(f, *h);
-    drop_runs(f, *h, {"run_lost", "host ended: " + text, by_itself, true}, now, out);
-    erase_strays(f, id);
+    record_lost_inherited_host(f, *h);
+    remove_ended_runs(f, *h, {"run_lost", "host ended: " + text, by_itself, true}, now, out);
+    erase_orphaned_runs(f, id);
     f.hosts.erase(id);
 }
 
-std::vector<host_lapse> lapse_hosts(fleet& f, core::mono_time now, task_events& out)
+std::vector<expired_host> expire_hosts(fleet& f, core::mono_time now, task_events& out)
 {
-    std::vector<host_lapse> lapsed;
-    std::vector<std::string> gone;
+    std::vector<expired_host> expired;
+    std::vector<std::string> unlisted;
     std::vector<std::string> ended;
     for (auto& [id, h] : f.hosts)
     {
-        // Silence is proof only of one that was asked. An owner that is late itself, with thousands
-        // of jobs to read, would else take runners for lapsed whose answers it has not read, and
-        // start what ended there in time a second time.
-        const bool unasked = h.inherited && h.contact_score < min_contact_score;
-        if (h.reachable || unasked || !has_lapsed(f, h, now))
+        // A missing answer is evidence only for a runner that was asked. A coordinator that is late
+        // itself, with thousands of jobs to read, would otherwise treat runners as expired whose
+        // answers it has not read yet, and start tasks a second time that have ended there in time.
+        const bool not_asked = h.inherited && h.contact_score < min_contact_score;
+        if (h.reachable || not_asked || !leases_expired(f, h, now))
         {
             continue;
         }
         if (!h.runs.empty())
         {
-            lapsed.push_back({id, h.runs.size(), h.last_answer_at, h.polled_at});
+            expired.push_back({id, h.runs.size(), h.last_answer_at, h.polled_at});
         }
-        give_up_starts(f, h, out);
-        const drop_cause cause{"run_lapsed", "no answer until every lease had ended", true, false};
-        drop_runs(f, h, cause, now, out);
-        erase_strays(f, id);
+        abandon_starts(f, h, out);
+        const removal_cause cause{
+            "run_lapsed", "no answer until all leases had expired", true, false};
+        remove_ended_runs(f, h, cause, now, out);
+        erase_orphaned_runs(f, id);
         h.orphaned_runs = 0;
         if (h.inherited)
         {
-            note_lost_prior(f, h);
+            record_lost_inherited_host(f, h);
             h.inherited = false;
-            out.push_back({"host_lapsed", "", 0, id, "leases of the former owner have ended"});
+            out.push_back(
+                {"host_lapsed", "", 0, id, "leases of the previous coordinator have expired"});
         }
         if (h.address_lost)
         {
@@ -355,22 +365,22 @@
         }
         else if (!h.listed)
         {
-            gone.push_back(id);
+            unlisted.push_back(id);
         }
     }
     for (const auto& it : ended)
     {
-        end_host(f, it, life_proof::address_taken, now, out);
+        end_host(f, it, termination_evidence::address_taken, now, out);
     }
-    for (const auto& it : gone)
+    for (const auto& it : unlisted)
     {
-        out.push_back({"host_forgotten", "", 0, it, "not listed and lapsed"});
+        out.push_back({"host_forgotten", "", 0, it, "not listed, and all leases have expired"});
         f.hosts.erase(it);
     }
-    return lapsed;
+    return expired;
 }
 
-std::int64_t least_clock(const fleet& f, const host_entry& h, core::mono_time now)
+std::int64_t min_runner_clock(const fleet& f, const host_entry& h, core::mono_time now)
 {
     if (h.clock_ms < 0)
     {
@@ -380,7 +390,7 @@
     return h.clock_ms + static_cast<std::int64_t>(passed * (1.0 - f.settings.clock_drift));
 }
 
-bool has_lapsed(const fleet& f, const host_entry& h, core::mono_time now)
+bool leases_expired(const fleet& f, const host_entry& h, core::mono_time now)
 {
     if (h.inherited && now < h.inherited_leases_end_at)
     {
@@ -390,42 +400,43 @@
     {
         return h.lease_until_ms == 0;
     }
-    return least_clock(f, h, now) > h.lease_until_ms + f.settings.lease_expiry_margin.count();
+    return min_runner_clock(f, h, now) > h.lease_until_ms + f.settings.lease_expiry_margin.count();
 }
 
-core::millis time_to_lapse(const fleet& f, const host_entry& h, core::mono_time now)
+core::millis time_to_lease_expiry(const fleet& f, const host_entry& h, core::mono_time now)
 {
-    core::millis rest{0};
+    core::millis remaining{0};
     if (h.inherited && now < h.inherited_leases_end_at)
     {
-        rest = std::chrono::ceil<core::millis>(h.inherited_leases_end_at - now);
+        remaining = std::chrono::ceil<core::millis>(h.inherited_leases_end_at - now);
     }
     if (h.clock_ms >= 0)
     {
         const auto margin = f.settings.lease_expiry_margin.count();
-        const auto left = h.lease_until_ms + margin + 1 - least_clock(f, h, now);
+        const auto left = h.lease_until_ms + margin + 1 - min_runner_clock(f, h, now);
         const auto slowest = 1.0 - f.settings.clock_drift;
         const auto worst = std::ceil(static_cast<double>(left) / slowest);
-        rest = std::max(rest, core::millis{static_cast<std::int64_t>(worst)});
+        remaining = std::max(remaining, core::millis{static_cast<std::int64_t>(worst)});
     }
-    return rest;
+    return remaining;
 }
 
 bool may_hold_runs(const fleet& f, const host_entry& h, core::mono_time now)
 {
-    return h.inherited || h.reachable || !h.runs.empty() || !has_lapsed(f, h, now);
+    return h.inherited || h.reachable || !h.runs.empty() || !leases_expired(f, h, now);
 }
 
 std::int64_t lease_end_for(const fleet& f, const host_entry& h, core::mono_time now)
 {
-    // A silent host gets none: each try might be carried out unheard, so its leases would never
-    // certainly end and its tasks never start elsewhere.
+    // An unresponsive host is granted no lease: each attempt might be carried out without an
+    // answer, so its leases would never certainly expire and its tasks would never start on another
+    // host.
     const bool may = h.reachable && h.recorded && !f.abandoned_starts.contains(h.ref.id);
-    const auto clock = may ? least_clock(f, h, now) : -1;
+    const auto clock = may ? min_runner_clock(f, h, now) : -1;
     return clock < 0 ? 0 : clock + f.settings.runner_lease.count();
 }
 
-void note_lease(host_entry& h, std::int64_t until_ms)
+void record_lease(host_entry& h, std::int64_t until_ms)
 {
     h.lease_until_ms = std::max(h.lease_until_ms, until_ms);
 }
@@ -443,24 +454,24 @@
     return out;
 }
 
-unexamined find_unexamined(const fleet& f, core::mono_time now)
+unseen_run_pools find_unseen_run_pools(const fleet& f, core::mono_time now)
 {
-    unexamined out;
-    out.anywhere = now < f.inherited_not_before;
+    unseen_run_pools out;
+    out.all_pools = now < f.inherited_not_before;
     for (const auto& [id, h] : f.hosts)
     {
         if (h.inherited)
         {
-            out.anywhere = out.anywhere || h.pool.empty();
+            out.all_pools = out.all_pools || h.pool.empty();
             out.pools.insert(h.pool);
         }
     }
     return out;
 }
 
-bool covers(const unexamined& u, const std::string& pool)
+bool may_have_unseen_runs(const unseen_run_pools& u, const std::string& pool)
 {
-    return u.anywhere || u.pools.contains(pool);
+    return u.all_pools || u.pools.contains(pool);
 }
 
 } // namespace camphorhitch::coordinator
--- a/libs/coordinator/src/load.cpp
+++ b/libs/coordinator/src/load.cpp
@@ -12,19 +12,20 @@
 namespace
 {
 
-/// A sound runner is polled at least three times within a lease, so its lease keeps two thirds.
-constexpr std::int64_t low_share = 3;
+/// A reachable runner is polled at least three times within a lease, so two thirds of its lease
+/// remain.
+constexpr std::int64_t low_lease_divisor = 3;
 
-std::int64_t waiting_in(const job_entry& j, std::int64_t unix_ms)
+std::int64_t count_waiting_tasks(const job_entry& j, std::int64_t unix_ms)
 {
     std::int64_t n = 0;
     const auto steps = static_cast<int>(j.spec.steps.size());
     const auto occurrences = steps == 0 ? 0 : static_cast<int>(j.steps.size()) / steps;
     for (int k = 0; k < occurrences; ++k)
     {
-        if (workflow::is_scheduled(j.spec) && due_at(j.spec, k) > unix_ms)
+        if (workflow::is_scheduled(j.spec) && occurrence_due_ms(j.spec, k) > unix_ms)
         {
-            break; // later ones are due later still
+            break; // later occurrences are due later
         }
         for (int s = 0; s < steps; ++s)
         {
@@ -51,17 +52,17 @@
 
 bool is_lease_low(const fleet& f, const host_entry& h, core::mono_time now)
 {
-    if (h.lease_until_ms == 0 || h.clock_ms < 0 || has_lapsed(f, h, now))
+    if (h.lease_until_ms == 0 || h.clock_ms < 0 || leases_expired(f, h, now))
     {
         return false;
     }
-    const auto left = h.lease_until_ms - least_clock(f, h, now);
-    return left * low_share < f.settings.runner_lease.count();
+    const auto left = h.lease_until_ms - min_runner_clock(f, h, now);
+    return left * low_lease_divisor < f.settings.runner_lease.count();
 }
 
 } // namespace
 
-std::int64_t jobs_only_ordered(const fleet& f)
+std::int64_t jobs_without_start_answer(const fleet& f)
 {
     return std::count_if(f.open_jobs.begin(),
         f.open_jobs.end(),
@@ -76,21 +77,21 @@
         const auto found = f.jobs.find(id);
         if (found != f.jobs.end() && !workflow::is_final(found->second->state))
         {
-            out.tasks_waiting += waiting_in(*found->second, unix_ms);
+            out.tasks_waiting += count_waiting_tasks(*found->second, unix_ms);
         }
     }
-    out.jobs_only_ordered = jobs_only_ordered(f);
+    out.jobs_without_start_answer = jobs_without_start_answer(f);
     out.jobs_dirty = static_cast<std::int64_t>(f.dirty_jobs.size());
     out.hosts = static_cast<std::int64_t>(f.hosts.size());
     for (const auto& [id, h] : f.hosts)
     {
-        out.hosts_silent += h.listed && !h.reachable ? 1 : 0;
-        out.hosts_lease_low += is_lease_low(f, h, now) ? 1 : 0;
+        out.hosts_unresponsive += h.listed && !h.reachable ? 1 : 0;
+        out.hosts_near_lease_expiry += is_lease_low(f, h, now) ? 1 : 0;
     }
     return out;
 }
 
-std::optional<core::mono_time> ready_since(const fleet& f,
+std::optional<core::mono_time> task_ready_time(const fleet& f,
     const workflow::task_name& name,
     std::int64_t run,
     core::mono_time now,
@@ -112,7 +113,7 @@
     {
         return since;
     }
-    const auto age = core::millis{unix_ms - due_at(j.spec, name.occurrence)};
+    const auto age = core::millis{unix_ms - occurrence_due_ms(j.spec, name.occurrence)};
     return std::min(now, std::max(since, now - age));
 }
 
--- a/libs/coordinator/src/losses.cpp
+++ b/libs/coordinator/src/lost_runs.cpp
@@ -1,4 +1,4 @@
-#include "losses.hpp"
+#include "lost_runs.hpp"
 
 #include "bookkeeping.hpp"
 #include "workflow/records.hpp"
@@ -15,15 +15,16 @@
 
 using workflow::lost_run;
 
-/// Lost runs from which a task starts only alone, and from which it is held back until the doubt
-/// about them is over.
+/// Number of lost runs from which a task starts only in isolation.
 constexpr int suspect_losses = 2;
-constexpr int doubtful_losses = 3;
-/// Certain ones after which the job is given up, when so many of them can't be another task's work.
-constexpr int hopeless_losses = 3;
-constexpr int hopeless_sole = 2;
-/// Certain ones after which it is in any case.
-constexpr int hopeless_anyhow = 4;
+/// Number of lost runs, not all of them certain, from which a start waits for evidence.
+constexpr int uncertain_wait_losses = 3;
+/// Number of certain losses after which the job fails, provided that fatal_only_suspect_losses of
+/// them can't have been caused by another task.
+constexpr int fatal_losses = 3;
+constexpr int fatal_only_suspect_losses = 2;
+/// Number of certain losses after which the job fails in any case.
+constexpr int fatal_losses_regardless = 4;
 
 const workflow::step& step_of_task(const job_entry& j, const workflow::task_name& name)
 {
@@ -35,19 +36,20 @@
     return j.tasks[workflow::task_index(j.spec, name.occurrence, name.step, name.index)];
 }
 
-/// What counts against a task, or against all members of a gang together.
-struct tally
+/// Losses of a task, or of all members of a gang together.
+struct loss_count
 {
     int losses = 0;
     int certain = 0;
-    core::mono_time newest; ///< when this owner noted the latest; zero: a former owner did
+    /// When this coordinator recorded the latest loss; zero: a previous coordinator did.
+    core::mono_time newest;
 };
 
 int losses_of(const task_entry& t)
 {
-    const int trial = t.reserved_run_number != 0 ? 1 : 0;
+    const int reserved = t.reserved_run_number != 0 ? 1 : 0;
     const int unseen = t.may_have_unseen_start && !t.progress.lost_runs.empty() ? 1 : 0;
-    return static_cast<int>(t.progress.lost_runs.size()) + unseen - trial;
+    return static_cast<int>(t.progress.lost_runs.size()) + unseen - reserved;
 }
 
 int certain_losses(const std::vector<lost_run>& all)
@@ -56,10 +58,10 @@
         std::count_if(all.begin(), all.end(), [](const lost_run& it) { return it.certain; }));
 }
 
-/// Members share the number of their run, so a run that took several of them counts once.
-tally tally_of_gang(const job_entry& j, const workflow::task_name& name)
+/// Members of a gang share the number of their run, so a lost run counts once for all of them.
+loss_count count_gang_losses(const job_entry& j, const workflow::task_name& name)
 {
-    tally out;
+    loss_count out;
     std::set<std::int64_t> runs;
     std::set<std::int64_t> certain;
     bool unseen = false;
@@ -85,34 +87,36 @@
     return out;
 }
 
-tally tally_of(const job_entry& j, const workflow::task_name& name)
+loss_count count_losses(const job_entry& j, const workflow::task_name& name)
 {
     if (step_of_task(j, name).gang)
     {
-        return tally_of_gang(j, name);
+        return count_gang_losses(j, name);
     }
     const auto& t = task_of(j, name);
     return {losses_of(t), certain_losses(t.progress.lost_runs), t.last_loss_at};
 }
 
-/// An innocent may lose its hosts more than once, to a rack's power or beside a task that crashes
-/// them; tried apart from other suspects it works.
-bool is_hopeless(const std::vector<lost_run>& all)
+/// A task that crashes no host may still lose its hosts more than once, by a power failure of a
+/// rack or beside a task that crashes them. Run apart from other suspects, it works.
+bool crashes_hosts(const std::vector<lost_run>& all)
 {
-    const auto sole = std::count_if(
+    const auto only_suspect = std::count_if(
         all.begin(), all.end(), [](const lost_run& it) { return it.certain && it.only_suspect; });
     const int certain = certain_losses(all);
-    if (certain >= hopeless_anyhow || (certain >= hopeless_losses && sole >= hopeless_sole))
+    if (certain >= fatal_losses_regardless ||
+        (certain >= fatal_losses && only_suspect >= fatal_only_suspect_losses))
     {
         return true;
     }
-    // Crashes under former owners may have been more than one: no further start is to spare.
+    // There may have been more unseen crashes under previous coordinators: no further start is
+    // risked.
     const bool unseen =
         std::any_of(all.begin(), all.end(), [](const lost_run& it) { return it.host.empty(); });
-    return unseen && sole >= hopeless_sole;
+    return unseen && only_suspect >= fatal_only_suspect_losses;
 }
 
-std::string loss_text(const task_entry& t, const lost_run& it, const std::string& proof)
+std::string describe_loss(const task_entry& t, const lost_run& it, const std::string& proof)
 {
     return "losses=" + std::to_string(losses_of(t)) +
            " certain=" + std::to_string(certain_losses(t.progress.lost_runs)) +
@@ -121,11 +125,11 @@
                        : std::string{it.confirmed ? " possible" : " unconfirmed"});
 }
 
-void give_up_if_hopeless(
+void fail_job_if_crashing(
     fleet& f, job_entry& j, const workflow::task_name& name, core::mono_time now, task_events& out)
 {
     const auto& lost = task_of(j, name).progress.lost_runs;
-    if (workflow::is_final(j.state) || !is_hopeless(lost))
+    if (workflow::is_final(j.state) || !crashes_hosts(lost))
     {
         return;
     }
@@ -138,7 +142,7 @@
     finish_job(f, j, workflow::job_state::failed, now);
 }
 
-bool counts(const fleet& f,
+bool counts_as_loss(const fleet& f,
     const job_entry& j,
     const task_entry& t,
     const run_entry& run,
@@ -162,8 +166,9 @@
     }
 }
 
-/// What was only supposed is stored with what is known from now on.
-void enter_unseen(const fleet& f, job_entry& j, task_entry& t)
+/// Records a possible unseen start as a lost run, so that it is stored together with the known
+/// losses.
+void record_unseen_start(const fleet& f, job_entry& j, task_entry& t)
 {
     const bool lost =
         !t.progress.lost_runs.empty() || f.pools_with_lost_hosts.contains(j.spec.pool);
@@ -173,7 +178,7 @@
     }
 }
 
-void add_doubt(fleet& f,
+void add_uncertain_loss(fleet& f,
     const std::string& host,
     const std::string& machine,
     const workflow::task_name& name,
@@ -186,8 +191,8 @@
     it.runs.emplace_back(name, run);
 }
 
-/// \return the lost run, or nullptr when it counts no more.
-lost_run* find_lost(
+/// \return the lost run, or nullptr when it doesn't count any more.
+lost_run* find_lost_run(
     fleet& f, const std::string& host, const workflow::task_name& name, std::int64_t run)
 {
     auto* const t = find_task(f, name);
@@ -204,36 +209,37 @@
 
 } // namespace
 
-start_rule rule_of(
+start_rule find_start_rule(
     const fleet& f, const job_entry& j, const workflow::task_name& name, core::mono_time now)
 {
     if (j.losses == 0)
     {
-        return start_rule::open;
+        return start_rule::unrestricted;
     }
-    const auto all = tally_of(j, name);
+    const auto all = count_losses(j, name);
     if (all.losses == 0)
     {
-        return start_rule::open;
+        return start_rule::unrestricted;
     }
-    // A successor that doesn't know of the loss would count from what was stored.
+    // The next coordinator counts from the stored losses, so a loss that is not stored would be
+    // missed.
     const bool stored = j.losses_stored == j.losses_recorded;
-    const bool doubtful = all.losses > all.certain;
+    const bool uncertain = all.losses > all.certain;
     const bool many = all.losses >= f.settings.last_resort_losses;
-    if (!stored || (many && !doubtful))
+    if (!stored || (many && !uncertain))
     {
         return start_rule::withheld;
     }
-    if (doubtful && all.losses >= doubtful_losses)
+    if (uncertain && all.losses >= uncertain_wait_losses)
     {
         const auto wait = many ? f.settings.last_resort_wait : f.settings.uncertain_loss_wait;
         const auto since = many ? std::max(all.newest, j.added_at) : all.newest;
-        return now - since >= wait ? start_rule::alone : start_rule::withheld;
+        return now - since >= wait ? start_rule::isolated : start_rule::withheld;
     }
-    return all.losses >= suspect_losses ? start_rule::alone : start_rule::watched;
+    return all.losses >= suspect_losses ? start_rule::isolated : start_rule::separated;
 }
 
-void lose_run(fleet& f,
+void record_lost_run(fleet& f,
     job_entry& j,
     const workflow::task_name& name,
     const run_entry& run,
@@ -243,11 +249,11 @@
     task_events& out)
 {
     auto& t = *find_task(f, name);
-    if (!counts(f, j, t, run, h))
+    if (!counts_as_loss(f, j, t, run, h))
     {
         return;
     }
-    enter_unseen(f, j, t);
+    record_unseen_start(f, j, t);
     const bool certain = !proof.empty() && run.confirmed;
     const lost_run lost{
         run.number, h.ref.id, certain ? "" : h.machine, run.confirmed, certain, run.only_suspect};
@@ -256,12 +262,13 @@
     t.last_loss_at = now;
     t.withheld_logged = false;
     mark_dirty(f, j);
-    note(out, "run_lost_with_host", name, run.number, h.ref.id, loss_text(t, lost, proof));
+    record_event(
+        out, "run_lost_with_host", name, run.number, h.ref.id, describe_loss(t, lost, proof));
     if (proof.empty())
     {
-        add_doubt(f, h.ref.id, h.machine, name, run.number, now);
+        add_uncertain_loss(f, h.ref.id, h.machine, name, run.number, now);
     }
-    give_up_if_hopeless(f, j, name, now, out);
+    fail_job_if_crashing(f, j, name, now, out);
 }
 
 void confirm_losses(fleet& f,
@@ -277,18 +284,22 @@
     }
     for (const auto& [name, run] : found.mapped().runs)
     {
-        auto* const it = find_lost(f, host, name, run);
+        auto* const it = find_lost_run(f, host, name, run);
         if (it == nullptr || !it->confirmed)
         {
-            continue; // a start without an answer may never have reached the runner
+            continue; // the runner may never have received a start without an answer
         }
         it->certain = true;
         it->machine.clear();
         auto& j = *find_job(f, name.job);
         mark_dirty(f, j);
-        note(
-            out, "run_lost_with_host", name, run, host, loss_text(*find_task(f, name), *it, proof));
-        give_up_if_hopeless(f, j, name, now, out);
+        record_event(out,
+            "run_lost_with_host",
+            name,
+            run,
+            host,
+            describe_loss(*find_task(f, name), *it, proof));
+        fail_job_if_crashing(f, j, name, now, out);
     }
 }
 
@@ -301,7 +312,7 @@
     }
     for (const auto& [name, run] : found.mapped().runs)
     {
-        const auto* const it = find_lost(f, host, name, run);
+        const auto* const it = find_lost_run(f, host, name, run);
         if (it == nullptr)
         {
             continue;
@@ -312,11 +323,11 @@
             t.progress.lost_runs.begin() + (it - t.progress.lost_runs.data()));
         --j.losses;
         mark_dirty(f, j);
-        note(out, "loss_withdrawn", name, run, host, "the runner answers");
+        record_event(out, "loss_withdrawn", name, run, host, "the runner answers");
     }
 }
 
-void clear_if_proven(fleet& f,
+void clear_losses_if_proven(fleet& f,
     host_entry& h,
     job_entry& j,
     const workflow::task_name& name,
@@ -331,7 +342,7 @@
     }
     if (!t.progress.lost_runs.empty())
     {
-        note(out,
+        record_event(out,
             "losses_cleared",
             name,
             run.number,
@@ -343,7 +354,7 @@
     }
     t.may_have_unseen_start = false;
     t.reserved_run_number = 0;
-    unwatch_run(h, run);
+    clear_loss_flags(h, run);
 }
 
 void inherit_losses(fleet& f, job_entry& j)
@@ -352,20 +363,21 @@
     {
         auto& t = j.tasks[i];
         j.losses += static_cast<int>(t.progress.lost_runs.size());
-        // With more than one, each further start is entered before it is made.
+        // After more than one loss, each further start is stored before it is ordered.
         t.may_have_unseen_start =
             j.inherited && t.progress.lost_runs.size() <= 1 && !t.progress.done;
         for (const auto& it : t.progress.lost_runs)
         {
             if (!it.certain && it.confirmed && !t.progress.done)
             {
-                add_doubt(f, it.host, it.machine, workflow::name_of_task(j.spec, i), it.run, {});
+                add_uncertain_loss(
+                    f, it.host, it.machine, workflow::name_of_task(j.spec, i), it.run, {});
             }
         }
     }
 }
 
-void see_later_run(task_entry& t, std::int64_t run)
+void apply_later_run(task_entry& t, std::int64_t run)
 {
     const auto& lost = t.progress.lost_runs;
     if (t.may_have_unseen_start && (lost.empty() || run > lost.back().run))
@@ -374,25 +386,25 @@
     }
 }
 
-void reserve_trial(fleet& f, job_entry& j, task_entry& t, std::int64_t number)
+void reserve_isolated_run(fleet& f, job_entry& j, task_entry& t, std::int64_t number)
 {
-    enter_unseen(f, j, t);
+    record_unseen_start(f, j, t);
     add_loss(j, t, {number, {}, {}, false, false, false});
     t.reserved_run_number = number;
     ++j.losses_recorded;
     mark_dirty(f, j);
 }
 
-void adopt_trial(task_entry& t, std::int64_t run)
+void adopt_isolated_run(task_entry& t, std::int64_t run)
 {
     const auto& all = t.progress.lost_runs;
-    const bool entered = std::any_of(all.begin(),
+    const bool reserved = std::any_of(all.begin(),
         all.end(),
         [run](const lost_run& it) { return it.host.empty() && it.run == run; });
-    t.reserved_run_number = entered ? run : t.reserved_run_number;
+    t.reserved_run_number = reserved ? run : t.reserved_run_number;
 }
 
-void release_trial(fleet& f, job_entry& j, task_entry& t, std::int64_t run)
+void release_isolated_run(fleet& f, job_entry& j, task_entry& t, std::int64_t run)
 {
     const auto released = std::erase_if(t.progress.lost_runs,
         [run](const lost_run& it) { return it.host.empty() && it.run == run; });
@@ -404,7 +416,7 @@
     }
 }
 
-void sweep_doubts(fleet& f)
+void remove_irrelevant_losses(fleet& f)
 {
     std::erase_if(f.uncertain_losses,
         [&](const auto& it)
@@ -412,7 +424,7 @@
             return std::none_of(it.second.runs.begin(),
                 it.second.runs.end(),
                 [&](const auto& each)
-                { return find_lost(f, it.first, each.first, each.second) != nullptr; });
+                { return find_lost_run(f, it.first, each.first, each.second) != nullptr; });
         });
 }
 
@@ -434,17 +446,18 @@
         {
             continue;
         }
-        const auto rule = rule_of(f, j, name, now);
+        const auto rule = find_start_rule(f, j, name, now);
         withheld += rule == start_rule::withheld ? 1 : 0;
-        alone += rule == start_rule::alone ? 1 : 0;
+        alone += rule == start_rule::isolated ? 1 : 0;
         most = std::max(most, losses_of(t));
     }
     if (withheld + alone == 0)
     {
         return {};
     }
-    return std::to_string(alone) + " to be tried alone on a host and " + std::to_string(withheld) +
-           " held back, for hosts were lost with them (up to " + std::to_string(most) + " times)";
+    return std::to_string(alone) + " to be started alone on a host and " +
+           std::to_string(withheld) + " held back, because hosts were lost with them (up to " +
+           std::to_string(most) + " times)";
 }
 
 } // namespace camphorhitch::coordinator
--- a/libs/coordinator/src/machine_lives.cpp
+++ b/libs/coordinator/src/machine_list_evidence.cpp
@@ -1,9 +1,9 @@
 /// \file
-/// What the list of machines tells of the lives of runners.
+/// Derives from the machine list which runners have ended.
 #include "bookkeeping.hpp"
 #include "coordinator/intake.hpp"
 #include "coordinator/waves.hpp"
-#include "losses.hpp"
+#include "lost_runs.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -14,14 +14,15 @@
 namespace
 {
 
-/// Of runners that are hosts no more, too: the next lives of their machines show that theirs ended.
-void settle_doubts(fleet& f,
+/// Confirms uncertain losses of runners whose machine has another runner now, including runners
+/// that are no longer among the hosts.
+void confirm_listed_losses(fleet& f,
     const machine_table& list,
     core::millis list_lag,
     core::mono_time now,
     task_events& out)
 {
-    sweep_doubts(f);
+    remove_irrelevant_losses(f);
     for (const auto& [id, m] : list.machines)
     {
         if (const auto it = f.uncertain_losses.find(m.runner); it != f.uncertain_losses.end())
@@ -40,14 +41,15 @@
         const auto* const m = it.machine.empty() ? nullptr : find_machine(list, it.machine);
         const bool other_life = m != nullptr && m->state == ports::machine_state::up &&
                                 !m->runner.empty() && m->runner != id;
-        if (other_life && list.read_at > it.since + list_lag)
+        if (other_life && list.requested_at > it.since + list_lag)
         {
             over.push_back(id);
         }
     }
     for (const auto& id : over)
     {
-        const std::string proof{core::name_of(life_proof_names, life_proof::other_life)};
+        const std::string proof{
+            core::name_of(termination_evidence_names, termination_evidence::other_life)};
         confirm_losses(f, id, proof, now, out);
     }
 }
@@ -60,7 +62,7 @@
     return it == list.machines.end() ? nullptr : &it->second;
 }
 
-void match_machines(fleet& f,
+void apply_machine_list(fleet& f,
     const machine_table& list,
     core::millis list_lag,
     core::mono_time now,
@@ -72,32 +74,33 @@
         if (h != nullptr && h->machine != id)
         {
             h->machine = id;
-            h->machine_known_at = list.read_at;
+            h->machine_known_at = list.requested_at;
         }
     }
-    std::vector<std::pair<std::string, life_proof>> over;
+    std::vector<std::pair<std::string, termination_evidence>> over;
     for (const auto& [id, h] : f.hosts)
     {
-        const bool is_news = list.read_at > h.machine_known_at + list_lag;
+        const bool is_newer = list.requested_at > h.machine_known_at + list_lag;
         const auto* const m =
-            h.machine.empty() || !is_news ? nullptr : find_machine(list, h.machine);
+            h.machine.empty() || !is_newer ? nullptr : find_machine(list, h.machine);
         const bool other_life = m != nullptr && !m->runner.empty() && m->runner != id;
-        // A machine that moves or is maintained runs nothing; its next life has another id.
+        // A machine that moves or is in maintenance runs nothing; its next runner has another id.
         const bool no_life = m != nullptr && (m->state == ports::machine_state::moving ||
                                                  m->state == ports::machine_state::in_maintenance);
         if (other_life || no_life)
         {
-            over.emplace_back(id, no_life ? life_proof::no_life : life_proof::other_life);
+            over.emplace_back(
+                id, no_life ? termination_evidence::no_life : termination_evidence::other_life);
         }
     }
     for (const auto& [id, proof] : over)
     {
         end_host(f, id, proof, now, out);
     }
-    settle_doubts(f, list, list_lag, now, out);
+    confirm_listed_losses(f, list, list_lag, now, out);
 }
 
-bool awaits_list(const fleet& f)
+bool needs_machine_list(const fleet& f)
 {
     return std::any_of(f.hosts.begin(),
         f.hosts.end(),
--- a/libs/coordinator/src/order_window.cpp
+++ b/libs/coordinator/src/order_window.cpp
@@ -20,26 +20,26 @@
 
 } // namespace
 
-void see_delay(order_window& w, const window_settings& s, core::micros late_by)
+void record_loop_delay(order_window& w, const order_window_settings& s, core::micros late_by)
 {
-    if (late_by > s.late)
+    if (late_by > s.late_threshold)
     {
-        const auto bound = std::chrono::duration<double>(s.late);
+        const auto bound = std::chrono::duration<double>(s.late_threshold);
         const auto fits = bound / std::chrono::duration<double>(late_by);
-        w.size = std::max(s.least, scaled(w.size, std::max(fits, s.deepest_cut)));
-        w.gap = std::min(s.longest_gap, scaled(w.gap, s.gap_growth));
+        w.size = std::max(s.min_size, scaled(w.size, std::max(fits, s.min_scale)));
+        w.poll_delay = std::min(s.max_poll_delay, scaled(w.poll_delay, s.poll_delay_growth));
     }
     else
     {
-        w.size = std::min(s.most, w.size + (w.was_in_the_way ? s.step : 0));
-        w.gap = std::max(s.shortest_gap, scaled(w.gap, s.gap_decay));
+        w.size = std::min(s.max_size, w.size + (w.was_limiting ? s.growth_step : 0));
+        w.poll_delay = std::max(s.min_poll_delay, scaled(w.poll_delay, s.poll_delay_decay));
     }
-    w.was_in_the_way = false;
+    w.was_limiting = false;
 }
 
-int room_for_orders(const order_window& w, const window_settings& s, std::int64_t out)
+int allowed_orders(const order_window& w, const order_window_settings& s, std::int64_t in_flight)
 {
-    const auto left = std::clamp<std::int64_t>(w.size - out, 0, s.most_at_once);
+    const auto left = std::clamp<std::int64_t>(w.size - in_flight, 0, s.max_orders_per_iteration);
     return static_cast<int>(left);
 }
 
--- a/libs/coordinator/src/placement.cpp
+++ b/libs/coordinator/src/placement.cpp
@@ -1,12 +1,12 @@
 #include "coordinator/placement.hpp"
 
+#include "abandoned_starts.hpp"
 #include "bookkeeping.hpp"
 #include "coordinator/intake.hpp"
-#include "coordinator/pacing.hpp"
-#include "given_up.hpp"
-#include "losses.hpp"
+#include "coordinator/throttling.hpp"
+#include "isolated_runs.hpp"
+#include "lost_runs.hpp"
 #include "starts.hpp"
-#include "trials.hpp"
 
 #include <algorithm>
 #include <limits>
@@ -18,10 +18,11 @@
 namespace
 {
 
-/// A host with this many more failed than finished runs gets work only when no other has room.
+/// A host with this many more failed than finished runs receives tasks only when no other host has
+/// free capacity.
 constexpr int suspect_failures = 3;
 
-bool order_of_service(job_order order, const waiting_step& a, const waiting_step& b)
+bool is_served_before(job_order order, const waiting_step& a, const waiting_step& b)
 {
     const auto key = [order](const waiting_step& it)
     {
@@ -29,26 +30,27 @@
         {
             return std::tuple(false, false, 0, it.job->spec.accepted_unix_ms);
         }
-        // More work than room: served in order of time, all would be late. Those that can still be
-        // in time go first, so that some are.
-        return std::tuple(it.lost, it.late, it.job->spec.priority, it.due_unix_ms);
+        // When there is more work than capacity, serving in order of time would make all jobs late.
+        // Jobs that can still be in time go first, so that some of them are.
+        return std::tuple(it.worthless, it.late, it.job->spec.priority, it.due_unix_ms);
     };
     return key(a) < key(b);
 }
 
-/// Expected times are means; a job that misses by less than this may well be in time.
+/// Expected run times are means: a job that misses its objective by less than this may still be in
+/// time.
 constexpr std::int64_t late_tolerance_ms = 200;
 
-/// Credit ends at this many times the objective.
-constexpr std::int64_t lost_after_objectives = 3;
+/// Finishing a job has no value after this multiple of its objective.
+constexpr std::int64_t worthless_after_objectives = 3;
 
 void add_waiting_steps(
-    const learnt& l, job_entry& j, std::int64_t unix_ms, std::vector<waiting_step>& out)
+    const run_time_estimates& l, job_entry& j, std::int64_t unix_ms, std::vector<waiting_step>& out)
 {
-    const auto objective = objective_of(l, j.spec).count();
+    const auto objective = completion_objective(l, j.spec).count();
     for (int k = 0; k < workflow::occurrence_count(j.spec); ++k)
     {
-        const auto due = due_at(j.spec, k);
+        const auto due = occurrence_due_ms(j.spec, k);
         if (due > unix_ms && workflow::is_scheduled(j.spec))
         {
             break;
@@ -57,11 +59,13 @@
         {
             if (step_of(j, k, s).idle > 0 && is_step_ready(j, k, s))
             {
-                const bool lasts = j.spec.steps[static_cast<std::size_t>(s)].long_running;
-                const bool lost = !lasts && unix_ms > due + objective * lost_after_objectives;
-                const auto rest = time_to_end(l, j.spec.steps, s).count();
-                const bool late = !lasts && unix_ms + rest > due + objective + late_tolerance_ms;
-                out.push_back({&j, k, s, lost, late, due + objective});
+                const bool long_running = j.spec.steps[static_cast<std::size_t>(s)].long_running;
+                const bool worthless =
+                    !long_running && unix_ms > due + objective * worthless_after_objectives;
+                const auto remaining = expected_remaining_time(l, j.spec.steps, s).count();
+                const bool late =
+                    !long_running && unix_ms + remaining > due + objective + late_tolerance_ms;
+                out.push_back({&j, k, s, worthless, late, due + objective});
             }
         }
     }
@@ -70,11 +74,12 @@
 std::vector<waiting_step> all_waiting_steps(fleet& f, core::mono_time now, std::int64_t unix_ms)
 {
     std::vector<waiting_step> out;
-    const auto unseen = find_unexamined(f, now);
+    const auto unseen = find_unseen_run_pools(f, now);
     for (const auto& id : f.open_jobs)
     {
         auto& j = *f.jobs.at(id);
-        if (!workflow::is_final(j.state) && !(j.inherited && covers(unseen, j.spec.pool)))
+        if (!workflow::is_final(j.state) &&
+            !(j.inherited && may_have_unseen_runs(unseen, j.spec.pool)))
         {
             add_waiting_steps(f.run_time_estimates, j, unix_ms, out);
         }
@@ -82,13 +87,13 @@
     const auto order = f.settings.placement.jobs;
     std::sort(out.begin(),
         out.end(),
-        [order](const auto& a, const auto& b) { return order_of_service(order, a, b); });
+        [order](const auto& a, const auto& b) { return is_served_before(order, a, b); });
     return out;
 }
 
-/// A task whose run was lost with its host may have crashed it. Those that were lost with it are
-/// suspects when it happens again, so they count for more.
-/// \return a measure of what is lost if this task, or one on the host, does so.
+/// A task whose run was lost with its host may have crashed it. Tasks with lost runs become
+/// suspects when they are lost again, so they count for more.
+/// \return a measure of the loss if this task, or one on the host, crashes the host.
 std::int64_t runs_at_risk(const host_entry& h, const task_entry& t)
 {
     if (t.progress.lost_runs.empty())
@@ -98,7 +103,7 @@
     return static_cast<std::int64_t>(h.runs.size()) + 2 * std::int64_t{h.runs_after_loss};
 }
 
-/// \return the host with the lowest cost, or nullptr when none may run the task.
+/// \return the host with the lowest cost, or nullptr when no host may run the task.
 host_entry* choose_host(const fleet& f,
     const std::vector<host_entry*>& hosts,
     const job_entry& j,
@@ -108,12 +113,12 @@
 {
     const auto& s = j.spec.steps[static_cast<std::size_t>(name.step)];
     host_entry* best = nullptr;
-    auto best_cost =
+    auto lowest_cost =
         std::tuple(true, true, true, std::int64_t{0}, 0, std::numeric_limits<std::int64_t>::max());
     for (auto* const h : hosts)
     {
-        if (!is_advised(*h, j, name.occurrence, name.step, now) ||
-            !may_run_there(*h, j, name.occurrence, name.step, s))
+        if (!has_required_ticket(*h, j, name.occurrence, name.step, now) ||
+            !can_run_step(*h, j, name.occurrence, name.step, s))
         {
             continue;
         }
@@ -122,17 +127,17 @@
         const bool suspect = h->recent_failures >= suspect_failures;
         const bool far = !s.preferred_rack.empty() && h->rack != s.preferred_rack;
         const auto near = runs_at_risk(*h, t);
-        const int disturbed = disturbing_runs(f, *h, s);
-        // Short tasks fill one host after the other, so that some stay empty and can move to
-        // another pool, or rest, at once; those that stay are spread, so that few are lost or moved
-        // together.
+        const int disturbed = interfering_runs(f, *h, s);
+        // Short tasks fill one host after the other, so that some hosts stay empty and can move to
+        // another pool or to standby at once. Long-running tasks are spread, so that few are lost
+        // or moved together.
         const bool fills_up = !s.long_running && f.settings.placement.hosts == host_choice::fullest;
         const auto fill = fills_up ? -h->used.cpu : h->used.cpu;
         const auto cost = std::tuple(failed_here, suspect, far, near, disturbed, fill);
-        if (best == nullptr || cost < best_cost)
+        if (best == nullptr || cost < lowest_cost)
         {
             best = h;
-            best_cost = cost;
+            lowest_cost = cost;
         }
     }
     return best;
@@ -141,11 +146,11 @@
 bool may_start_beside_others(
     const fleet& f, const job_entry& j, const workflow::task_name& name, core::mono_time now)
 {
-    const auto rule = rule_of(f, j, name, now);
-    return rule == start_rule::open || rule == start_rule::watched;
+    const auto rule = find_start_rule(f, j, name, now);
+    return rule == start_rule::unrestricted || rule == start_rule::separated;
 }
 
-/// Starts as many tasks of the step as there is room for.
+/// Starts as many tasks of the step as the hosts have capacity for.
 void start_tasks(fleet& f,
     const waiting_step& w,
     const std::vector<host_entry*>& hosts,
@@ -167,11 +172,11 @@
         auto* const h = choose_host(f, hosts, j, name, t, now);
         if (h == nullptr)
         {
-            return; // the step's other tasks are alike
+            return; // the other tasks of the step have the same requirements
         }
-        if (to.room <= 0)
+        if (to.remaining_orders <= 0)
         {
-            to.cut = true;
+            to.truncated = true;
             return;
         }
         order_start(f, *h, j, name, next_run_number(t), now, to, out);
@@ -196,7 +201,7 @@
     }
 }
 
-pool_hosts& hosts_in(std::map<std::string, pool_hosts>& pools,
+pool_hosts& find_pool_hosts(std::map<std::string, pool_hosts>& pools,
     fleet& f,
     const std::string& pool,
     core::mono_time now)
@@ -206,7 +211,7 @@
                                 : pools.emplace(pool, hosts_of_pool(f, pool, now)).first->second;
 }
 
-/// Before all others, while there are empty hosts.
+/// Starts suspects before all other tasks, while there are empty hosts.
 void start_suspects(fleet& f,
     const std::vector<waiting_step>& waiting,
     core::mono_time now,
@@ -216,23 +221,24 @@
 {
     for (const auto& it : waiting)
     {
-        if (it.job->losses > 0 && !to.cut)
+        if (it.job->losses > 0 && !to.truncated)
         {
-            start_trials(f, it, hosts_in(pools, f, it.job->spec.pool, now), now, to, out);
+            start_isolated_runs(
+                f, it, find_pool_hosts(pools, f, it.job->spec.pool, now), now, to, out);
         }
     }
     for (auto& [pool, hosts] : pools)
     {
-        if (hosts.open.size() > 1)
+        if (hosts.available.size() > 1)
         {
-            std::erase(hosts.open, hosts.set_aside);
+            std::erase(hosts.available, hosts.reserved_host);
         }
     }
     std::erase_if(f.isolation_wait_since,
         [&](const auto& it)
         {
             const auto found = pools.find(it.first);
-            return found == pools.end() || !found->second.waits;
+            return found == pools.end() || !found->second.suspect_waits;
         });
 }
 
@@ -255,14 +261,14 @@
                     continue;
                 }
                 const auto* const h = find_host(f, it.host);
-                if (h != nullptr && to.room <= 0)
+                if (h != nullptr && to.remaining_orders <= 0)
                 {
-                    to.cut = true;
+                    to.truncated = true;
                     return;
                 }
                 if (h != nullptr)
                 {
-                    --to.room;
+                    --to.remaining_orders;
                     it.stop_in_flight = true;
                     to.stops.push_back({h->ref, workflow::name_of_task(j.spec, i), it.number});
                 }
@@ -278,11 +284,11 @@
     std::int64_t unix_ms,
     bool may_start,
     task_events& out,
-    int most_orders)
+    int max_orders)
 {
     plan to;
-    to.room = most_orders;
-    stop_given_up(f, now, to);
+    to.remaining_orders = max_orders;
+    stop_abandoned_starts(f, now, to);
     order_stops(f, now, to);
     if (!may_start)
     {
@@ -293,17 +299,17 @@
     start_suspects(f, waiting, now, pools, to, out);
     for (const auto& it : waiting)
     {
-        if (to.cut)
+        if (to.truncated)
         {
-            break; // what comes later in the order of service would overtake
+            break; // steps later in the order of service would overtake
         }
-        const auto& hosts = hosts_in(pools, f, it.job->spec.pool, now).open;
+        const auto& hosts = find_pool_hosts(pools, f, it.job->spec.pool, now).available;
         if (it.job->spec.needs_advice)
         {
-            auto ask = plan_ask(f, *it.job, it.occurrence, it.step, hosts, now);
+            auto ask = plan_advice_request(f, *it.job, it.occurrence, it.step, hosts, now);
             if (!ask.runners.empty())
             {
-                to.asks.push_back(std::move(ask));
+                to.advice_requests.push_back(std::move(ask));
             }
         }
         start_step(f, it, hosts, now, to, out);
@@ -311,7 +317,7 @@
     return to;
 }
 
-void want_stop(fleet& f,
+void request_stop(fleet& f,
     const workflow::task_name& task,
     std::int64_t run,
     core::mono_time now,
@@ -329,7 +335,7 @@
         {
             it.phase = run_phase::stopping;
             it.phase_changed_at = now;
-            note(out, "stop_wanted", task, run, it.host, reason);
+            record_event(out, "stop_wanted", task, run, it.host, reason);
         }
     }
 }
@@ -337,18 +343,18 @@
 namespace
 {
 
-/// A run on a host that does not answer may have ended with it.
-bool is_at_work(const fleet& f, const run_entry& it)
+/// A run on a host that does not answer may have ended with the host.
+bool is_working(const fleet& f, const run_entry& it)
 {
-    constexpr int whole = 100; // percent
+    constexpr int complete_percent = 100; // percent
     const auto h = f.hosts.find(it.host);
-    return it.phase == run_phase::running && it.progress_percent >= whole && h != f.hosts.end() &&
-           h->second.reachable;
+    return it.phase == run_phase::running && it.progress_percent >= complete_percent &&
+           h != f.hosts.end() && h->second.reachable;
 }
 
 } // namespace
 
-int others_away(const fleet& f, const job_entry& j, const workflow::task_name& task)
+int other_unavailable_tasks(const fleet& f, const job_entry& j, const workflow::task_name& task)
 {
     int away = 0;
     const auto first = workflow::task_index(j.spec, task.occurrence, task.step, 0);
@@ -357,16 +363,16 @@
     {
         const auto& runs = j.tasks[first + static_cast<std::size_t>(i)].runs;
         const bool works = std::any_of(
-            runs.begin(), runs.end(), [&](const run_entry& it) { return is_at_work(f, it); });
+            runs.begin(), runs.end(), [&](const run_entry& it) { return is_working(f, it); });
         away += i != task.index && !works ? 1 : 0;
     }
     return away;
 }
 
-bool has_place_elsewhere(const fleet& f,
+bool can_run_elsewhere(const fleet& f,
     const job_entry& j,
     const workflow::task_name& task,
-    const std::string& but,
+    const std::string& excluded_host,
     core::mono_time now)
 {
     const auto& s = j.spec.steps[static_cast<std::size_t>(task.step)];
@@ -375,8 +381,8 @@
         [&](const auto& it)
         {
             const auto& h = it.second;
-            return h.ref.id != but && h.pool == j.spec.pool && may_host(f, h, now) &&
-                   may_run_there(h, j, task.occurrence, task.step, s);
+            return h.ref.id != excluded_host && h.pool == j.spec.pool && accepts_tasks(f, h, now) &&
+                   can_run_step(h, j, task.occurrence, task.step, s);
         });
 }
 
@@ -386,9 +392,9 @@
     for (const auto& id : f.open_jobs)
     {
         const auto& j = *f.jobs.at(id);
-        // A run that is only ordered proves nothing: its order may lie unread, or be lost.
-        const bool begun = j.done_tasks > 0 || j.state != workflow::job_state::queued;
-        if (!begun && !workflow::is_scheduled(j.spec))
+        // A run that is only ordered is no evidence of a start: its order may be unread or lost.
+        const bool started = j.done_tasks > 0 || j.state != workflow::job_state::queued;
+        if (!started && !workflow::is_scheduled(j.spec))
         {
             ++out[j.spec.queue];
         }
--- a/libs/coordinator/src/rebalance.cpp
+++ b/libs/coordinator/src/rebalance.cpp
@@ -15,25 +15,26 @@
 {
 
 constexpr double milli = 1000.0;
-/// The room of a host where none of the fleet has told its own yet.
-constexpr double usual_host_cores = 32.0;
+/// Capacity of a host in cores, used while the capacity of no host of the fleet is known.
+constexpr double default_host_cores = 32.0;
 
-/// One pool's hosts against its need.
+/// The hosts of one pool and its need.
 struct balance
 {
     std::string name;
     bool standby = false;
-    int have = 0; ///< up, or on their way here
+    int have = 0; ///< hosts that are up, or moving to this pool
     int wanted = 0;
-    int kept = 0;          ///< wanted lately; what is above may be given away
-    double cores = 0;      ///< what the need is
-    bool expected = false; ///< a busy time is about to begin
-    bool busy = false;     ///< a busy time is on
-    std::vector<const ports::machine_entry*> free; ///< up, and neither held nor moving
+    /// Hosts that are retained after an earlier need; the others may be given away.
+    int retained = 0;
+    double cores = 0;                              ///< the need in cores
+    bool busy_expected = false;                    ///< a busy period is about to start
+    bool busy = false;                             ///< the pool is in a busy period
+    std::vector<const ports::machine_entry*> free; ///< up, and neither held by a wave nor moving
 };
 
-/// \return the room of the pool's hosts. Hosts are alike on most platforms: where none of the pool
-/// is known, one of another tells it.
+/// \return the capacity of a host of the pool in cores. Hosts have the same capacity on most
+/// platforms: when no host of the pool is known, a host of another pool is used.
 double host_cores(const fleet& f, const std::string& pool)
 {
     std::int64_t other = 0;
@@ -45,10 +46,10 @@
         }
         other = std::max(other, h.capacity.cpu);
     }
-    return other > 0 ? static_cast<double>(other) / milli : usual_host_cores;
+    return other > 0 ? static_cast<double>(other) / milli : default_host_cores;
 }
 
-std::map<std::string, balance> take_stock(const fleet& f,
+std::map<std::string, balance> compute_balances(const fleet& f,
     const rebalancer& r,
     const demand& d,
     const machine_table& list,
@@ -68,9 +69,9 @@
         {
             const auto hosts =
                 static_cast<int>(std::ceil(need->second.cores / host_cores(f, it.name)));
-            b.wanted = std::max(hosts, need->second.least_hosts);
+            b.wanted = std::max(hosts, need->second.min_hosts);
             b.cores = need->second.cores;
-            b.expected = need->second.expected;
+            b.busy_expected = need->second.busy_expected;
         }
         b.wanted += it.standby ? 0 : r.settings.spare_hosts;
         const auto arrivals = d.pools.find(it.name);
@@ -79,13 +80,14 @@
     for (const auto& [id, m] : list.machines)
     {
         const auto move = r.moves.find(id);
-        const auto& pool = move == r.moves.end() ? m.pool : move->second.to;
+        const auto& pool = move == r.moves.end() ? m.pool : move->second.to_pool;
         const auto b = out.find(pool);
         if (b == out.end())
         {
             continue;
         }
-        // A host that a wave has closed runs nothing new: the pool needs another for it.
+        // A host that a wave has closed accepts no tasks, so the pool needs another host in its
+        // place.
         const bool up = m.state == ports::machine_state::up && !held.contains(id);
         b->second.have += up || move != r.moves.end() ? 1 : 0;
         if (up && move == r.moves.end())
@@ -96,48 +98,48 @@
     return out;
 }
 
-/// Lets the hosts go that a pool has not wanted for a while.
-void keep_recent(rebalancer& r, std::map<std::string, balance>& all, core::mono_time now)
+/// Releases the hosts that a pool has not needed for a while.
+void release_retained_hosts(rebalancer& r, std::map<std::string, balance>& all, core::mono_time now)
 {
-    const double passed = std::chrono::duration<double>(now - r.kept_at).count();
-    r.kept_at = now;
-    r.without_spare.clear();
+    const double passed = std::chrono::duration<double>(now - r.retained_at).count();
+    r.retained_at = now;
+    r.pools_without_spare.clear();
     for (auto& [name, b] : all)
     {
-        auto& kept = r.kept[name];
-        const double share = b.busy || b.expected ? 0 : r.settings.release_share;
-        const double released = passed * (r.settings.release + share * kept);
-        kept = std::max(static_cast<double>(b.wanted), kept - released);
-        kept = std::min(kept, static_cast<double>(std::max(b.have, 0)));
-        b.kept = static_cast<int>(std::ceil(kept));
-        if (!b.standby && b.have <= b.kept)
+        auto& retained = r.retained[name];
+        const double released_share = b.busy || b.busy_expected ? 0 : r.settings.release_share;
+        const double released = passed * (r.settings.release_rate + released_share * retained);
+        retained = std::max(static_cast<double>(b.wanted), retained - released);
+        retained = std::min(retained, static_cast<double>(std::max(b.have, 0)));
+        b.retained = static_cast<int>(std::ceil(retained));
+        if (!b.standby && b.have <= b.retained)
         {
-            r.without_spare.insert(name);
+            r.pools_without_spare.insert(name);
         }
     }
 }
 
-/// One line each time that a pool's need has changed.
-void tell_needs(rebalancer& r, const std::map<std::string, balance>& all, task_events& out)
+/// Logs the need of a pool each time it has changed.
+void log_needs(rebalancer& r, const std::map<std::string, balance>& all, task_events& out)
 {
     for (const auto& [name, b] : all)
     {
-        auto& told = r.told[name];
-        if (!b.standby && told != b.wanted)
+        auto& logged = r.logged_needs[name];
+        if (!b.standby && logged != b.wanted)
         {
-            told = b.wanted;
+            logged = b.wanted;
             out.push_back({"pool_need",
                 name,
                 0,
                 "",
                 "wanted=" + std::to_string(b.wanted) + " have=" + std::to_string(b.have) +
                     " cores=" + std::to_string(static_cast<int>(b.cores)) +
-                    (b.expected ? " expected=1" : "")});
+                    (b.busy_expected ? " expected=1" : "")});
         }
     }
 }
 
-/// What it costs to take this host: the lower the better.
+/// \return the cost of taking this host from its pool; lower is better.
 std::tuple<bool, int, std::int64_t> cost_of(fleet& f, const ports::machine_entry& m)
 {
     const auto* const h = find_host(f, m.runner);
@@ -148,9 +150,9 @@
     return {h->inherited || h->orphaned_runs > 0, long_running_tasks(f, *h), h->used.cpu};
 }
 
-/// Takes the cheapest host of a pool for a move.
-/// \param is_wanted the other pool is short: its callers wait for the host
-void choose(fleet& f,
+/// Chooses the host with the lowest cost of a pool for a move, and closes it.
+/// \param is_wanted the other pool lacks hosts: its callers wait for the host
+void choose_host_to_move(fleet& f,
     rebalancer& r,
     balance& from,
     const std::string& to,
@@ -173,16 +175,16 @@
     {
         h->availability = host_availability::closed_for_move;
         h->closed_at = now;
-        if (is_wanted && r.settings.stops_tasks_above.count() > 0)
+        if (is_wanted && r.settings.task_stop_threshold.count() > 0)
         {
-            stop_resumable_tasks(f, *h, r.settings.stops_tasks_above, now, out);
+            stop_resumable_tasks(f, *h, r.settings.task_stop_threshold, now, out);
         }
     }
     --from.have;
     from.free.erase(best);
 }
 
-/// \return whether a host may be taken cheaply: no long-running task has to leave for it.
+/// \return whether a host can be taken without evacuating a long-running task.
 bool has_cheap_host(fleet& f, const balance& b)
 {
     return std::any_of(b.free.begin(),
@@ -190,23 +192,24 @@
         [&](const auto* m) { return cost_of(f, *m) < std::tuple(false, 1, std::int64_t{0}); });
 }
 
-/// \return the pool to take a host from, or nullptr.
-balance* best_donor(
+/// \return the pool from which a host is taken, or nullptr.
+balance* find_donor(
     fleet& f, const rebalancer& r, std::map<std::string, balance>& all, const balance& to)
 {
-    // A pool that is far short can't wait until another's need has been low for a while.
-    const bool far = to.wanted - to.have >= r.settings.far_short;
+    // A pool with an urgent shortage can't wait until the need of another pool has been low for a
+    // while.
+    const bool urgent = to.wanted - to.have >= r.settings.urgent_shortage;
     balance* best = nullptr;
     for (auto& [name, b] : all)
     {
-        const int least = far ? b.wanted : b.kept;
+        const int least = urgent ? b.wanted : b.retained;
         if (name == to.name || b.have <= least || b.free.empty() || !has_cheap_host(f, b))
         {
             continue;
         }
         const auto surplus = [](const balance& it)
         {
-            return it.have - it.kept;
+            return it.have - it.retained;
         };
         const bool better = best == nullptr || (b.standby && !best->standby) ||
                             (b.standby == best->standby && surplus(b) > surplus(*best));
@@ -215,7 +218,7 @@
     return best;
 }
 
-void feed_short_pools(fleet& f,
+void fill_short_pools(fleet& f,
     rebalancer& r,
     std::map<std::string, balance>& all,
     core::mono_time now,
@@ -225,18 +228,18 @@
     {
         while (!b.standby && b.have < b.wanted)
         {
-            auto* const donor = best_donor(f, r, all, b);
+            auto* const donor = find_donor(f, r, all, b);
             if (donor == nullptr)
             {
                 return;
             }
-            choose(f, r, *donor, name, true, now, out);
+            choose_host_to_move(f, r, *donor, name, true, now, out);
             ++b.have;
         }
     }
 }
 
-void rest_surplus(fleet& f,
+void move_surplus_to_standby(fleet& f,
     rebalancer& r,
     std::map<std::string, balance>& all,
     core::mono_time now,
@@ -250,43 +253,45 @@
     }
     for (auto& [name, b] : all)
     {
-        if (b.standby || b.have <= b.kept)
+        if (b.standby || b.have <= b.retained)
         {
             r.surplus_since.erase(name);
             continue;
         }
         const auto since = r.surplus_since.try_emplace(name, now).first->second;
-        while (now - since >= r.settings.rest && b.have > b.kept && has_cheap_host(f, b))
+        while (
+            now - since >= r.settings.standby_delay && b.have > b.retained && has_cheap_host(f, b))
         {
-            choose(f, r, b, standby->first, false, now, out);
+            choose_host_to_move(f, r, b, standby->first, false, now, out);
         }
     }
 }
 
-/// A move that was decided before its runner was listed, or ordered without an answer, may meet a
-/// runner on the machine that has got work since.
+/// A move that was decided before its runner was listed, or was ordered without an answer, may find
+/// another runner on the machine that has tasks by now.
 /// \return whether the machine may still be moved.
-bool is_still_free(
+bool may_still_move(
     fleet& f, const machine_table& list, const std::string& machine, const pending_move& move)
 {
     const auto m = list.machines.find(machine);
-    if (m == list.machines.end() || m->second.pool == move.to)
+    if (m == list.machines.end() || m->second.pool == move.to_pool)
     {
-        return true; // it has left, or has moved: its runner works there
+        return true; // the machine has left, or has moved: its runner belongs to the new pool
     }
     const auto* const h = find_host(f, m->second.runner);
     return h == nullptr ||
            (h->ref.id == move.runner && h->availability == host_availability::closed_for_move);
 }
 
-/// Whoever was not closed for the move is judged anew.
-void give_up_taken(fleet& f, rebalancer& r, const machine_table& list, task_events& out)
+/// Abandons moves whose machine has a runner that was not closed for the move; the machine may be
+/// chosen again.
+void abandon_occupied_moves(fleet& f, rebalancer& r, const machine_table& list, task_events& out)
 {
     std::erase_if(r.moves,
         [&](const auto& it)
         {
             const auto& [machine, move] = it;
-            if (move.ordered || is_still_free(f, list, machine, move))
+            if (move.ordered || may_still_move(f, list, machine, move))
             {
                 return false;
             }
@@ -294,7 +299,7 @@
                 "",
                 0,
                 list.machines.at(machine).runner,
-                "machine=" + machine + " to=" + move.to + " chosen=" + move.runner});
+                "machine=" + machine + " to=" + move.to_pool + " chosen=" + move.runner});
             return true;
         });
 }
@@ -315,38 +320,39 @@
     {
         return ready;
     }
-    auto all = take_stock(f, r, d, list, pools, held, now);
-    keep_recent(r, all, now);
-    tell_needs(r, all, out);
-    feed_short_pools(f, r, all, now, out);
-    rest_surplus(f, r, all, now, out);
-    give_up_taken(f, r, list, out);
+    auto all = compute_balances(f, r, d, list, pools, held, now);
+    release_retained_hosts(r, all, now);
+    log_needs(r, all, out);
+    fill_short_pools(f, r, all, now, out);
+    move_surplus_to_standby(f, r, all, now, out);
+    abandon_occupied_moves(f, r, list, out);
     for (auto& [machine, move] : r.moves)
     {
         const auto* const h = find_host(f, move.runner);
         const bool empty = h == nullptr || is_empty(*h);
-        if (!move.ordered && empty && static_cast<int>(ready.size()) < r.settings.most_moves)
+        if (!move.ordered && empty &&
+            static_cast<int>(ready.size()) < r.settings.max_moves_per_plan)
         {
             move.ordered = true;
             move.ordered_at = now;
-            ready.push_back({machine, move.to});
+            ready.push_back({machine, move.to_pool});
         }
     }
     return ready;
 }
 
-void resume_moves(rebalancer& r, core::mono_time now)
+void reset_surplus_timers(rebalancer& r, core::mono_time now)
 {
     r.surplus_since.clear();
-    r.kept_at = now;
+    r.retained_at = now;
 }
 
 std::set<std::string> pools_without_spare(const rebalancer& r)
 {
-    return r.without_spare;
+    return r.pools_without_spare;
 }
 
-void move_answered(fleet& f,
+void handle_move_answer(fleet& f,
     rebalancer& r,
     const std::string& machine,
     ports::machine_verdict verdict,
@@ -360,17 +366,18 @@
     }
     if (verdict == ports::machine_verdict::done)
     {
-        // The answer is the same when the move was done before. A runner with work came since.
+        // The answer is the same when the move was done earlier. A runner that has tasks was
+        // started after that move.
         const auto* const h = find_host(f, it->second.runner);
         if (h == nullptr || is_empty(*h))
         {
-            end_host(f, it->second.runner, life_proof::moved, now, out);
+            end_host(f, it->second.runner, termination_evidence::moved, now, out);
         }
         return;
     }
     if (verdict == ports::machine_verdict::unknown)
     {
-        it->second.ordered = false; // ordered again once the machine holds no work
+        it->second.ordered = false; // the move is ordered again once the machine runs no tasks
         return;
     }
     if (auto* const h = find_host(f, it->second.runner))
@@ -380,7 +387,7 @@
     r.moves.erase(it);
 }
 
-void see_moves(rebalancer& r, const machine_table& list, core::millis list_lag)
+void remove_completed_moves(rebalancer& r, const machine_table& list, core::millis list_lag)
 {
     std::erase_if(r.moves,
         [&](const auto& it)
@@ -389,11 +396,11 @@
             const auto m = list.machines.find(it.first);
             if (m == list.machines.end())
             {
-                return true; // it has left
+                return true; // the machine has left
             }
             const bool there = m->second.state == ports::machine_state::up &&
-                               m->second.pool == move.to && m->second.runner != move.runner;
-            return there && move.ordered && list.read_at > move.ordered_at + list_lag;
+                               m->second.pool == move.to_pool && m->second.runner != move.runner;
+            return there && move.ordered && list.requested_at > move.ordered_at + list_lag;
         });
 }
 
--- a/libs/coordinator/src/ends.cpp
+++ b/libs/coordinator/src/run_ends.cpp
@@ -1,7 +1,7 @@
-#include "ends.hpp"
+#include "run_ends.hpp"
 
 #include "bookkeeping.hpp"
-#include "losses.hpp"
+#include "lost_runs.hpp"
 #include "workflow/records.hpp"
 
 #include <algorithm>
@@ -12,20 +12,20 @@
 namespace
 {
 
-/// Failed runs that a host may collect before its score stops growing.
-constexpr int most_recent_failures = 8;
+/// Bound of host_entry::recent_failures.
+constexpr int max_recent_failures = 8;
 
 void complete_if_done(fleet& f, job_entry& j, core::mono_time now, task_events& out)
 {
     if (j.done_tasks == j.tasks.size() && !workflow::is_final(j.state))
     {
-        out.push_back({"job_completed", j.spec.id, 0, "", "all tasks ended done"});
+        out.push_back({"job_completed", j.spec.id, 0, "", "all tasks finished"});
         finish_job(f, j, workflow::job_state::completed, now);
     }
 }
 
-/// Of the steps that waited for \p done alone, notes since when they could start.
-void note_ready_steps(job_entry& j, int occurrence, int done, core::mono_time now)
+/// Records when the steps became ready whose last unfinished dependency was \p done.
+void record_ready_steps(job_entry& j, int occurrence, int done, core::mono_time now)
 {
     for (std::size_t i = 0; i < j.spec.steps.size(); ++i)
     {
@@ -58,11 +58,11 @@
     mark_dirty(f, j);
     if (counts.done == j.spec.steps[static_cast<std::size_t>(name.step)].tasks)
     {
-        note_ready_steps(j, name.occurrence, name.step, now);
+        record_ready_steps(j, name.occurrence, name.step, now);
     }
 }
 
-/// The other runs of a task that is done are in the way: copies, or members of its gang.
+/// Stops the other runs of a finished task: copies, or runs of members of its gang.
 void stop_runs(task_entry& t, core::mono_time now)
 {
     for (auto& it : t.runs)
@@ -81,13 +81,13 @@
     const auto& s = j.spec.steps[static_cast<std::size_t>(name.step)];
     if (s.long_running)
     {
-        return; // it is started again
+        return; // long-running tasks are started again
     }
     mark_task_done(f, j, name, now);
     stop_runs(*find_task(f, name), now);
     if (s.gang)
     {
-        // One member's end stands for all; the others end by themselves.
+        // The end of one member counts for all members; the other runs end by themselves.
         for (int i = 0; i < s.tasks; ++i)
         {
             mark_task_done(f, j, {name.job, name.occurrence, name.step, i}, now);
@@ -106,12 +106,12 @@
     auto& t = *find_task(f, name);
     if (j.spec.steps[static_cast<std::size_t>(name.step)].long_running)
     {
-        return; // it is started again, however often
+        return; // long-running tasks are started again after any number of failures
     }
     auto& failed = t.progress.failed_runs;
     if (std::find(failed.begin(), failed.end(), end.run) != failed.end())
     {
-        return; // reported again, to this owner or to the one before
+        return; // the end was reported before, to this coordinator or to a previous one
     }
     failed.push_back(end.run);
     mark_dirty(f, j);
@@ -126,10 +126,11 @@
     }
 }
 
-/// Numbers of a term start above all before it, so last_run alone doesn't tell that a run was
-/// ordered: an end of a former owner's run would seem outdated, and its task would run again.
-/// \return whether this owner has ordered a run of the task with a higher number.
-bool was_ordered_since(const fleet& f, const task_entry& t, std::int64_t run)
+/// The run numbers of a term start above all earlier ones, so a highest_run_number above \p run
+/// doesn't show by itself that a newer run was ordered. If it counted as such, the end of a
+/// previous coordinator's run would seem outdated, and its task would run again.
+/// \return whether this coordinator has ordered a run of the task with a higher number.
+bool has_newer_run(const fleet& f, const task_entry& t, std::int64_t run)
 {
     return run < t.highest_run_number && t.highest_run_number > f.term * f.settings.runs_per_term;
 }
@@ -138,7 +139,7 @@
 {
     if (how == ports::run_end::failed)
     {
-        h.recent_failures = std::min(h.recent_failures + 1, most_recent_failures);
+        h.recent_failures = std::min(h.recent_failures + 1, max_recent_failures);
     }
     else if (how == ports::run_end::done)
     {
@@ -148,7 +149,7 @@
 
 } // namespace
 
-void take_end(
+void apply_run_end(
     fleet& f, host_entry& h, const ports::reported_end& end, core::mono_time now, task_events& out)
 {
     const auto read = workflow::read_task_name(end.task);
@@ -168,32 +169,33 @@
         return;
     }
     auto& j = *find_job(f, name->job);
-    note_begun(j);
-    const auto place = place_of_run(*t, h.ref.id, end.run);
-    if (place < t->runs.size())
+    mark_job_started(j);
+    const auto index = run_index(*t, h.ref.id, end.run);
+    if (index < t->runs.size())
     {
-        const auto& run = t->runs[place];
-        const bool learns = f.settings.placement.uses_measured_run_times;
-        if (learns && end.outcome == ports::run_end::done && !run.adopted && !run.resumed)
+        const auto& run = t->runs[index];
+        const bool records_time = f.settings.placement.uses_measured_run_times;
+        if (records_time && end.outcome == ports::run_end::done && !run.adopted && !run.resumed)
         {
-            const auto took = std::chrono::duration_cast<core::millis>(now - run.ordered_at);
-            learn_time(f.run_time_estimates,
+            const auto duration = std::chrono::duration_cast<core::millis>(now - run.ordered_at);
+            record_run_time(f.run_time_estimates,
                 j.spec.steps[static_cast<std::size_t>(name->step)].image,
-                took);
+                duration);
         }
-        remove_run(f, j, *name, place);
+        remove_run(f, j, *name, index);
     }
-    else if (!t->runs.empty() || was_ordered_since(f, *t, end.run))
+    else if (!t->runs.empty() || has_newer_run(f, *t, end.run))
     {
-        // This run was given up as lapsed and the task started anew. The newer run counts: taking
-        // the old result in now would let two runs of one task both have an effect.
+        // This run was abandoned when its leases had expired, and the task was started again. The
+        // newer run counts: if the old result were applied now, two runs of one task could both
+        // take effect.
         if (!h.inherited)
         {
             return;
         }
     }
-    see_later_run(*t, end.run);
-    release_trial(f, j, *t, end.run);
+    apply_later_run(*t, end.run);
+    release_isolated_run(f, j, *t, end.run);
     score_host(h, end.outcome);
     if (!end.checkpoint.empty())
     {
--- a/libs/coordinator/src/ends.hpp
+++ b/libs/coordinator/src/run_ends.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What the end of a run means for its task, its job and its host.
+/// Applies the end of a run to its task, its job and its host.
 #pragma once
 
 #include "coordinator/fleet.hpp"
@@ -7,8 +7,8 @@
 namespace camphorhitch::coordinator
 {
 
-/// Takes in one end that a runner reports and that was not taken in before.
-void take_end(
+/// Applies one end that a runner reports and that was not applied before.
+void apply_run_end(
     fleet& f, host_entry& h, const ports::reported_end& end, core::mono_time now, task_events& out);
 
 } // namespace camphorhitch::coordinator
--- a/libs/coordinator/src/starts.cpp
+++ b/libs/coordinator/src/starts.cpp
@@ -2,7 +2,7 @@
 
 #include "bookkeeping.hpp"
 #include "core/invariant.hpp"
-#include "losses.hpp"
+#include "lost_runs.hpp"
 
 #include <algorithm>
 
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// \return runs of one step on one host, whatever their phase.
+/// \return number of runs of one step on one host, in any phase.
 int runs_on_host(const job_entry& j, int occurrence, int step, const std::string& host)
 {
     int n = 0;
@@ -30,16 +30,16 @@
 
 } // namespace
 
-bool may_host(const fleet& f, const host_entry& h, core::mono_time now)
+bool accepts_tasks(const fleet& f, const host_entry& h, core::mono_time now)
 {
-    const auto silent_after = f.settings.runner_lease;
+    const auto unresponsive_after = f.settings.runner_lease;
     return h.listed && h.recorded && !h.draining && h.reachable && !h.inherited &&
            h.orphaned_runs == 0 && h.isolated_runs == 0 &&
-           h.availability == host_availability::open && now - h.last_answer_at < silent_after &&
-           !f.abandoned_starts.contains(h.ref.id);
+           h.availability == host_availability::open &&
+           now - h.last_answer_at < unresponsive_after && !f.abandoned_starts.contains(h.ref.id);
 }
 
-std::int64_t due_at(const workflow::job& j, int occurrence)
+std::int64_t occurrence_due_ms(const workflow::job& j, int occurrence)
 {
     if (!workflow::is_scheduled(j))
     {
@@ -53,14 +53,14 @@
     return label.empty() || std::find(h.labels.begin(), h.labels.end(), label) != h.labels.end();
 }
 
-bool may_run_there(
+bool can_run_step(
     const host_entry& h, const job_entry& j, int occurrence, int step, const workflow::step& s)
 {
-    return has_label(h, s.required_label) && fits(h, room_of(s)) &&
+    return has_label(h, s.required_label) && fits(h, required_resources(s)) &&
            (s.max_per_host == 0 || runs_on_host(j, occurrence, step, h.ref.id) < s.max_per_host);
 }
 
-bool is_advised(
+bool has_required_ticket(
     const host_entry& h, const job_entry& j, int occurrence, int step, core::mono_time now)
 {
     return !j.spec.needs_advice || find_ticket(j, occurrence, step, h.ref.id, now) != nullptr;
@@ -87,22 +87,22 @@
     core::require(
         s.long_running || static_cast<int>(t.progress.failed_runs.size()) < j.spec.max_attempts,
         "a task starts within its budget of attempts");
-    core::require(
-        is_step_ready(j, name.occurrence, name.step), "a step starts after the steps before");
-    core::require(fits(h, room_of(s)), "a host is never over its room");
-    const auto rule = rule_of(f, j, name, now);
-    core::require(rule != start_rule::withheld, "a task that crashes its hosts starts so often");
+    core::require(is_step_ready(j, name.occurrence, name.step),
+        "a step starts after the steps it depends on");
+    core::require(fits(h, required_resources(s)), "a host is never over its capacity");
+    const auto rule = find_start_rule(f, j, name, now);
+    core::require(rule != start_rule::withheld, "a withheld task never starts");
     run_entry run;
-    run.after_loss = rule != start_rule::open;
-    run.isolated = rule == start_rule::alone;
-    run.only_suspect = run.isolated && (h.runs_after_loss == 0 || runs_only(h, j, name));
+    run.after_loss = rule != start_rule::unrestricted;
+    run.isolated = rule == start_rule::isolated;
+    run.only_suspect = run.isolated && (h.runs_after_loss == 0 || runs_nothing_else(h, j, name));
     run.number = number;
     run.host = h.ref.id;
     run.ordered_at = now;
     run.phase_changed_at = now;
     run.resumed = !t.progress.checkpoint.empty();
     add_run(f, j, name, run);
-    --to.room;
+    --to.remaining_orders;
     const auto* const ticket =
         j.spec.needs_advice ? find_ticket(j, name.occurrence, name.step, h.ref.id, now) : nullptr;
     to.starts.push_back({h.ref,
@@ -111,7 +111,7 @@
         j.spec.payload,
         t.progress.checkpoint,
         ticket == nullptr ? std::string{} : *ticket});
-    note(out,
+    record_event(out,
         "start_ordered",
         name,
         number,
--- a/libs/coordinator/src/starts.hpp
+++ b/libs/coordinator/src/starts.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// What the placement of single tasks and of gangs share: who may run a task, and the order itself.
+/// Functions that the placement of single tasks and of gangs share: which hosts may run a task, and
+/// the start order itself.
 #pragma once
 
 #include "coordinator/placement.hpp"
@@ -7,36 +8,41 @@
 namespace camphorhitch::coordinator
 {
 
-/// A step with tasks that wait, in the order in which they are served.
+/// A step with waiting tasks, in the order in which steps are served.
 struct waiting_step
 {
     job_entry* job = nullptr;
     int occurrence = 0;
     int step = 0;
-    bool lost = false;            ///< too late to be worth anything
-    bool late = false;            ///< can't meet its objective any more: worth little
-    std::int64_t due_unix_ms = 0; ///< when its objective ends
+    bool worthless = false; ///< so late that finishing it has no value any more
+    bool late = false; ///< can't meet its objective any more, so that finishing it has little value
+    std::int64_t due_unix_ms = 0; ///< wall time of its objective
 };
 
-/// \return whether the host answers, is known to successors, and is not about to leave.
-bool may_host(const fleet& f, const host_entry& h, core::mono_time now);
+/// \return whether the host accepts new tasks: it is listed, answers, is recorded for the next
+/// coordinator, was polled in this term, has no abandoned start and no orphaned or isolated run,
+/// and is neither closed nor about to leave.
+bool accepts_tasks(const fleet& f, const host_entry& h, core::mono_time now);
 
-/// \return wall time in milliseconds from which on the occurrence may start.
-std::int64_t due_at(const workflow::job& j, int occurrence);
+/// \return the wall time in milliseconds from which on the occurrence may start.
+std::int64_t occurrence_due_ms(const workflow::job& j, int occurrence);
 
+/// \return whether the host has the label; an empty label is on every host.
 bool has_label(const host_entry& h, const std::string& label);
 
-/// \return whether labels, room, the step's bound and the platform's advice allow one more task.
-bool may_run_there(
+/// \return whether the labels and the free capacity of the host and the step's max_per_host allow
+/// one more task of the step. Tickets are checked by has_required_ticket.
+bool can_run_step(
     const host_entry& h, const job_entry& j, int occurrence, int step, const workflow::step& s);
 
-/// \return whether the job needs no advice, or has a ticket for the host.
-bool is_advised(
+/// \return whether the job needs no advice, or has a valid ticket for the host.
+bool has_required_ticket(
     const host_entry& h, const job_entry& j, int occurrence, int step, core::mono_time now);
 
+/// \return the number of the task's next run.
 std::int64_t next_run_number(const task_entry& t);
 
-/// Notes a start as ordered. Asserts that it breaks no promise.
+/// Adds a start order to the plan and records the run. Asserts the invariants of starts.
 void order_start(fleet& f,
     host_entry& h,
     job_entry& j,
@@ -46,10 +52,12 @@
     plan& to,
     task_events& out);
 
-/// \return a number above those of all members: they must share one.
-std::int64_t gang_number(fleet& f, const waiting_step& w, int tasks);
+/// \return the next run number of the gang, which is above the numbers of all members: they share
+/// one.
+std::int64_t next_gang_run_number(fleet& f, const waiting_step& w, int tasks);
 
-/// Starts a gang whole or not at all: members that wait for others hold room and do nothing.
+/// Starts either all members of a gang or none: members that wait for others would occupy capacity
+/// without working.
 void start_gang(fleet& f,
     const waiting_step& w,
     const std::vector<host_entry*>& hosts,
--- a/libs/coordinator/src/pacing.cpp
+++ b/libs/coordinator/src/throttling.cpp
@@ -1,4 +1,4 @@
-#include "coordinator/pacing.hpp"
+#include "coordinator/throttling.hpp"
 
 #include "bookkeeping.hpp"
 #include "workflow/records.hpp"
@@ -11,14 +11,14 @@
 namespace
 {
 
-constexpr int full = 100; // percent
+constexpr int full_percent = 100; // percent
 
-bool serves(const workflow::step& s)
+bool has_latency_target(const workflow::step& s)
 {
     return s.tail_latency_target.count() > 0;
 }
 
-/// One run on a host with its step.
+/// One run on a host, with its step.
 struct placed_run
 {
     workflow::task_name task;
@@ -44,13 +44,14 @@
     return out;
 }
 
-/// \return the worst tail latency of a serving task, as a share of its target; 0 without one.
-double worst_share(const std::vector<placed_run>& runs)
+/// \return the highest tail latency of a task with a target, as a share of its target; 0: no such
+/// task.
+double worst_latency_ratio(const std::vector<placed_run>& runs)
 {
     double worst = 0;
     for (const auto& it : runs)
     {
-        if (serves(*it.step))
+        if (has_latency_target(*it.step))
         {
             worst = std::max(worst,
                 static_cast<double>(it.run->load_metric) /
@@ -60,54 +61,54 @@
     return worst;
 }
 
-int next_pace(const pacing_settings& s, int pace, double worst)
+int next_cpu_percent(const throttling_settings& s, int cpu_percent, double worst)
 {
-    if (worst > s.high)
+    if (worst > s.high_mark)
     {
-        return pace / 2 < s.least ? 0 : pace / 2;
+        return cpu_percent / 2 < s.min_percent ? 0 : cpu_percent / 2;
     }
-    return worst < s.low ? std::min(pace + s.step, full) : pace;
+    return worst < s.low_mark ? std::min(cpu_percent + s.step, full_percent) : cpu_percent;
 }
 
 } // namespace
 
-std::vector<pace_action> plan_paces(
-    fleet& f, const pacing_settings& s, core::mono_time now, task_events& out)
+std::vector<throttle_action> plan_throttling(
+    fleet& f, const throttling_settings& s, core::mono_time now, task_events& out)
 {
-    std::vector<pace_action> actions;
+    std::vector<throttle_action> actions;
     for (auto& [id, h] : f.hosts)
     {
-        if (h.best_effort_runs == 0 || !h.reachable || now - h.throttled_at < s.period)
+        if (h.best_effort_runs == 0 || !h.reachable || now - h.throttled_at < s.interval)
         {
             continue;
         }
         h.throttled_at = now;
         const auto runs = runs_of(f, h);
-        const double worst = worst_share(runs);
+        const double worst = worst_latency_ratio(runs);
         for (const auto& it : runs)
         {
-            const int pace = next_pace(s, it.run->cpu_percent, worst);
-            if (!it.step->best_effort || pace == it.run->cpu_percent)
+            const int cpu_percent = next_cpu_percent(s, it.run->cpu_percent, worst);
+            if (!it.step->best_effort || cpu_percent == it.run->cpu_percent)
             {
                 continue;
             }
-            it.run->cpu_percent = pace;
-            actions.push_back({h.ref, it.task, it.run->number, pace});
-            note(out,
+            it.run->cpu_percent = cpu_percent;
+            actions.push_back({h.ref, it.task, it.run->number, cpu_percent});
+            record_event(out,
                 "pace_ordered",
                 it.task,
                 it.run->number,
                 id,
-                "percent=" + std::to_string(pace) +
-                    " worst_percent_of_target=" + std::to_string(static_cast<int>(worst * full)));
+                "percent=" + std::to_string(cpu_percent) + " worst_percent_of_target=" +
+                    std::to_string(static_cast<int>(worst * full_percent)));
         }
     }
     return actions;
 }
 
-int disturbing_runs(const fleet& f, const host_entry& h, const workflow::step& s)
+int interfering_runs(const fleet& f, const host_entry& h, const workflow::step& s)
 {
-    if (!s.best_effort && !serves(s))
+    if (!s.best_effort && !has_latency_target(s))
     {
         return 0;
     }
@@ -116,7 +117,10 @@
     {
         const auto j = f.jobs.find(name.job);
         const auto& other = j->second->spec.steps[static_cast<std::size_t>(name.step)];
-        n += (s.best_effort && serves(other)) || (serves(s) && other.best_effort) ? 1 : 0;
+        n += (s.best_effort && has_latency_target(other)) ||
+                     (has_latency_target(s) && other.best_effort)
+                 ? 1
+                 : 0;
     }
     return n;
 }
--- a/libs/coordinator/src/waves.cpp
+++ b/libs/coordinator/src/waves.cpp
@@ -15,15 +15,15 @@
 namespace
 {
 
-/// A machine that may come next.
+/// A machine that may be maintained next.
 struct candidate
 {
     std::string machine;
-    host_entry* host = nullptr; ///< null: nothing of ours can run there
+    host_entry* host = nullptr; ///< nullptr: no runner is known on the machine
     int long_running = 0;
 };
 
-bool comes_first(const candidate& a, const candidate& b)
+bool is_maintained_before(const candidate& a, const candidate& b)
 {
     const auto key = [](const candidate& it)
     {
@@ -34,14 +34,14 @@
     return key(a) < key(b);
 }
 
-std::vector<candidate> candidates_of(fleet& f, const wave& w, const machine_table& list)
+std::vector<candidate> find_candidates(fleet& f, const wave& w, const machine_table& list)
 {
     std::vector<candidate> out;
     for (const auto& id : w.machines)
     {
         const auto* const m = find_machine(list, id);
-        const bool open = m != nullptr && !w.begun.contains(id) && !w.asked.contains(id) &&
-                          !list.moving.contains(id);
+        const bool open = m != nullptr && !w.started_machines.contains(id) &&
+                          !w.pending_orders.contains(id) && !list.moving.contains(id);
         if (!open || m->state != ports::machine_state::up)
         {
             continue;
@@ -50,31 +50,33 @@
         it.long_running = it.host == nullptr ? 0 : long_running_tasks(f, *it.host);
         out.push_back(it);
     }
-    std::stable_sort(out.begin(), out.end(), comes_first);
+    std::stable_sort(out.begin(), out.end(), is_maintained_before);
     return out;
 }
 
-int absent_machines(const wave& w, const machine_table& list)
+int count_absent_machines(const wave& w, const machine_table& list)
 {
     int n = 0;
     for (const auto& id : w.machines)
     {
         const auto* const m = find_machine(list, id);
         const bool away = m != nullptr && m->state != ports::machine_state::up;
-        n += away || w.asked.contains(id) || w.down_at.contains(id) ? 1 : 0;
+        n += away || w.pending_orders.contains(id) || w.down_since.contains(id) ? 1 : 0;
     }
     return n;
 }
 
-/// While there is time, only hosts that nobody misses go down: those that are switched off, and
-/// idle ones of pools that have some to spare.
-bool is_missed(const candidate& it, const machine_table& list)
+/// Returns whether the host is needed at present: it runs something, or its pool has no host to
+/// give away. While there is time, only hosts that are not needed go down: machines that are
+/// switched off, and idle hosts of pools with hosts to give away.
+bool is_needed(const candidate& it, const machine_table& list)
 {
-    return it.host != nullptr && (!is_empty(*it.host) || list.short_pools.contains(it.host->pool));
+    return it.host != nullptr &&
+           (!is_empty(*it.host) || list.pools_without_spare.contains(it.host->pool));
 }
 
-/// \return how often long-running tasks have to leave one after the other, since a step bears only
-/// so many away at once, until the candidates run none.
+/// \return the number of rounds in which long-running tasks must leave one after the other until
+/// the candidates run none, because a step allows only max_unavailable absent tasks at once.
 int evacuation_rounds(const fleet& f, const std::vector<candidate>& all)
 {
     std::map<std::pair<std::string, int>, int> tasks; ///< by job and step
@@ -99,33 +101,34 @@
     return rounds;
 }
 
-/// \return the time that the rest of the wave takes at the pace of one turn a place.
-core::millis time_of_turns(const wave& w, std::size_t left, const wave_settings& s)
+/// \return the estimated time for the remaining machines of the wave, with time_per_host for each
+/// of its max_at_once places.
+core::millis remaining_wave_time(const wave& w, std::size_t left, const wave_settings& s)
 {
-    const auto turns =
-        (static_cast<std::int64_t>(left) + w.most_at_once - 1) / std::max(w.most_at_once, 1);
-    return turns * s.turn + s.reserve;
+    const auto rounds =
+        (static_cast<std::int64_t>(left) + w.max_at_once - 1) / std::max(w.max_at_once, 1);
+    return rounds * s.time_per_host + s.schedule_reserve;
 }
 
-/// What may be closed at one look.
-struct wave_pace
+/// Which hosts one plan may close.
+struct wave_urgency
 {
-    bool pressed = false;     ///< the wave would end late: all that is left may be closed
-    bool evacuates = false;   ///< hosts are closed for their long-running tasks' sake
-    int closed_for_tasks = 0; ///< of these, at once
+    bool is_late = false;     ///< the wave would end late: all remaining hosts may be closed
+    bool evacuates = false;   ///< hosts may also be closed to evacuate their long-running tasks
+    int closed_for_tasks = 0; ///< bound of the hosts closed for that reason at the same time
 };
 
-wave_pace pace_of(const fleet& f,
+wave_urgency evaluate_urgency(const fleet& f,
     const wave& w,
     const std::vector<candidate>& all,
     const wave_settings& s,
     core::mono_time now)
 {
-    wave_pace out;
-    const auto ends = now + time_of_turns(w, all.size(), s);
+    wave_urgency out;
+    const auto ends = now + remaining_wave_time(w, all.size(), s);
     const int rounds = evacuation_rounds(f, all);
-    out.pressed = ends > w.due;
-    out.evacuates = ends + rounds * s.evacuation > w.due;
+    out.is_late = ends > w.due;
+    out.evacuates = ends + rounds * s.evacuation_time > w.due;
     const auto with_tasks = std::count_if(
         all.begin(), all.end(), [](const candidate& it) { return it.long_running > 0; });
     out.closed_for_tasks = (static_cast<int>(with_tasks) + rounds - 1) / std::max(rounds, 1);
@@ -165,35 +168,38 @@
 
 } // namespace
 
-/// A machine that the list doesn't show has left. Of a list from before the request this proves
-/// nothing: one that was new then would be taken for gone, and the operators told that the wave is
-/// completed. A list that was asked for after it shows each machine that stays.
-bool see_machines(wave& w, const machine_table& list, const wave_settings& s)
+/// A machine that the list doesn't show has left. This holds only for a list that was requested
+/// after the wave's request was read: an older one may lack a machine that was new then, and the
+/// operators would be told that the wave is completed. A list requested later shows each machine
+/// that stays.
+bool update_wave(wave& w, const machine_table& list, const wave_settings& s)
 {
-    std::erase_if(w.down_at,
+    std::erase_if(w.down_since,
         [&](const auto& it)
         {
             const auto* const m = find_machine(list, it.first);
             const bool back = m == nullptr || m->state == ports::machine_state::up;
-            return back && list.read_at > it.second + s.list_lag;
+            return back && list.requested_at > it.second + s.list_lag;
         });
-    const bool knows_all = list.known && list.read_at > w.taken_at + s.list_lag;
+    const bool knows_all = list.known && list.requested_at > w.request_read_at + s.list_lag;
     const bool all = std::all_of(w.machines.begin(),
         w.machines.end(),
-        [&](const std::string& id)
-        { return w.begun.contains(id) || (knows_all && find_machine(list, id) == nullptr); });
+        [&](const std::string& id) {
+            return w.started_machines.contains(id) ||
+                   (knows_all && find_machine(list, id) == nullptr);
+        });
     const bool now_completed = list.known && all && !w.completed;
     w.completed = w.completed || now_completed;
     return now_completed;
 }
 
-void reopen_maintained(fleet& f, const wave& w, const machine_table& list)
+void reopen_maintained_hosts(fleet& f, const wave& w, const machine_table& list)
 {
-    for (const auto& id : w.begun)
+    for (const auto& id : w.started_machines)
     {
         const auto* const m = find_machine(list, id);
         const bool back = m != nullptr && m->state == ports::machine_state::up;
-        if (back && !w.asked.contains(id) && !w.down_at.contains(id))
+        if (back && !w.pending_orders.contains(id) && !w.down_since.contains(id))
         {
             reopen_host(find_host(f, m->runner));
         }
@@ -209,7 +215,7 @@
         const auto h = m == nullptr ? f.hosts.end() : f.hosts.find(m->runner);
         const bool closed = h != f.hosts.end() &&
                             h->second.availability == host_availability::closed_for_maintenance;
-        if (closed || w.asked.contains(id) || w.down_at.contains(id))
+        if (closed || w.pending_orders.contains(id) || w.down_since.contains(id))
         {
             out.insert(id);
         }
@@ -225,17 +231,17 @@
     task_events& out)
 {
     std::vector<std::string> ready;
-    auto all = candidates_of(f, w, list);
-    int places = w.most_at_once - absent_machines(w, list);
-    const auto pace = pace_of(f, w, all, s, now);
-    int closing = std::max(places, 0) + s.ahead;
-    int evacuating = pace.closed_for_tasks;
+    auto all = find_candidates(f, w, list);
+    int places = w.max_at_once - count_absent_machines(w, list);
+    const auto urgency = evaluate_urgency(f, w, all, s, now);
+    int closing = std::max(places, 0) + s.hosts_closed_ahead;
+    int evacuating = urgency.closed_for_tasks;
     for (auto& it : all)
     {
         const bool closed = it.host != nullptr &&
                             it.host->availability == host_availability::closed_for_maintenance;
-        const bool leaves = pace.evacuates && it.long_running > 0 && evacuating > 0;
-        if (!pace.pressed && !closed && is_missed(it, list) && !leaves)
+        const bool leaves = urgency.evacuates && it.long_running > 0 && evacuating > 0;
+        if (!urgency.is_late && !closed && is_needed(it, list) && !leaves)
         {
             continue;
         }
@@ -247,21 +253,21 @@
         if (it.host != nullptr)
         {
             close_host(w, *it.host, it.machine, now, out);
-            const bool waited = now - it.host->closed_at > s.patience;
-            empty_host(f, *it.host, waited || pace.pressed, now, out);
+            const bool waited = now - it.host->closed_at > s.batch_task_timeout;
+            evacuate_host(f, *it.host, waited || urgency.is_late, now, out);
         }
         const bool empty = it.host == nullptr || is_empty(*it.host);
         if (empty && places > 0)
         {
             --places;
-            w.asked[it.machine] = {list.machines.at(it.machine).runner, {}};
+            w.pending_orders[it.machine] = {list.machines.at(it.machine).runner, {}};
             ready.push_back(it.machine);
         }
     }
     return ready;
 }
 
-bool may_send_order(fleet& f,
+bool prepare_maintenance_order(fleet& f,
     wave& w,
     const machine_table& list,
     const std::string& machine,
@@ -269,17 +275,17 @@
     core::mono_time now,
     task_events& out)
 {
-    auto& order = w.asked[machine];
+    auto& order = w.pending_orders[machine];
     const bool sent = order.sent_at != core::mono_time{};
-    if (sent && list.read_at <= order.sent_at)
+    if (sent && list.requested_at <= order.sent_at)
     {
         return false;
     }
     if (auto* const h = host_of_machine(f, list, machine))
     {
         close_host(w, *h, machine, now, out);
-        empty_host(f, *h, now - h->closed_at > s.patience, now, out);
-        const bool waited = sent && now - h->closed_at > s.patience;
+        evacuate_host(f, *h, now - h->closed_at > s.batch_task_timeout, now, out);
+        const bool waited = sent && now - h->closed_at > s.batch_task_timeout;
         if (!is_empty(*h) && !waited)
         {
             return false;
@@ -289,56 +295,56 @@
     return true;
 }
 
-void order_unheard(wave& w, const std::string& machine)
+void record_unanswered_order(wave& w, const std::string& machine)
 {
-    w.asked[machine].unheard = true;
+    w.pending_orders[machine].unanswered = true;
 }
 
-bool keeps_place(const wave& w, const machine_table& list, const std::string& machine)
+bool order_may_take_effect(const wave& w, const machine_table& list, const std::string& machine)
 {
-    const auto it = w.asked.find(machine);
-    if (it == w.asked.end() || !it->second.unheard)
+    const auto it = w.pending_orders.find(machine);
+    if (it == w.pending_orders.end() || !it->second.unanswered)
     {
         return false;
     }
-    return find_machine(list, machine) != nullptr || list.read_at <= it->second.sent_at;
+    return find_machine(list, machine) != nullptr || list.requested_at <= it->second.sent_at;
 }
 
-void maintenance_began(
+void handle_maintenance_started(
     fleet& f, wave& w, const machine_table& list, const std::string& machine, core::mono_time now)
 {
-    const auto asked = w.asked.find(machine);
+    const auto order = w.pending_orders.find(machine);
     auto* const h = host_of_machine(f, list, machine);
     const bool came_after =
-        asked == w.asked.end() || h == nullptr || asked->second.runner != h->ref.id;
+        order == w.pending_orders.end() || h == nullptr || order->second.runner != h->ref.id;
     if (came_after)
     {
         reopen_host(h);
     }
-    w.asked.erase(machine);
-    w.begun.insert(machine);
-    w.down_at[machine] = now;
+    w.pending_orders.erase(machine);
+    w.started_machines.insert(machine);
+    w.down_since[machine] = now;
 }
 
-void not_in_wave(fleet& f, wave& w, const machine_table& list, const std::string& machine)
+void remove_from_wave(fleet& f, wave& w, const machine_table& list, const std::string& machine)
 {
-    w.asked.erase(machine);
-    w.begun.insert(machine);
+    w.pending_orders.erase(machine);
+    w.started_machines.insert(machine);
     reopen_host(host_of_machine(f, list, machine));
 }
 
-void empty_draining_hosts(fleet& f, core::mono_time now, task_events& out)
+void evacuate_draining_hosts(fleet& f, core::mono_time now, task_events& out)
 {
     for (auto& [id, h] : f.hosts)
     {
         if (h.draining && h.reachable && !h.runs.empty())
         {
-            empty_host(f, h, false, now, out);
+            evacuate_host(f, h, false, now, out);
         }
     }
 }
 
-void empty_host(fleet& f, host_entry& h, bool batch_too, core::mono_time now, task_events& out)
+void evacuate_host(fleet& f, host_entry& h, bool batch_too, core::mono_time now, task_events& out)
 {
     const auto runs = h.runs;
     for (const auto& [text, name] : runs)
@@ -347,13 +353,13 @@
         const auto& s = j.spec.steps[static_cast<std::size_t>(name.step)];
         if (s.long_running)
         {
-            // A step's users bear so many of its tasks away at once; one more would break that.
-            // And a task that is stopped with no host to go to would wait until a host is back,
-            // which in turn may wait for others of the step: a wave over a whole pool would never
-            // end.
+            // The users of a step tolerate max_unavailable absent tasks; one more would break that
+            // bound. A task that is stopped without another host to run on would wait until a host
+            // is back, which in turn may wait for other tasks of the step: a wave over a whole pool
+            // would never end.
             const bool allowed =
-                s.max_unavailable == 0 || others_away(f, j, name) < s.max_unavailable;
-            if (!allowed || !has_place_elsewhere(f, j, name, h.ref.id, now))
+                s.max_unavailable == 0 || other_unavailable_tasks(f, j, name) < s.max_unavailable;
+            if (!allowed || !can_run_elsewhere(f, j, name, h.ref.id, now))
             {
                 continue;
             }
@@ -367,7 +373,7 @@
         {
             if (it.host == h.ref.id)
             {
-                want_stop(f, name, it.number, now, "its host is emptied", out);
+                request_stop(f, name, it.number, now, "its host is being emptied", out);
             }
         }
     }
