--- a/libs/coordinator/tests/demand_tests.cpp
+++ b/libs/coordinator/tests/demand_tests.cpp
@@ -1,5 +1,5 @@
 #include "coordinator/demand.hpp"
-#include "world.hpp"
+#include "fleet_fixture.hpp"
 
 #include <CppUTest/TestHarness.h>
 
@@ -11,13 +11,13 @@
     coordinator::demand d;
     core::mono_time now{1000s};
 
-    /// \param cores of work that arrive a second, as jobs of \p each core-seconds
+    /// \param cores work that arrives, in core-seconds per second, as jobs of \p each core-seconds
     void feed(const std::string& pool, double cores, double each, core::millis how_long)
     {
         const core::micros gap{static_cast<std::int64_t>(1e6 * each / cores)};
         for (const auto end = now + how_long; now < end; now += gap)
         {
-            note_arrival(d, pool, each, now);
+            record_arrival(d, pool, each, now);
         }
         update_demand(d, now);
     }
@@ -26,22 +26,22 @@
 TEST(demand, a_steady_rate_is_measured_and_forgotten)
 {
     feed("p", 100, 5, 6s);
-    CHECK(d.pools["p"].fast > 85 && d.pools["p"].fast < 115);
+    CHECK(d.pools["p"].fast_rate > 85 && d.pools["p"].fast_rate < 115);
     now += 4s;
     update_demand(d, now);
-    CHECK(d.pools["p"].fast < 5);
+    CHECK(d.pools["p"].fast_rate < 5);
 }
 
-TEST(demand, one_large_job_is_no_busy_time)
+TEST(demand, one_large_job_is_no_busy_period)
 {
-    note_arrival(d, "p", 200, now);
+    record_arrival(d, "p", 200, now);
     update_demand(d, now);
     CHECK_FALSE(d.pools["p"].busy);
     feed("p", 300, 10, 1s);
     CHECK(d.pools["p"].busy);
 }
 
-TEST(demand, a_rise_is_followed_ahead)
+TEST(demand, a_rising_rate_is_extrapolated)
 {
     fleet f;
     feed("p", 60, 3, 12s);
@@ -52,53 +52,53 @@
         feed("p", cores, 3, 500ms);
     }
     const auto& p = d.pools["p"];
-    CHECK(pool_needs(f, d, now).at("p").cores > p.fast * d.settings.margin * 1.2);
+    CHECK(pool_needs(f, d, now).at("p").cores > p.fast_rate * d.settings.margin * 1.2);
 }
 
-// A pool turns busy for a few seconds. Hosts that are asked for only as its rate rises come when it
-// is over; another pool's peak tells at its begin what is coming.
-// A large fleet's busy time begins: work rises as steeply as can be, shown by many jobs or by few.
-// Guards against a large pool that asks for its hosts seconds late, out of a caution that only few
-// large jobs call for.
-TEST(demand, a_rise_that_many_jobs_show_is_followed_further)
+// The busy period of a large fleet starts: work rises as steeply as possible, shown by many jobs or
+// by few. Guards against a large pool that requests its hosts seconds late because of a caution
+// that is meant for a few large jobs.
+TEST(demand, a_rise_shown_by_many_jobs_is_extrapolated_further)
 {
-    const auto asked = [](int jobs, double work)
+    const auto requested = [](int jobs, double work)
     {
         demand rising;
-        const core::mono_time begun{100s};
+        const core::mono_time start{100s};
         for (int i = 0; i < jobs; ++i)
         {
-            note_arrival(rising, "p", work / jobs, begun + 400ms * i / jobs);
+            record_arrival(rising, "p", work / jobs, start + 400ms * i / jobs);
         }
-        // For each core of the present rate.
-        return pool_needs({}, rising, begun + 400ms).at("p").cores / rising.pools.at("p").fast;
+        // Per core of the present rate.
+        return pool_needs({}, rising, start + 400ms).at("p").cores / rising.pools.at("p").fast_rate;
     };
     constexpr double work = 1000;
-    const double few = asked(2, work);
-    const double many = asked(40, work);
+    const double few = requested(2, work);
+    const double many = requested(40, work);
     CHECK(many > 1.25 * few);
     CHECK(many < 2 * few);
-    CHECK(asked(400, work) < 1.1 * many); // there is a bound
+    CHECK(requested(400, work) < 1.1 * many); // the factor is bounded
 }
 
-TEST(demand, a_young_busy_time_asks_for_a_share_of_the_highest_peak)
+// A pool is busy for a few seconds. Hosts that are requested only as its rate rises arrive when the
+// busy period is over, so the peak of another pool determines the request at its start.
+TEST(demand, an_early_busy_period_requests_a_share_of_the_highest_peak)
 {
     feed("p", 300, 10, 1s);
-    const double peak = d.pools.at("p").peak;
+    const double peak = d.pools.at("p").peak_rate;
     now += 20s;
     update_demand(d, now);
     fleet f;
     for (int i = 0; i < 4; ++i)
     {
-        note_arrival(d, "q", 8, now);
+        record_arrival(d, "q", 8, now);
     }
-    const auto least = peak * d.settings.young_share * d.settings.margin;
+    const auto least = peak * d.settings.early_phase_share * d.settings.margin;
     CHECK(pool_needs(f, d, now).at("q").cores >= least);
-    now += d.settings.young;
+    now += d.settings.early_phase;
     CHECK(pool_needs(f, d, now).at("q").cores < least);
 }
 
-TEST(demand, an_order_that_came_round_tells_the_next)
+TEST(demand, a_repeated_order_of_pools_predicts_the_next)
 {
     const std::vector<std::string> pools{"a", "b", "c"};
     for (int round = 0; round < 2; ++round)
@@ -110,39 +110,40 @@
         }
     }
     const auto newest = d.history.back().at;
-    CHECK(next_busy(d, "a").has_value());
-    CHECK(*next_busy(d, "a") == newest + 5s);
-    CHECK_FALSE(next_busy(d, "b").has_value());
+    CHECK(next_busy_time(d, "a").has_value());
+    CHECK(*next_busy_time(d, "a") == newest + 5s);
+    CHECK_FALSE(next_busy_time(d, "b").has_value());
 }
 
 // Queues are busy in turn, and the first round is over. No pool has ever followed the newest one,
-// so the order seen so far names nobody; hosts that are asked for only when the next pool's rate
-// rises come 1.5 s late. In a round the pool whose busy time lies longest back is next.
+// so the order seen so far doesn't name the next. Hosts that are requested only when the rate of
+// the next pool rises arrive 1.5 s late. In a round the pool whose busy period is longest ago is
+// next.
 TEST(demand, after_the_first_round_the_pool_that_was_first_is_next)
 {
     const std::vector<std::string> pools{"a", "b", "c"};
     for (const auto& it : pools)
     {
-        d.pools[it].updated = now;
+        d.pools[it].updated_at = now;
         d.history.push_back({it, now});
         now += 5s;
     }
     const auto newest = d.history.back().at;
-    CHECK(next_busy(d, "a") == std::optional(newest + 5s));
-    CHECK_FALSE(next_busy(d, "b").has_value());
-    CHECK_FALSE(next_busy(d, "c").has_value());
-    d.pools["d"].updated = now; // and one that was not busy yet comes before it
-    CHECK_FALSE(next_busy(d, "a").has_value());
-    CHECK(next_busy(d, "d") == std::optional(newest + 5s));
+    CHECK(next_busy_time(d, "a") == std::optional(newest + 5s));
+    CHECK_FALSE(next_busy_time(d, "b").has_value());
+    CHECK_FALSE(next_busy_time(d, "c").has_value());
+    d.pools["d"].updated_at = now; // a pool that was not busy yet comes before it
+    CHECK_FALSE(next_busy_time(d, "a").has_value());
+    CHECK(next_busy_time(d, "d") == std::optional(newest + 5s));
 }
 
-TEST(demand, learnt_times_replace_declared_ones)
+TEST(demand, measured_run_times_replace_declared_ones)
 {
-    learnt l;
+    run_time_estimates l;
     auto s = make_step(1, 1000);
     s.image = "i";
-    LONGS_EQUAL(1000, expected_time(l, s).count());
-    learn_time(l, "i", 200ms);
-    learn_time(l, "i", 400ms);
-    LONGS_EQUAL(300, expected_time(l, s).count());
+    LONGS_EQUAL(1000, expected_run_time(l, s).count());
+    record_run_time(l, "i", 200ms);
+    record_run_time(l, "i", 400ms);
+    LONGS_EQUAL(300, expected_run_time(l, s).count());
 }
--- a/libs/coordinator/tests/world.hpp
+++ b/libs/coordinator/tests/fleet_fixture.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A fleet of hosts that answer, on which tests try single decisions.
+/// A fleet of hosts that answer, for tests of single decisions.
 #pragma once
 
 #include "coordinator/answers.hpp"
@@ -15,7 +15,9 @@
 
 using namespace std::chrono_literals;
 
-inline constexpr std::int64_t wall = 1'700'000'000'000;
+/// Wall time of the tests, in milliseconds since 1970.
+inline constexpr std::int64_t wall_ms = 1'700'000'000'000;
+/// Processor capacity of each host, in thousandths of a core.
 inline constexpr std::int64_t host_cpu = 4000;
 
 inline workflow::step make_step(int tasks, std::int64_t cpu)
@@ -34,13 +36,13 @@
     j.queue = "q";
     j.pool = "p";
     j.max_attempts = 2;
-    j.accepted_unix_ms = wall;
+    j.accepted_unix_ms = wall_ms;
     j.steps = std::move(steps);
     return j;
 }
 
-/// A fleet whose hosts answer everything that a test does not take over.
-struct world
+/// A fleet whose hosts answer everything, unless a test answers for them.
+struct fleet_fixture
 {
     fleet f;
     core::mono_time now{1000s};
@@ -64,22 +66,24 @@
         f.hosts[id] = h;
     }
 
-    void add(workflow::job j)
+    void accept_job(workflow::job j)
     {
         add_job(f, std::move(j), 1, {}, 0);
     }
 
-    plan next(std::int64_t unix_ms = wall)
+    plan plan_next(std::int64_t unix_ms = wall_ms)
     {
         return make_plan(f, now, unix_ms, true, events);
     }
 
-    void started(const start_action& a, ports::runner_verdict v = ports::runner_verdict::done)
+    /// Applies the answer of the runner to a start order.
+    void answer_start(const start_action& a, ports::runner_verdict v = ports::runner_verdict::done)
     {
-        start_answered(f, a.host.id, a.task, a.run, {v, 1000}, now, events);
+        handle_start_answer(f, a.host.id, a.task, a.run, {v, 1000}, now, events);
     }
 
-    void ended(const start_action& a, ports::run_end how, std::int64_t number)
+    /// Applies a poll answer that reports the end of the run.
+    void report_end(const start_action& a, ports::run_end how, std::int64_t number)
     {
         ports::poll_answer p;
         p.call = {ports::runner_verdict::done, 1000};
@@ -89,7 +93,7 @@
             a.run,
             how,
             {}}};
-        poll_answered(f, a.host.id, now, p, now, events);
+        handle_poll_answer(f, a.host.id, now, p, now, events);
     }
 };
 
--- a/libs/coordinator/tests/losing_world.hpp
+++ b/libs/coordinator/tests/host_loss_fixture.hpp
@@ -1,9 +1,9 @@
 /// \file
-/// A fleet that loses hosts, on which tests try what is made of the runs that were lost with them.
+/// A fleet that loses hosts, for tests of how lost runs are counted and tasks restarted.
 #pragma once
 
 #include "coordinator/waves.hpp"
-#include "world.hpp"
+#include "fleet_fixture.hpp"
 
 #include <string>
 #include <vector>
@@ -11,13 +11,13 @@
 namespace camphorhitch::coordinator
 {
 
-/// A fleet whose store takes each write at once, unless told otherwise.
-struct losing_world : world
+/// A fleet whose store accepts each write at once while `stores` is true.
+struct host_loss_fixture : fleet_fixture
 {
     bool stores = true;
-    int lives = 0;
+    int replacements = 0;
 
-    void store_all()
+    void store_losses()
     {
         for (auto& [id, j] : f.jobs)
         {
@@ -25,73 +25,75 @@
         }
     }
 
-    /// \return the starts of the next plans: a trial is entered by one and ordered by the next.
-    std::vector<start_action> starts()
+    /// \return the starts of the next two plans: the first one reserves an isolated run, the second
+    /// one orders it.
+    std::vector<start_action> plan_starts()
     {
-        auto out = next().starts;
-        store_all();
-        auto more = next().starts;
+        auto out = plan_next().starts;
+        store_losses();
+        auto more = plan_next().starts;
         out.insert(out.end(), more.begin(), more.end());
-        store_all();
+        store_losses();
         return out;
     }
 
-    /// The host's life ends, and another host takes its place.
-    void lose_host(const std::string& id, life_proof proof = life_proof::other_life)
+    /// Ends the runner of the host; a new host takes its place.
+    void lose_host(
+        const std::string& id, termination_evidence proof = termination_evidence::other_life)
     {
         const auto rack = f.hosts.at(id).rack;
         end_host(f, id, proof, now, events);
-        add_host("next" + std::to_string(++lives), rack);
-        store_all();
+        add_host("next" + std::to_string(++replacements), rack);
+        store_losses();
     }
 
-    /// The host is silent until all its leases have ended.
-    void lapse_host(const std::string& id)
+    /// The host is unresponsive until all its leases have expired.
+    void expire_host(const std::string& id)
     {
         auto& h = f.hosts.at(id);
         h.machine = "of-" + id;
         h.reachable = false;
         h.lease_until_ms = h.clock_ms;
         now += 3s;
-        lapse_hosts(f, now, events);
-        wait(0ms);
-        store_all();
+        expire_hosts(f, now, events);
+        advance_time(0ms);
+        store_losses();
     }
 
-    void answers(const std::string& id)
+    void answer_poll(const std::string& id)
     {
         ports::poll_answer p;
         p.call = {ports::runner_verdict::done, 100000};
-        poll_answered(f, id, now, p, now, events);
+        handle_poll_answer(f, id, now, p, now, events);
     }
 
-    /// The list of machines shows the next life of the host's machine.
-    void list_next_life(const std::string& id)
+    /// The machine list shows another runner on the host's machine.
+    void list_next_incarnation(const std::string& id)
     {
         machine_table list;
         list.known = true;
         now += 10ms;
-        list.read_at = now;
+        list.requested_at = now;
         list.machines["of-" + id] = {"of-" + id, "p", "z", "another", ports::machine_state::up};
-        match_machines(f, list, {}, now, events);
-        store_all();
+        apply_machine_list(f, list, {}, now, events);
+        store_losses();
     }
 
-    /// Starts the one task that waits, and loses its host as often as it starts, at most \p most
-    /// times. \return how often it started.
-    int crash_all(int most)
+    /// Starts the one waiting task and loses its host after each start, at most \p most times.
+    /// \return the number of starts.
+    int crash_repeatedly(int most)
     {
         int n = 0;
         while (n < most)
         {
-            const auto all = starts();
+            const auto all = plan_starts();
             if (all.empty())
             {
                 break;
             }
             for (const auto& it : all)
             {
-                started(it);
+                answer_start(it);
             }
             ++n;
             lose_host(all[0].host.id);
@@ -99,14 +101,14 @@
         return n;
     }
 
-    /// Starts what waits and loses all hosts with runs, so many times.
-    void lose_all(int times)
+    /// Starts the waiting tasks and loses all hosts with runs, this many times.
+    void lose_used_hosts(int times)
     {
         for (int i = 0; i < times; ++i)
         {
-            for (const auto& it : starts())
+            for (const auto& it : plan_starts())
             {
-                started(it);
+                answer_start(it);
             }
             std::vector<std::string> used;
             for (const auto& [id, h] : f.hosts)
@@ -123,8 +125,8 @@
         }
     }
 
-    /// Time passes, and all hosts answer.
-    void wait(core::millis time)
+    /// Advances the clock; all reachable hosts answer.
+    void advance_time(core::millis time)
     {
         now += time;
         for (auto& [id, h] : f.hosts)
@@ -143,7 +145,7 @@
         return f.jobs.at(id)->losses;
     }
 
-    int said(const std::string& what) const
+    int event_count(const std::string& what) const
     {
         int n = 0;
         for (const auto& it : events)
--- a/libs/coordinator/tests/lease_clock_tests.cpp
+++ b/libs/coordinator/tests/lease_clock_tests.cpp
@@ -1,4 +1,4 @@
-#include "world.hpp"
+#include "fleet_fixture.hpp"
 
 #include <CppUTest/TestHarness.h>
 #include <map>
@@ -10,18 +10,19 @@
 namespace
 {
 
-/// A runner whose clock runs at its own rate, and the owner that hears of it late and out of order.
-struct distant_clock
+/// A runner whose clock runs at its own rate, and a coordinator that receives its answers late and
+/// out of order.
+struct remote_runner
 {
-    world w;
+    fleet_fixture w;
     std::mt19937_64 random;
     double rate;
-    std::int64_t lease_until = 0; ///< at the runner
-    bool deaf = false;            ///< no answer comes back
+    std::int64_t lease_until = 0; ///< end of the lease on the runner's clock
+    bool answers_lost = false;    ///< no answer arrives at the coordinator
     std::multimap<core::mono_time, std::int64_t> answers;
     std::multimap<core::mono_time, std::int64_t> grants;
 
-    distant_clock(std::uint64_t seed, double its_rate) : random(seed), rate(its_rate)
+    remote_runner(std::uint64_t seed, double clock_rate) : random(seed), rate(clock_rate)
     {
         w.add_host("h1");
         host().clock_ms = clock();
@@ -38,23 +39,23 @@
         return static_cast<std::int64_t>(passed.count() * rate);
     }
 
-    core::millis some_time(int most)
+    core::millis random_time(int most)
     {
         return core::millis{std::uniform_int_distribution<int>(0, most)(random)};
     }
 
-    bool chance(double share)
+    bool chance(double probability)
     {
-        return std::uniform_real_distribution<>(0, 1)(random) < share;
+        return std::uniform_real_distribution<>(0, 1)(random) < probability;
     }
 
-    /// A call that grants a lease leaves; it is carried out, and answered, with any delay.
+    /// Sends a call that grants a lease; it is carried out, and answered, after random delays.
     void call()
     {
-        constexpr int longest_way = 3000;
+        constexpr int max_delay_ms = 3000;
         const auto until = lease_end_for(w.f, host(), w.now);
-        note_lease(host(), until);
-        grants.emplace(w.now + some_time(longest_way), until);
+        record_lease(host(), until);
+        grants.emplace(w.now + random_time(max_delay_ms), until);
     }
 
     void pass(core::millis time)
@@ -64,30 +65,31 @@
         {
             lease_until = std::max(lease_until, grants.begin()->second);
             grants.erase(grants.begin());
-            answers.emplace(w.now + some_time(900), clock());
+            answers.emplace(w.now + random_time(900), clock());
         }
         while (!answers.empty() && answers.begin()->first <= w.now)
         {
-            if (!deaf)
+            if (!answers_lost)
             {
-                hear(answers.begin()->second);
+                receive_answer(answers.begin()->second);
             }
             answers.erase(answers.begin());
         }
     }
 
-    void hear(std::int64_t told)
+    void receive_answer(std::int64_t clock_ms_read)
     {
-        contact_answered(w.f, "h1", {ports::runner_verdict::done, told}, w.now, w.events);
+        handle_renewal_answer(
+            w.f, "h1", {ports::runner_verdict::done, clock_ms_read}, w.now, w.events);
     }
 
-    void fall_silent()
+    void lose_answers()
     {
-        deaf = true;
-        contact_answered(w.f, "h1", {ports::runner_verdict::unknown, -1}, w.now, w.events);
+        answers_lost = true;
+        handle_renewal_answer(w.f, "h1", {ports::runner_verdict::unknown, -1}, w.now, w.events);
     }
 
-    /// \return whether a lease is in force, or may come into force by a call on its way.
+    /// \return whether a lease is in force, or may come into force by a call in flight.
     bool may_run() const
     {
         const auto it = std::max_element(grants.begin(),
@@ -102,35 +104,36 @@
 
 TEST_GROUP(lease_clock){};
 
-// Answers overtake each other and calls are carried out seconds late: an older clock taken for the
-// newest must not end a lease before the runner does.
+// Answers overtake each other and calls are carried out seconds late. An older clock reading that
+// is mistaken for the newest must not make the coordinator treat a lease as expired before the
+// runner does.
 TEST(lease_clock, no_lease_counts_as_ended_while_its_runner_may_hold_it)
 {
     constexpr double rates[] = {0.98, 0.99, 1, 1.02};
     constexpr int steps = 20000;
-    int lapsed = 0;
+    int expired = 0;
     for (const auto rate : rates)
     {
-        distant_clock it(static_cast<std::uint64_t>(rate * 100), rate);
+        remote_runner it(static_cast<std::uint64_t>(rate * 100), rate);
         for (int i = 0; i < steps; ++i)
         {
-            it.pass(it.some_time(120));
+            it.pass(it.random_time(120));
             if (it.host().reachable && it.chance(0.3))
             {
                 it.call();
             }
             if (it.chance(0.02))
             {
-                it.fall_silent();
+                it.lose_answers();
             }
-            if (has_lapsed(it.w.f, it.host(), it.w.now))
+            if (leases_expired(it.w.f, it.host(), it.w.now))
             {
-                ++lapsed;
+                ++expired;
                 CHECK_FALSE(it.may_run());
-                it.deaf = false;
-                it.hear(it.clock());
+                it.answers_lost = false;
+                it.receive_answer(it.clock());
             }
         }
     }
-    CHECK(lapsed > 50);
+    CHECK(expired > 50);
 }
--- a/libs/coordinator/tests/rebalance_tests.cpp
+++ b/libs/coordinator/tests/rebalance_tests.cpp
@@ -1,5 +1,5 @@
 #include "coordinator/rebalance.hpp"
-#include "world.hpp"
+#include "fleet_fixture.hpp"
 
 #include <CppUTest/TestHarness.h>
 #include <algorithm>
@@ -22,7 +22,7 @@
 
 TEST_GROUP(rebalance)
 {
-    world w;
+    fleet_fixture w;
     coordinator::demand d;
     rebalancer r;
     machine_table list;
@@ -53,34 +53,34 @@
     add_machine("3", "off");
     add_machine("4", "off");
     pools = {{"p", false}, {"off", true}};
-    w.add(make_job("a", {make_step(8, 1000)}));
+    w.accept_job(make_job("a", {make_step(8, 1000)}));
     const auto moves = next();
     LONGS_EQUAL(2, moves.size());
     STRCMP_EQUAL("p", moves[0].pool.c_str());
-    LONGS_EQUAL(0, next().size()); // they are on their way
+    LONGS_EQUAL(0, next().size()); // the hosts are moving already
 }
 
-TEST(rebalance, idle_hosts_rest_after_a_while)
+TEST(rebalance, idle_hosts_move_to_standby_after_a_delay)
 {
     add_machine("1", "p");
     add_machine("2", "p");
     add_machine("3", "off");
     pools = {{"p", false}, {"off", true}};
     LONGS_EQUAL(0, next().size());
-    w.now += r.settings.rest + 100ms;
+    w.now += r.settings.standby_delay + 100ms;
     const auto moves = next();
     LONGS_EQUAL(1, moves.size());
     STRCMP_EQUAL("off", moves[0].pool.c_str());
 }
 
-// A host that works is not torn away: it is closed, and moves when its tasks have ended.
+// A host with tasks is closed first, and moves when its tasks have ended.
 TEST(rebalance, a_host_moves_only_when_it_is_empty)
 {
     add_machine("1", "q");
     add_machine("2", "p");
-    w.f.hosts["h1"].pool = "p"; // its runs are of p's job
-    w.add(make_job("a", {make_step(8, 1000)}));
-    const auto started = w.next().starts;
+    w.f.hosts["h1"].pool = "p"; // its runs belong to a job of pool p
+    w.accept_job(make_job("a", {make_step(8, 1000)}));
+    const auto started = w.plan_next().starts;
     CHECK(!started.empty());
     w.f.hosts["h1"].pool = "q";
     pools = {{"p", false}, {"q", false}};
@@ -96,46 +96,46 @@
     add_machine("3", "off");
     pools = {{"p", false}, {"off", true}};
     next();
-    w.now += r.settings.rest + 100ms;
+    w.now += r.settings.standby_delay + 100ms;
     const auto moves = next();
     const auto host = "h" + moves[0].machine;
     CHECK(w.f.hosts[host].availability == host_availability::closed_for_move);
-    move_answered(w.f, r, moves[0].machine, ports::machine_verdict::busy, w.now, w.events);
+    handle_move_answer(w.f, r, moves[0].machine, ports::machine_verdict::busy, w.now, w.events);
     CHECK(w.f.hosts[host].availability == host_availability::open);
     CHECK(r.moves.empty());
 }
 
-// Guards against ending a runner with work for an answer that may be older than its work: the tasks
-// would start elsewhere while they run.
-TEST(rebalance, an_answer_to_a_move_ends_no_runner_at_work)
+// Guards against ending a runner with tasks because of an answer that may be older than its tasks:
+// they would start on other hosts while they run.
+TEST(rebalance, an_answer_to_a_move_ends_no_working_runner)
 {
     add_machine("1", "p");
     r.moves["1"] = {"off", "h1", true, w.now};
-    w.add(make_job("a", {make_step(1, 1000)}));
-    w.started(w.next().starts[0]);
-    move_answered(w.f, r, "1", ports::machine_verdict::done, w.now, w.events);
+    w.accept_job(make_job("a", {make_step(1, 1000)}));
+    w.answer_start(w.plan_next().starts[0]);
+    handle_move_answer(w.f, r, "1", ports::machine_verdict::done, w.now, w.events);
     LONGS_EQUAL(1, w.f.jobs.at("a")->live_runs);
     CHECK(w.f.hosts.contains("h1"));
 }
 
-// Guards against repeating a move under a runner that came since it was first ordered, or was
-// listed since it was decided: it would end the work there.
+// Guards against repeating a move order for a machine whose runner started since the first order,
+// or was listed since the decision: the move would end its tasks.
 TEST(rebalance, a_move_is_not_ordered_under_a_runner_that_was_not_closed_for_it)
 {
     for (const auto* const chosen : {"gone", "h1"})
     {
         for (const bool ordered_before : {true, false})
         {
-            world here;
+            fleet_fixture here;
             std::swap(w, here);
             r = {};
             list = {};
             add_machine("1", "p");
             pools = {{"p", false}, {"q", false}};
             r.moves["1"] = {"q", chosen, ordered_before, w.now};
-            w.add(make_job("a", {make_step(1, 1000)}));
-            w.started(w.next().starts[0]);
-            move_answered(w.f, r, "1", ports::machine_verdict::unknown, w.now, w.events);
+            w.accept_job(make_job("a", {make_step(1, 1000)}));
+            w.answer_start(w.plan_next().starts[0]);
+            handle_move_answer(w.f, r, "1", ports::machine_verdict::unknown, w.now, w.events);
             LONGS_EQUAL(0, next().size());
             CHECK(w.f.hosts["h1"].availability == host_availability::open);
             LONGS_EQUAL(1, w.f.jobs.at("a")->live_runs);
@@ -143,43 +143,43 @@
     }
 }
 
-// Guards against a move that hangs for ever: the machine is back with a runner that has got a task
-// that lasts, which closed waits for its end, and both pools are a host short.
-TEST(rebalance, a_move_does_not_wait_for_a_task_that_lasts)
+// Guards against a move that hangs forever: the machine is back with a runner that has received a
+// long-running task, the closed host waits for the end of the task, and both pools lack a host.
+TEST(rebalance, a_move_does_not_wait_for_a_long_running_task)
 {
     add_machine("1", "p");
     add_machine("2", "p");
     w.f.hosts["h2"].availability =
-        host_availability::closed_for_maintenance; // the task is to go to the other one
+        host_availability::closed_for_maintenance; // the task must start on the other host
     pools = {{"p", false}, {"q", false}};
     r.settings.spare_hosts = 0;
     r.moves["1"] = {"q", "gone", true, w.now};
     auto s = make_step(1, 1000);
     s.long_running = true;
-    w.add(make_job("a", {s}));
-    w.started(w.next().starts[0]);
+    w.accept_job(make_job("a", {s}));
+    w.answer_start(w.plan_next().starts[0]);
     w.f.hosts["h2"].availability = host_availability::open;
-    move_answered(w.f, r, "1", ports::machine_verdict::unknown, w.now, w.events);
+    handle_move_answer(w.f, r, "1", ports::machine_verdict::unknown, w.now, w.events);
     bool stopped = false;
     for (int i = 0; i < 300 && !stopped; ++i)
     {
         w.now += 200ms;
         w.f.hosts["h1"].last_answer_at = w.now;
         w.f.hosts["h2"].last_answer_at = w.now;
-        list.read_at = w.now;
+        list.requested_at = w.now;
         next();
-        stopped = !w.next().stops.empty();
+        stopped = !w.plan_next().stops.empty();
     }
-    const bool given_up =
+    const bool abandoned =
         r.moves.empty() && w.f.hosts["h1"].availability == host_availability::open;
-    CHECK(given_up || stopped);
+    CHECK(abandoned || stopped);
 }
 
-// A queue of long tasks has filled the hosts when another queue's busy time begins. Waited for to
-// their end, the tasks hold the hosts for seconds, and the short jobs of the other queue are late.
-// Tasks that keep their progress are stopped, unless they end soon, keep none, or their own job
-// would be late for the pause.
-TEST(rebalance, a_host_that_is_wanted_is_freed_of_long_tasks_that_can_go_on_elsewhere)
+// A queue of long tasks has filled the hosts when the busy period of another queue starts. If the
+// move waited for the end of the tasks, they would occupy the hosts for seconds, and the short jobs
+// of the other queue would be late. Tasks with checkpoints are stopped, unless they end soon, have
+// no checkpoints, or their own job would be late because of the interruption.
+TEST(rebalance, a_needed_host_is_freed_of_long_tasks_with_checkpoints)
 {
     struct row
     {
@@ -187,7 +187,7 @@
         bool checkpoints;
         core::millis task_time;
         core::millis slack;
-        core::millis passed; ///< since the task's start
+        core::millis passed; ///< since the start of the task
         bool stops;
     };
     for (const auto& it : {row{"long, keeps its progress", true, 4s, 6s, 500ms, true},
@@ -195,7 +195,7 @@
              row{"ends soon", true, 4s, 6s, 3500ms, false},
              row{"its job can't bear the pause", true, 4s, 500ms, 500ms, false}})
     {
-        world here;
+        fleet_fixture here;
         rebalancer moves;
         moves.settings.spare_hosts = 0;
         machine_table machines;
@@ -205,23 +205,23 @@
             machines.machines[id] = {id, "p", "z", "h" + id, ports::machine_state::up};
             here.add_host("h" + id);
         }
-        auto job = make_job("a", {make_step(2, 1000)}); // the need of one host, on two
+        auto job = make_job("a", {make_step(2, 1000)}); // the need of one host, spread over two
         job.steps[0].max_per_host = 1;
         job.steps[0].checkpoints = it.checkpoints;
         job.steps[0].estimated_run_time = it.task_time;
         job.slack = it.slack;
-        here.add(job);
+        here.accept_job(job);
         here.f.jobs.at("a")->added_at = here.now;
-        const auto started = here.next().starts;
+        const auto started = here.plan_next().starts;
         LONGS_EQUAL(2, started.size());
         for (const auto& start : started)
         {
-            here.started(start);
+            here.answer_start(start);
         }
         here.now += it.passed;
-        auto wanting = make_job("b", {make_step(8, 1000)});
-        wanting.pool = "q";
-        here.add(wanting);
+        auto needing_job = make_job("b", {make_step(8, 1000)});
+        needing_job.pool = "q";
+        here.accept_job(needing_job);
         plan_moves(
             here.f, moves, d, machines, {{"p", false}, {"q", false}}, {}, here.now, here.events);
         int stopping = 0;
@@ -241,16 +241,16 @@
 namespace
 {
 
-/// A pool whose busy time asked for most of its hosts and is over.
-struct after_a_busy_time
+/// A pool whose busy period needed most of its hosts and is over.
+struct busy_period_end_fixture
 {
-    world w;
+    fleet_fixture w;
     coordinator::demand d;
     rebalancer r;
     machine_table list;
     int hosts = 0;
 
-    explicit after_a_busy_time(int n) : hosts(n)
+    explicit busy_period_end_fixture(int n) : hosts(n)
     {
         list.known = true;
         for (int i = 0; i < hosts; ++i)
@@ -259,12 +259,12 @@
             list.machines[id] = {id, "p", "z", "h" + id, ports::machine_state::up};
             w.add_host("h" + id);
         }
-        r.kept["p"] = hosts;
-        r.kept_at = w.now;
+        r.retained["p"] = hosts;
+        r.retained_at = w.now;
     }
 
-    /// \return the hosts that are still kept after so long.
-    int kept_after(core::millis how_long, bool busy)
+    /// \return the number of hosts that are still retained after this time.
+    int retained_after(core::millis how_long, bool busy)
     {
         constexpr core::millis step{40};
         for (auto passed = step; passed <= how_long; passed += step)
@@ -273,31 +273,31 @@
             d.pools["p"].busy = busy;
             plan_moves(w.f, r, d, list, {{"p", false}, {"off", true}}, {}, w.now, w.events);
         }
-        return static_cast<int>(std::ceil(r.kept["p"]));
+        return static_cast<int>(std::ceil(r.retained["p"]));
     }
 };
 
 } // namespace
 
-// Queues take turns, each with a busy time of some seconds. Guards against a large pool whose hosts
-// stand idle after its turn for longer than the turn lasted, while the next pool's callers wait.
-TEST(rebalance, after_a_busy_time_most_hosts_are_let_go_within_seconds_in_pools_of_any_size)
+// Queues are busy in turn, each for some seconds. Guards against a large pool whose hosts stay idle
+// after its busy period for longer than the period lasted, while callers of the next pool wait.
+TEST(rebalance, after_a_busy_period_pools_of_any_size_release_most_hosts_within_seconds)
 {
     for (const int hosts : {5, 50, 400})
     {
-        after_a_busy_time over(hosts);
-        CHECK(over.kept_after(3s, false) <= std::max(1, hosts / 4));
+        busy_period_end_fixture over(hosts);
+        CHECK(over.retained_after(3s, false) <= std::max(1, hosts / 4));
     }
 }
 
-// Needs jump with each job. Guards against hosts that are sent off in a lull of the busy time and
-// missed at the next job.
-TEST(rebalance, in_a_lull_of_a_busy_time_hosts_are_kept)
+// The need changes abruptly with each job. Guards against hosts that are sent away during a lull of
+// the busy period and missing at the next job.
+TEST(rebalance, in_a_lull_of_a_busy_period_hosts_are_retained)
 {
     for (const int hosts : {50, 400})
     {
-        after_a_busy_time lull(hosts);
-        const auto released = static_cast<int>(lull.r.settings.release);
-        CHECK(lull.kept_after(1s, true) >= hosts - released - 1);
+        busy_period_end_fixture lull(hosts);
+        const auto released = static_cast<int>(lull.r.settings.release_rate);
+        CHECK(lull.retained_after(1s, true) >= hosts - released - 1);
     }
 }
--- a/libs/hosted/include/hosted/fleet_driver.hpp
+++ b/libs/hosted/include/hosted/fleet_driver.hpp
@@ -5,8 +5,8 @@
 
 #include "coordinator/demand.hpp"
 #include "coordinator/fleet.hpp"
-#include "coordinator/pacing.hpp"
 #include "coordinator/rebalance.hpp"
+#include "coordinator/throttling.hpp"
 #include "coordinator/waves.hpp"
 #include "hosted/context.hpp"
 #include "hosted/formats.hpp"
@@ -23,7 +23,7 @@
 {
     coordinator::coordinator_settings rules;
     coordinator::wave_settings waves;
-    coordinator::pacing_settings paces;
+    coordinator::throttling_settings paces;
     coordinator::demand_settings demand;
     coordinator::rebalance_settings rebalance;
     bool moves = true;                 ///< false: hosts stay in their pools
--- a/libs/hosted/src/demand_record.cpp
+++ b/libs/hosted/src/demand_record.cpp
@@ -15,11 +15,11 @@
 
 json rates_to_json(const coordinator::pool_arrivals& p)
 {
-    return {{"fast", p.fast},
-        {"middle", p.middle},
-        {"slow", p.slow},
-        {"jobs", p.jobs},
-        {"peak", p.peak},
+    return {{"fast", p.fast_rate},
+        {"middle", p.medium_rate},
+        {"slow", p.slow_rate},
+        {"jobs", p.recent_jobs},
+        {"peak", p.peak_rate},
         {"busy", p.busy}};
 }
 
@@ -49,13 +49,13 @@
 coordinator::pool_arrivals rates_from_json(const json& from, core::mono_time at)
 {
     coordinator::pool_arrivals p;
-    p.fast = real_from(from.at("fast"));
-    p.middle = real_from(from.at("middle"));
-    p.slow = real_from(from.at("slow"));
-    p.jobs = real_from(from.at("jobs"));
-    p.peak = real_from(from.at("peak"));
+    p.fast_rate = real_from(from.at("fast"));
+    p.medium_rate = real_from(from.at("middle"));
+    p.slow_rate = real_from(from.at("slow"));
+    p.recent_jobs = real_from(from.at("jobs"));
+    p.peak_rate = real_from(from.at("peak"));
     from.at("busy").get_to(p.busy);
-    p.updated = at;
+    p.updated_at = at;
     return p;
 }
 
@@ -67,7 +67,7 @@
 } // namespace
 
 std::string write_demand(const coordinator::demand& d,
-    const coordinator::learnt& l,
+    const coordinator::run_time_estimates& l,
     ports::revision through,
     core::mono_time now,
     std::int64_t unix_ms)
@@ -87,7 +87,7 @@
     }
     for (const auto& [image, it] : l.images)
     {
-        out["times"][image] = {it.mean_ms, it.runs};
+        out["times"][image] = {it.mean_ms, it.samples};
     }
     return out.dump();
 }
@@ -95,7 +95,7 @@
 ports::revision read_demand(const std::string& text,
     ports::revision written,
     coordinator::demand& d,
-    coordinator::learnt& l,
+    coordinator::run_time_estimates& l,
     core::mono_time now,
     std::int64_t unix_ms)
 {
@@ -103,7 +103,7 @@
     try
     {
         coordinator::demand next;
-        coordinator::learnt times;
+        coordinator::run_time_estimates times;
         const auto at = whole_from(from.at("at_unix_ms"));
         const auto made = now - core::millis{std::max<std::int64_t>(unix_ms - at, 0)};
         for (const auto& [name, it] : from.at("pools").items())
--- a/libs/hosted/src/demand_record.hpp
+++ b/libs/hosted/src/demand_record.hpp
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "coordinator/demand.hpp"
-#include "coordinator/learning.hpp"
+#include "coordinator/run_time_estimates.hpp"
 #include "ports/metadata_store.hpp"
 
 #include <string>
@@ -15,7 +15,7 @@
 /// \param through the store's revision of the newest job whose arrival is counted
 /// \param unix_ms wall time that stands for \p now, since a successor has another monotonic clock
 std::string write_demand(const coordinator::demand& d,
-    const coordinator::learnt& l,
+    const coordinator::run_time_estimates& l,
     ports::revision through,
     core::mono_time now,
     std::int64_t unix_ms);
@@ -33,7 +33,7 @@
 ports::revision read_demand(const std::string& text,
     ports::revision written,
     coordinator::demand& d,
-    coordinator::learnt& l,
+    coordinator::run_time_estimates& l,
     core::mono_time now,
     std::int64_t unix_ms);
 
--- a/libs/hosted/src/fleet_driver.cpp
+++ b/libs/hosted/src/fleet_driver.cpp
@@ -80,12 +80,12 @@
     if (begun >= hosts_planned_at + pause)
     {
         hosts_planned_at = begun;
-        coordinator::empty_draining_hosts(t.fleet, begun, out);
+        coordinator::evacuate_draining_hosts(t.fleet, begun, out);
         waves->plan();
         machines->plan(waves->held());
         if (t.settings.sends_paces)
         {
-            desk->send_paces(coordinator::plan_paces(t.fleet, t.settings.paces, begun, out));
+            desk->send_paces(coordinator::plan_throttling(t.fleet, t.settings.paces, begun, out));
         }
     }
     const auto unix_ms = core::to_unix_ms(t.ctx.time.wall_now());
--- a/libs/hosted/src/host_reader.cpp
+++ b/libs/hosted/src/host_reader.cpp
@@ -132,7 +132,7 @@
         term_.log(ports::log_level::error,
             "record_damaged",
             {{"key", runners_key}, {"revision", std::to_string(item.modified)}});
-        coordinator::hold_inherited(term_.fleet, term_.now());
+        coordinator::delay_inherited_tasks(term_.fleet, term_.now());
         return;
     }
     recorded_ = *found;
@@ -141,7 +141,7 @@
     {
         prior.push_back({{id, it.address, {}}, it.machine, it.pool, it.rest});
     }
-    coordinator::add_prior_hosts(term_.fleet, prior, term_.now());
+    coordinator::add_inherited_hosts(term_.fleet, prior, term_.now());
 }
 
 void host_reader::set_pools(const std::vector<pool_settings>& pools)
@@ -152,7 +152,7 @@
 void host_reader::take_list()
 {
     coordinator::task_events out;
-    coordinator::see_hosts(term_.fleet, list_.usable(), term_.now(), out);
+    coordinator::apply_host_list(term_.fleet, list_.usable(), term_.now(), out);
     term_.log(out);
     judge_hosts();
 }
@@ -203,7 +203,8 @@
         if (!h.reachable && now - h.unresponsive_since >= f.settings.lease_end_record_delay)
         {
             const auto told = told_.find(id);
-            row.rest = told != told_.end() ? told->second : coordinator::time_to_lapse(f, h, now);
+            row.rest =
+                told != told_.end() ? told->second : coordinator::time_to_lease_expiry(f, h, now);
         }
         out.emplace(id, std::move(row));
     }
--- a/libs/hosted/src/job_reader.cpp
+++ b/libs/hosted/src/job_reader.cpp
@@ -118,7 +118,8 @@
         const auto end = workflow::read_progress_end(it.value);
         if (core::is_ok(end) && workflow::is_final(core::value(end).state))
         {
-            coordinator::note_finished(term_.fleet, id, core::value(end).unix_ms, it.modified, now);
+            coordinator::record_finished_job(
+                term_.fleet, id, core::value(end).unix_ms, it.modified, now);
         }
     }
 }
--- a/libs/hosted/src/lease_bridge.cpp
+++ b/libs/hosted/src/lease_bridge.cpp
@@ -57,7 +57,8 @@
     under_way_.erase(host);
     const bool first = is_silent(host);
     coordinator::task_events out;
-    const bool owner = coordinator::contact_answered(term_.fleet, host, a.call, term_.now(), out);
+    const bool owner =
+        coordinator::handle_renewal_answer(term_.fleet, host, a.call, term_.now(), out);
     term_.log(out);
     if (!owner)
     {
--- a/libs/hosted/src/load_report.cpp
+++ b/libs/hosted/src/load_report.cpp
@@ -202,13 +202,13 @@
         {"plans", load_kind::count, n.plans},
         {"store_batches", load_kind::count, n.store_batches},
         {"tasks_waiting", load_kind::level, m.fleet.tasks_waiting},
-        {"jobs_only_ordered", load_kind::level, m.fleet.jobs_only_ordered},
+        {"jobs_only_ordered", load_kind::level, m.fleet.jobs_without_start_answer},
         {"orders_unanswered", load_kind::level, r.orders_out},
         {"jobs_dirty", load_kind::level, m.fleet.jobs_dirty},
         {"ends_not_stored", load_kind::level, r.ends.not_stored()},
         {"hosts", load_kind::level, m.fleet.hosts},
-        {"hosts_silent", load_kind::level, m.fleet.hosts_silent},
-        {"hosts_lease_low", load_kind::level, m.fleet.hosts_lease_low},
+        {"hosts_silent", load_kind::level, m.fleet.hosts_unresponsive},
+        {"hosts_lease_low", load_kind::level, m.fleet.hosts_near_lease_expiry},
         {"timer_late_ms", load_kind::level, m.timer_late.count()},
         {"socket_late_ms", load_kind::level, m.socket_late.count()},
         {"overdue_ms", load_kind::count, m.overdue.count()},
@@ -231,17 +231,17 @@
 }
 
 ports::log_fields lapse_fields(
-    const coordinator::host_lapse& it, const load_report& r, core::mono_time now)
+    const coordinator::expired_host& it, const load_report& r, core::mono_time now)
 {
     const auto largest = [&](const loop_delays& of)
     {
         return std::to_string(
-            std::chrono::ceil<core::millis>(of.largest_since(it.answered)).count());
+            std::chrono::ceil<core::millis>(of.largest_since(it.last_answer_at)).count());
     };
     return {{"host", it.host},
         {"runs", std::to_string(it.runs)},
-        {"since_answer_ms", age_text(it.answered, now)},
-        {"since_poll_ms", age_text(it.polled, now)},
+        {"since_answer_ms", age_text(it.last_answer_at, now)},
+        {"since_poll_ms", age_text(it.polled_at, now)},
         {"timer_late_ms", largest(r.timer_delays)},
         {"socket_late_ms", largest(r.socket_delays)}};
 }
--- a/libs/hosted/src/load_report.hpp
+++ b/libs/hosted/src/load_report.hpp
@@ -159,6 +159,6 @@
 
 /// \return what tells whether a lapsed host was silent or this node late, ages in milliseconds.
 ports::log_fields lapse_fields(
-    const coordinator::host_lapse& it, const load_report& r, core::mono_time now);
+    const coordinator::expired_host& it, const load_report& r, core::mono_time now);
 
 } // namespace camphorhitch::hosted
--- a/libs/hosted/src/machine_desk.cpp
+++ b/libs/hosted/src/machine_desk.cpp
@@ -55,11 +55,11 @@
             constexpr double milli = 1000.0;
             work += static_cast<double>(s.need.cpu * s.tasks) / milli *
                     static_cast<double>(
-                        coordinator::expected_time(term_.fleet.run_time_estimates, s).count()) /
+                        coordinator::expected_run_time(term_.fleet.run_time_estimates, s).count()) /
                     milli;
         }
     }
-    coordinator::note_arrival(demand_, j.pool, work, at);
+    coordinator::record_arrival(demand_, j.pool, work, at);
 }
 
 std::string machine_desk::demand_record() const
@@ -100,17 +100,17 @@
     if (list.known)
     {
         table_.known = true;
-        table_.read_at = asked;
+        table_.requested_at = asked;
         table_.machines.clear();
         for (const auto& it : list.machines)
         {
             table_.machines[it.id] = it;
         }
         coordinator::task_events out;
-        coordinator::match_machines(
+        coordinator::apply_machine_list(
             term_.fleet, table_, term_.settings.waves.list_lag, term_.now(), out);
         term_.log(out);
-        coordinator::see_moves(moves_, table_, term_.settings.waves.list_lag);
+        coordinator::remove_completed_moves(moves_, table_, term_.settings.waves.list_lag);
         on_list_();
         term_.wake();
     }
@@ -138,15 +138,15 @@
 
 bool machine_desk::is_wanted_often() const
 {
-    return is_pressing_() || !moves_.moves.empty() || coordinator::awaits_list(term_.fleet) ||
-           !term_.fleet.uncertain_losses.empty() ||
-           !coordinator::find_unexamined(term_.fleet, term_.now()).pools.empty();
+    return is_pressing_() || !moves_.moves.empty() ||
+           coordinator::needs_machine_list(term_.fleet) || !term_.fleet.uncertain_losses.empty() ||
+           !coordinator::find_unseen_run_pools(term_.fleet, term_.now()).pools.empty();
 }
 
 void machine_desk::resume()
 {
     coordinator::resume_demand(demand_, term_.now());
-    coordinator::resume_moves(moves_, term_.now());
+    coordinator::reset_surplus_timers(moves_, term_.now());
 }
 
 /// An owner without the store plans nothing, however long; its first plan then comes late.
@@ -171,7 +171,7 @@
     }
     const auto orders = coordinator::plan_moves(
         term_.fleet, moves_, demand_, table_, pools_, held, term_.now(), out);
-    table_.short_pools = coordinator::pools_without_spare(moves_);
+    table_.pools_without_spare = coordinator::pools_without_spare(moves_);
     table_.moving.clear();
     for (const auto& [machine, move] : moves_.moves)
     {
@@ -190,7 +190,7 @@
     {
         // Not sent: it is ordered again once a renewal is answered.
         coordinator::task_events out;
-        coordinator::move_answered(
+        coordinator::handle_move_answer(
             term_.fleet, moves_, a.machine, ports::machine_verdict::unknown, term_.now(), out);
         term_.log(out);
         return;
@@ -208,7 +208,7 @@
                         {"answer",
                             std::string{core::name_of(ports::machine_verdict_names, verdict)}}});
                 coordinator::task_events out;
-                coordinator::move_answered(
+                coordinator::handle_move_answer(
                     term_.fleet, moves_, a.machine, verdict, term_.now(), out);
                 term_.log(out);
                 if (verdict == ports::machine_verdict::fenced)
--- a/libs/hosted/src/pending_watch.cpp
+++ b/libs/hosted/src/pending_watch.cpp
@@ -50,7 +50,7 @@
 {
     pending_basis out;
     out.by_queue = std::move(by_queue);
-    out.ordered_only = coordinator::jobs_only_ordered(term_.fleet);
+    out.ordered_only = coordinator::jobs_without_start_answer(term_.fleet);
     out.read_through = jobs_.read_through();
     out.made_at = term_.now();
     out.intake_age = std::chrono::duration_cast<core::millis>(out.made_at - jobs_.last_heard());
--- a/libs/hosted/src/progress_writer.cpp
+++ b/libs/hosted/src/progress_writer.cpp
@@ -159,9 +159,9 @@
     if (workflow::is_final(j.state) && !j.dirty)
     {
         const auto unix_ms = core::to_unix_ms(term_.ctx.time.wall_now());
-        coordinator::note_finished(term_.fleet, j.spec.id, j.ended_unix_ms, at, unix_ms);
+        coordinator::record_finished_job(term_.fleet, j.spec.id, j.ended_unix_ms, at, unix_ms);
     }
-    coordinator::shrink_job(term_.fleet, j);
+    coordinator::release_job_tasks(term_.fleet, j);
 }
 
 void progress_writer::take_conflict(const batch& b, const ports::commit_result& result)
--- a/libs/hosted/src/runner_desk.cpp
+++ b/libs/hosted/src/runner_desk.cpp
@@ -19,12 +19,12 @@
 
 void runner_desk::see_delay(core::micros late_by)
 {
-    coordinator::see_delay(window_, window_settings_, late_by);
+    coordinator::record_loop_delay(window_, window_settings_, late_by);
 }
 
 int runner_desk::room() const
 {
-    return coordinator::room_for_orders(window_, window_settings_, orders_awaited());
+    return coordinator::allowed_orders(window_, window_settings_, orders_awaited());
 }
 
 std::uint64_t runner_desk::note_sent()
@@ -74,28 +74,29 @@
     {
         start(it);
     }
-    for (const auto& it : p.asks)
+    for (const auto& it : p.advice_requests)
     {
         ask(it);
     }
-    more_waits_ = p.cut;
-    if (p.cut && room() > 0)
+    more_waits_ = p.truncated;
+    if (p.truncated && room() > 0)
     {
         // The next slice in a turn of its own: renewals and polls come first.
         term_.wake();
     }
-    else if (p.cut)
+    else if (p.truncated)
     {
         // Orders that are not answered by then count no more.
         term_.ctx.time.after(answer_is_near, term_.guarded([this] { term_.wake(); }));
     }
-    window_.was_in_the_way = window_.was_in_the_way || (p.cut && orders_awaited() >= window_.size);
+    window_.was_limiting =
+        window_.was_limiting || (p.truncated && orders_awaited() >= window_.size);
 }
 
 void runner_desk::take_start(const coordinator::start_action& a, const ports::runner_answer& answer)
 {
     coordinator::task_events out;
-    const bool owner = coordinator::start_answered(
+    const bool owner = coordinator::handle_start_answer(
         term_.fleet, a.host.id, a.task, a.run, answer, term_.now(), out);
     take(owner, a.host.id, out);
     if (answer.verdict != runner_verdict::done)
@@ -121,7 +122,7 @@
     order.ticket = a.ticket;
     order.fencing_token = term_.token;
     order.lease_until_ms = coordinator::lease_end_for(term_.fleet, h, term_.now());
-    coordinator::note_lease(h, order.lease_until_ms);
+    coordinator::record_lease(h, order.lease_until_ms);
     const auto sent = term_.now();
     const auto order_id = note_sent();
     term_.note_start(a.task, a.run, sent);
@@ -142,12 +143,12 @@
             }));
 }
 
-void runner_desk::send_paces(const std::vector<coordinator::pace_action>& all)
+void runner_desk::send_paces(const std::vector<coordinator::throttle_action>& all)
 {
     for (const auto& it : all)
     {
         ports::throttle_order order{
-            workflow::write_task_name(it.task), it.run, it.percent, term_.token};
+            workflow::write_task_name(it.task), it.run, it.cpu_percent, term_.token};
         term_.ctx.runners.throttle(it.host,
             std::move(order),
             term_.guarded(
@@ -159,12 +160,12 @@
     }
 }
 
-void runner_desk::ask(const coordinator::ask_action& a)
+void runner_desk::ask(const coordinator::advice_request& a)
 {
     const auto answered = [this, a](const ports::advice_answer& answer)
     {
         coordinator::task_events out;
-        coordinator::advice_answered(term_.fleet, a, answer, term_.now(), out);
+        coordinator::handle_advice_answer(term_.fleet, a, answer, term_.now(), out);
         term_.log(out);
         term_.wake();
     };
@@ -179,8 +180,8 @@
 void runner_desk::take_stop(const coordinator::stop_action& a, const ports::runner_answer& answer)
 {
     coordinator::task_events out;
-    const bool owner =
-        coordinator::stop_answered(term_.fleet, a.host.id, a.task, a.run, answer, term_.now(), out);
+    const bool owner = coordinator::handle_stop_answer(
+        term_.fleet, a.host.id, a.task, a.run, answer, term_.now(), out);
     take(owner, a.host.id, out);
     term_.wake();
 }
--- a/libs/hosted/src/runner_desk.hpp
+++ b/libs/hosted/src/runner_desk.hpp
@@ -3,8 +3,8 @@
 #pragma once
 
 #include "coordinator/order_window.hpp"
-#include "coordinator/pacing.hpp"
 #include "coordinator/placement.hpp"
+#include "coordinator/throttling.hpp"
 #include "term.hpp"
 
 #include <map>
@@ -33,7 +33,7 @@
     /// Sends the plan's orders.
     void send(const coordinator::plan& p);
 
-    void send_paces(const std::vector<coordinator::pace_action>& all);
+    void send_paces(const std::vector<coordinator::throttle_action>& all);
 
     /// Stops runs that belong to no open job.
     void stop_strays();
@@ -62,11 +62,11 @@
     /// \return orders that are out and may still be answered soon.
     std::int64_t orders_awaited() const;
     bool asks_again(const std::string& host, core::mono_time begun, ports::runner_verdict v);
-    void ask(const coordinator::ask_action& a);
+    void ask(const coordinator::advice_request& a);
     void take(bool still_owner, const std::string& host, const coordinator::task_events& out);
 
     term& term_;
-    coordinator::window_settings window_settings_;
+    coordinator::order_window_settings window_settings_;
     coordinator::order_window window_;
     bool more_waits_ = false;                      ///< the latest plan was cut
     std::map<std::uint64_t, core::mono_time> out_; ///< when unanswered orders were sent
--- a/libs/hosted/src/runner_desk_polls.cpp
+++ b/libs/hosted/src/runner_desk_polls.cpp
@@ -187,7 +187,7 @@
 {
     const auto& s = term_.settings;
     return std::max(
-        window_.gap, time_between_polls(term_.fleet.hosts.size(), s.most_polls_per_second));
+        window_.poll_delay, time_between_polls(term_.fleet.hosts.size(), s.most_polls_per_second));
 }
 
 /// An answer may have lain unread here until the call's time-out. Taken for silence, the runner
@@ -227,7 +227,7 @@
     const auto seen = found == term_.fleet.hosts.end() ? 0 : found->second.last_applied_end;
     term_.load.note_poll(a, seen, term_.now());
     coordinator::task_events out;
-    take(coordinator::poll_answered(term_.fleet, host, begun, a, term_.now(), out), host, out);
+    take(coordinator::handle_poll_answer(term_.fleet, host, begun, a, term_.now(), out), host, out);
     if (!term_.fleet.hosts.contains(host))
     {
         polling_.erase(host);
--- a/libs/hosted/src/term.cpp
+++ b/libs/hosted/src/term.cpp
@@ -43,7 +43,7 @@
 {
     ++load.counts.starts_ordered;
     const auto unix_ms = core::to_unix_ms(ctx.time.wall_now());
-    if (const auto ready = coordinator::ready_since(fleet, task, run, at, unix_ms))
+    if (const auto ready = coordinator::task_ready_time(fleet, task, run, at, unix_ms))
     {
         load.times.wait.add(at - *ready);
         observe(ctx.tel, "camphorhitch_start_wait_seconds", at - *ready);
@@ -72,14 +72,14 @@
     out.fencing_token = token;
     out.acknowledged_through = h.last_stored_end;
     out.lease_until_ms = until_ms;
-    coordinator::note_lease(h, until_ms);
+    coordinator::record_lease(h, until_ms);
     return out;
 }
 
 void term::lapse_hosts(coordinator::task_events& out)
 {
     const auto at = now();
-    for (const auto& it : coordinator::lapse_hosts(fleet, at, out))
+    for (const auto& it : coordinator::expire_hosts(fleet, at, out))
     {
         ctx.tel.log(ports::log_level::warning, "leases_lapsed", lapse_fields(it, load, at));
     }
--- a/libs/hosted/src/tidier.cpp
+++ b/libs/hosted/src/tidier.cpp
@@ -46,7 +46,7 @@
         cancels.push_back(std::move(f.late_cancels.extract(f.late_cancels.begin()).value()));
     }
     const auto unix_ms = core::to_unix_ms(term_.ctx.time.wall_now());
-    auto jobs = coordinator::take_expired(f, term_.settings.keep_finished, unix_ms, most_jobs);
+    auto jobs = coordinator::take_expired_jobs(f, term_.settings.keep_finished, unix_ms, most_jobs);
     if (!term_.lead->holds() || (jobs.empty() && cancels.empty()))
     {
         start();
@@ -85,7 +85,7 @@
         const bool known = result.status == kv_status::ok || result.status == kv_status::conflict;
         if (known && item == nullptr)
         {
-            coordinator::forget_job(term_.fleet, it.id); // now, or by an unanswered try
+            coordinator::purge_job(term_.fleet, it.id); // now, or by an unanswered try
         }
         else if (item == nullptr || item->modified == it.stored_revision)
         {
--- a/libs/hosted/src/wave_runner.cpp
+++ b/libs/hosted/src/wave_runner.cpp
@@ -83,8 +83,8 @@
 {
     for (auto& [number, it] : waves_)
     {
-        coordinator::reopen_maintained(term_.fleet, it.wave, machines_);
-        if (it.loaded && coordinator::see_machines(it.wave, machines_, term_.settings.waves))
+        coordinator::reopen_maintained_hosts(term_.fleet, it.wave, machines_);
+        if (it.loaded && coordinator::update_wave(it.wave, machines_, term_.settings.waves))
         {
             term_.log(ports::log_level::info, "wave_completed", {{"wave", std::to_string(number)}});
             store(number);
@@ -104,9 +104,9 @@
         auto& w = place->second.wave;
         w.number = it.number;
         w.machines = it.machines;
-        w.most_at_once = it.most_at_once;
-        w.taken_at = term_.now();
-        w.due = w.taken_at + it.duration;
+        w.max_at_once = it.most_at_once;
+        w.request_read_at = term_.now();
+        w.due = w.request_read_at + it.duration;
         place->second.due_unix_ms =
             core::to_unix_ms(term_.ctx.time.wall_now()) + it.duration.count();
         term_.log(ports::log_level::info,
@@ -137,7 +137,7 @@
                 {
                     it.record_revision = read.item->modified;
                     const auto record = read_record(read.item->value);
-                    it.wave.begun = record.begun;
+                    it.wave.started_machines = record.begun;
                     if (record.due_unix_ms > 0)
                     {
                         // The wave's time runs from its request, not from this term's begin.
@@ -145,7 +145,7 @@
                         const auto wall = core::to_unix_ms(term_.ctx.time.wall_now());
                         it.wave.due = term_.now() + core::millis{it.due_unix_ms - wall};
                     }
-                    it.recorded = it.wave.begun.size();
+                    it.recorded = it.wave.started_machines.size();
                     // When they went down is not known; the platform's list tells who is away.
                 }
                 load_status(number);
@@ -213,7 +213,7 @@
         return;
     }
     coordinator::task_events out;
-    const bool may = coordinator::may_send_order(term_.fleet,
+    const bool may = coordinator::prepare_maintenance_order(term_.fleet,
         waves_.at(number).wave,
         machines_,
         machine,
@@ -251,30 +251,31 @@
     switch (verdict)
     {
     case machine_verdict::done:
-        coordinator::maintenance_began(term_.fleet, it.wave, machines_, machine, term_.now());
-        coordinator::see_machines(it.wave, machines_, term_.settings.waves);
+        coordinator::handle_maintenance_started(
+            term_.fleet, it.wave, machines_, machine, term_.now());
+        coordinator::update_wave(it.wave, machines_, term_.settings.waves);
         store(number);
         break;
     case machine_verdict::fenced:
         term_.fenced_by("the machines' service");
         break;
     case machine_verdict::other_wave:
-        coordinator::not_in_wave(term_.fleet, it.wave, machines_, machine);
+        coordinator::remove_from_wave(term_.fleet, it.wave, machines_, machine);
         break;
     case machine_verdict::busy:
     case machine_verdict::refused:
-        if (coordinator::keeps_place(it.wave, machines_, machine))
+        if (coordinator::order_may_take_effect(it.wave, machines_, machine))
         {
             maintain_later(number, machine);
             break;
         }
         term_.ctx.time.after(order_retry,
             term_.guarded(
-                [this, number, machine] { waves_.at(number).wave.asked.erase(machine); }));
+                [this, number, machine] { waves_.at(number).wave.pending_orders.erase(machine); }));
         break;
     case machine_verdict::unknown:
         // It may go down any moment, so it keeps its place in the wave.
-        coordinator::order_unheard(it.wave, machine);
+        coordinator::record_unanswered_order(it.wave, machine);
         maintain_later(number, machine);
         break;
     }
@@ -286,7 +287,7 @@
     auto& it = waves_.at(number);
     const auto state = it.wave.completed ? wave_state::completed : wave_state::running;
     const bool report = !it.status_known || it.reported != state;
-    if (it.writing || (!report && it.recorded == it.wave.begun.size()))
+    if (it.writing || (!report && it.recorded == it.wave.started_machines.size()))
     {
         return;
     }
@@ -296,14 +297,15 @@
     change.conditions = {{leader_key, term_.token},
         {wave_record_key(number), it.record_revision},
         {status_key, it.status_revision}};
-    change.puts = {{wave_record_key(number), write_record({it.due_unix_ms, it.wave.begun}), 0}};
+    change.puts = {
+        {wave_record_key(number), write_record({it.due_unix_ms, it.wave.started_machines}), 0}};
     if (report)
     {
         change.puts.push_back({status_key, term_.spelling->write_wave_status(state), 0});
     }
     term_.ctx.store.commit(std::move(change),
-        term_.guarded(
-            [this, number, begun = it.wave.begun.size(), state](const ports::commit_result& result)
+        term_.guarded([this, number, begun = it.wave.started_machines.size(), state](
+                          const ports::commit_result& result)
             { take_stored(number, begun, state, result); }));
 }
 
--- a/libs/hosted/tests/broken_records_tests.cpp
+++ b/libs/hosted/tests/broken_records_tests.cpp
@@ -237,7 +237,7 @@
              R"({"at_unix_ms":1,"pools":{},"busy":[],"times":{"i":[-1,1]}})"})
     {
         coordinator::demand d;
-        coordinator::learnt l;
+        coordinator::run_time_estimates l;
         LONGS_EQUAL_TEXT(0, hosted::read_demand(it, 20, d, l, core::mono_time{2s}, 5), it);
     }
 }
@@ -255,9 +255,9 @@
     p.tasks[4].checkpoint = "0b";
     p.tasks[4].failed_runs = {1, 2};
     coordinator::demand d;
-    coordinator::learnt l;
-    coordinator::note_arrival(d, "p", 10, core::mono_time{1s});
-    coordinator::learn_time(l, "i", 700ms);
+    coordinator::run_time_estimates l;
+    coordinator::record_arrival(d, "p", 10, core::mono_time{1s});
+    coordinator::record_run_time(l, "i", 700ms);
     const auto job = workflow::write_job(j);
     const auto progress = workflow::write_progress(j, p);
     const auto runners = hosted::write_runners(
@@ -286,13 +286,13 @@
             }
         }
         coordinator::demand e;
-        coordinator::learnt k;
+        coordinator::run_time_estimates k;
         const auto through =
             hosted::read_demand(m.mutate(demand), 20, e, k, core::mono_time{2s}, 1700000001000);
         CHECK(through >= 0 && through <= 20);
         for (const auto& [image, it] : k.images)
         {
-            CHECK(it.mean_ms >= 0 && it.runs >= 0);
+            CHECK(it.mean_ms >= 0 && it.samples >= 0);
         }
         const auto counts = hosted::read_pending(m.mutate(pending));
         if (core::is_ok(counts))
--- a/libs/hosted/tests/demand_record_tests.cpp
+++ b/libs/hosted/tests/demand_record_tests.cpp
@@ -11,18 +11,18 @@
 TEST(demand_record, it_comes_back_on_another_clock)
 {
     coordinator::demand d;
-    coordinator::learnt l;
+    coordinator::run_time_estimates l;
     const core::mono_time now{1000s};
-    coordinator::note_arrival(d, "p", 300, now);
+    coordinator::record_arrival(d, "p", 300, now);
     d.history.push_back({"p", now - 4s});
-    coordinator::learn_time(l, "i", 700ms);
+    coordinator::record_run_time(l, "i", 700ms);
     const auto text = hosted::write_demand(d, l, 17, now, 500000);
     coordinator::demand e;
-    coordinator::learnt m;
+    coordinator::run_time_estimates m;
     const core::mono_time later{7s};
     LONGS_EQUAL(17, hosted::read_demand(text, 20, e, m, later, 502000));
-    DOUBLES_EQUAL(d.pools["p"].fast, e.pools["p"].fast, 0.001);
-    CHECK(e.pools["p"].updated == later - 2s);
+    DOUBLES_EQUAL(d.pools["p"].fast_rate, e.pools["p"].fast_rate, 0.001);
+    CHECK(e.pools["p"].updated_at == later - 2s);
     CHECK(e.history.front().at == later - 6s);
     DOUBLES_EQUAL(700, m.images["i"].mean_ms, 0.001);
 }
@@ -36,8 +36,8 @@
              R"({"at_unix_ms":1,"pools":{"p":{}},"busy":[],"times":{}})"})
     {
         coordinator::demand d;
-        coordinator::learnt l;
-        coordinator::note_arrival(d, "q", 10, core::mono_time{1s});
+        coordinator::run_time_estimates l;
+        coordinator::record_arrival(d, "q", 10, core::mono_time{1s});
         LONGS_EQUAL(0, hosted::read_demand(text, 20, d, l, core::mono_time{2s}, 5));
         CHECK(d.pools.contains("q"));
     }
@@ -48,15 +48,15 @@
 TEST(demand_record, no_busy_time_begins_in_the_future)
 {
     coordinator::demand d;
-    coordinator::learnt l;
+    coordinator::run_time_estimates l;
     const core::mono_time now{1000s};
-    coordinator::note_arrival(d, "p", 300, now);
+    coordinator::record_arrival(d, "p", 300, now);
     d.history.push_back({"p", now - 4s});
     const auto text = hosted::write_demand(d, l, 17, now, 500000);
     coordinator::demand e;
     const core::mono_time later{700s};
     hosted::read_demand(text, 20, e, l, later, 490000);
-    CHECK(e.pools["p"].updated == later);
+    CHECK(e.pools["p"].updated_at == later);
     CHECK(e.history.front().at == later - 4s);
 }
 
@@ -74,7 +74,7 @@
     for (const auto& it : rows)
     {
         coordinator::demand d;
-        coordinator::learnt l;
+        coordinator::run_time_estimates l;
         const auto text =
             std::string{R"({"at_unix_ms":1,"pools":{},"busy":[],"times":{})"} + it.through + "}";
         LONGS_EQUAL_TEXT(
--- a/programs/camphorhitchd/src/hosted_policy.cpp
+++ b/programs/camphorhitchd/src/hosted_policy.cpp
@@ -21,22 +21,22 @@
 {
     to.margin = p.margin;
     to.horizon = p.horizon;
-    to.foresight = p.foresight;
-    to.steepest = p.steepest;
-    to.lead = p.lead;
-    to.first_share = p.first_share;
-    to.young = p.young;
-    to.young_share = p.young_share;
+    to.trend_lookahead = p.foresight;
+    to.max_trend_factor = p.steepest;
+    to.busy_lead_time = p.lead;
+    to.initial_share = p.first_share;
+    to.early_phase = p.young;
+    to.early_phase_share = p.young_share;
 }
 
 void take_moves(const settings::hosted_policy& p, coordinator::rebalance_settings& to)
 {
     to.spare_hosts = p.spare_hosts;
-    to.far_short = p.far_short;
-    to.rest = p.rest;
-    to.release = p.release;
+    to.urgent_shortage = p.far_short;
+    to.standby_delay = p.rest;
+    to.release_rate = p.release;
     to.release_share = p.release_share;
-    to.stops_tasks_above = p.stops_tasks_above;
+    to.task_stop_threshold = p.stops_tasks_above;
 }
 
 } // namespace
--- a/testing/day_sim/src/day.cpp
+++ b/testing/day_sim/src/day.cpp
@@ -225,7 +225,7 @@
             crashes_.erase(crashes_.begin());
             auto& m = machines_[random_() % machines_.size()];
             coordinator::end_host(
-                fleet_, m.runner, coordinator::life_proof::other_life, now_, events_);
+                fleet_, m.runner, coordinator::termination_evidence::other_life, now_, events_);
             begin_life(m, now_ + 2s);
         }
     }
@@ -241,11 +241,11 @@
             double work = 0;
             for (const auto& s : it.spec.steps)
             {
-                const auto time = coordinator::expected_time(fleet_.run_time_estimates, s);
+                const auto time = coordinator::expected_run_time(fleet_.run_time_estimates, s);
                 work += static_cast<double>(s.need.cpu * s.tasks) / 1000 *
                         std::chrono::duration<double>(time).count();
             }
-            coordinator::note_arrival(demand_, it.spec.pool, work, now_);
+            coordinator::record_arrival(demand_, it.spec.pool, work, now_);
             coordinator::add_job(fleet_, std::move(it.spec), 1, {}, 0);
             ++result_.jobs;
         }
@@ -271,7 +271,7 @@
             h.capacity = {host_cpu, host_memory, 0};
             all.push_back(std::move(h));
         }
-        coordinator::see_hosts(fleet_, all, now_, events_);
+        coordinator::apply_host_list(fleet_, all, now_, events_);
     }
 
     void poll_hosts()
@@ -310,7 +310,7 @@
             a.running.push_back({it->first, it->second.first, "", 0, 0});
             ++it;
         }
-        coordinator::poll_answered(fleet_, m.runner, now_, a, now_, events_);
+        coordinator::handle_poll_answer(fleet_, m.runner, now_, a, now_, events_);
         auto& h = fleet_.hosts.at(m.runner);
         h.recorded = true;
         h.last_stored_end = h.last_applied_end;
@@ -350,12 +350,12 @@
 
     void list_machines()
     {
-        if (table_.known && now_ - table_.read_at < list_machines_every)
+        if (table_.known && now_ - table_.requested_at < list_machines_every)
         {
             return;
         }
         table_.known = true;
-        table_.read_at = now_;
+        table_.requested_at = now_;
         table_.machines.clear();
         for (const auto& m : machines_)
         {
@@ -366,7 +366,7 @@
                 m.runner,
                 up ? ports::machine_state::up : ports::machine_state::moving};
         }
-        coordinator::see_moves(moves_, table_, core::millis{0});
+        coordinator::remove_completed_moves(moves_, table_, core::millis{0});
     }
 
     void move(const coordinator::move_action& a)
@@ -374,7 +374,7 @@
         ++result_.moves;
         const auto m = std::find_if(
             machines_.begin(), machines_.end(), [&](const auto& it) { return it.id == a.machine; });
-        coordinator::move_answered(
+        coordinator::handle_move_answer(
             fleet_, moves_, a.machine, ports::machine_verdict::done, now_, events_);
         m->pool = a.pool;
         begin_life(*m, now_ + shape_.move_time);
@@ -398,7 +398,7 @@
         const auto m = std::find_if(machines_.begin(),
             machines_.end(),
             [&](const auto& it) { return it.runner == a.host.id; });
-        coordinator::start_answered(fleet_,
+        coordinator::handle_start_answer(fleet_,
             a.host.id,
             a.task,
             a.run,
