--- a/libs/coordinator/include/coordinator/retention.hpp
+++ b/libs/coordinator/include/coordinator/retention.hpp
@@ -26,8 +26,7 @@
     std::int64_t unix_ms);
 
 /// Removes from the fleet's list, and returns, at most \p max_jobs finished jobs that ended at
-/// least
-/// \p retention ago.
+/// least \p retention ago.
 std::vector<finished_job> take_expired_jobs(
     fleet& f, core::millis retention, std::int64_t unix_ms, std::size_t max_jobs);
 
