--- a/programs/camphorhitch/share/camphorhitch.bash
+++ b/programs/camphorhitch/share/camphorhitch.bash
@@ -1,5 +1,5 @@
 # Completion of camphorhitch for bash: source it, or install it as
-# /usr/share/bash-completion/completions/camphorhitch. It asks no daemon.
+# /usr/share/bash-completion/completions/camphorhitch. It makes no call to a daemon.
 
 _camphorhitch() {
   local word=$2 previous=$3 words=""
--- a/programs/camphorhitch/src/answers.cpp
+++ b/programs/camphorhitch/src/answers.cpp
@@ -22,9 +22,9 @@
 
 constexpr long http_ok = 200;
 constexpr long http_unauthorized = 401;
-constexpr long http_unavailable = 503; ///< too many connections or calls: nothing was done
+constexpr long http_unavailable = 503; ///< too many connections or calls; nothing was executed
 
-/// The worst code of all results decides, in the order of the exit codes.
+/// \return the code of the more severe result. Severity increases with the value of the exit code.
 exit_code worst(exit_code a, exit_code b)
 {
     return static_cast<int>(a) > static_cast<int>(b) ? a : b;
@@ -81,9 +81,9 @@
         return {exit_code::unauthorized, "", server + ": the token is missing or wrong\n", true};
     }
     const auto answer = json::parse(raw.body, nullptr, false);
-    const bool whole =
+    const bool is_complete =
         answer.is_object() && answer.contains("results") && answer.at("results").is_array();
-    if (raw.status != http_ok || !whole)
+    if (raw.status != http_ok || !is_complete)
     {
         const auto text = server + ": HTTP status " + std::to_string(raw.status) + ' ' + raw.body;
         const bool overloaded = raw.status == http_unavailable;
--- a/programs/camphorhitch/src/arguments.cpp
+++ b/programs/camphorhitch/src/arguments.cpp
@@ -17,13 +17,13 @@
 {
 
 constexpr const char* version_text = "camphorhitch 0.1.0\n";
-constexpr const char* no_server =
+constexpr const char* no_server_text =
     "no server: give --server ip:port or --settings FILE, or set CAMPHORHITCH_SERVERS";
-// A daemon can't tell of a file, as it can of statements, when it is in force everywhere; with
-// this let through, the client would say so at once without knowing.
-constexpr const char* wait_of_a_file = "--wait is for statements, not for --apply";
+// Daemons report whether statements are in force on all daemons, but not for a file. If both
+// options were accepted together, the client would report success at once without this information.
+constexpr const char* wait_with_apply_text = "--wait is for statements, not for --apply";
 
-core::finding on_command_line(const std::string& text)
+core::finding command_line_finding(const std::string& text)
 {
     return {{"command line", "", 0, 0}, text, ""};
 }
@@ -42,17 +42,17 @@
     return parts;
 }
 
-std::string whole(std::istream& in)
+std::string read_all(std::istream& in)
 {
     return {std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
 }
 
-/// Reads one command line; what is wrong gathers in found().
-class reader
+/// Reads one command line and collects the findings.
+class argument_reader
 {
 public:
-    reader(const cxxopts::ParseResult& given, const surroundings& around)
-        : given_(given), around_(around)
+    argument_reader(const cxxopts::ParseResult& parsed_options, const environment& env)
+        : parsed_options_(parsed_options), env_(env)
     {
     }
 
@@ -62,33 +62,33 @@
         read_servers();
         read_token();
         read_statements();
-        read_ways();
-        if (!wrong_.empty())
+        read_modes();
+        if (!findings_.empty())
         {
-            return wrong_;
+            return findings_;
         }
-        return out_;
+        return arguments_;
     }
 
 private:
     std::optional<std::string> text_of_file(const std::string& name, const char* problem)
     {
-        auto text = around_.file(name);
+        auto text = env_.file(name);
         if (!text)
         {
-            wrong_.push_back({{name, "", 0, 0}, problem, ""});
+            findings_.push_back({{name, "", 0, 0}, problem, ""});
         }
         return text;
     }
 
     bool has(const char* option) const
     {
-        return given_.count(option) > 0;
+        return parsed_options_.count(option) > 0;
     }
 
     std::string value(const char* option) const
     {
-        return given_[option].as<std::string>();
+        return parsed_options_[option].as<std::string>();
     }
 
     void read_settings()
@@ -105,28 +105,28 @@
         auto read = settings::read_client_settings(*text, value("settings"));
         if (const auto* found = std::get_if<core::findings>(&read))
         {
-            wrong_.insert(wrong_.end(), found->begin(), found->end());
+            findings_.insert(findings_.end(), found->begin(), found->end());
             return;
         }
         auto& good = std::get<settings::client_settings>(read);
-        out_.servers = std::move(good.operators);
-        out_.token = std::move(good.token);
-        out_.timeout_ms = static_cast<int>(good.timeout.count());
+        arguments_.servers = std::move(good.operators);
+        arguments_.token = std::move(good.token);
+        arguments_.timeout_ms = static_cast<int>(good.timeout.count());
     }
 
     void read_servers()
     {
         if (has("server"))
         {
-            out_.servers = given_["server"].as<std::vector<std::string>>();
+            arguments_.servers = parsed_options_["server"].as<std::vector<std::string>>();
         }
-        else if (const auto text = around_.variable("CAMPHORHITCH_SERVERS"))
+        else if (const auto text = env_.variable("CAMPHORHITCH_SERVERS"))
         {
-            out_.servers = split(*text);
+            arguments_.servers = split(*text);
         }
-        if (out_.servers.empty() && wrong_.empty())
+        if (arguments_.servers.empty() && findings_.empty())
         {
-            wrong_.push_back(on_command_line(no_server));
+            findings_.push_back(command_line_finding(no_server_text));
         }
     }
 
@@ -134,137 +134,139 @@
     {
         if (!has("token-file"))
         {
-            out_.token = around_.variable("CAMPHORHITCH_TOKEN").value_or(out_.token);
+            arguments_.token = env_.variable("CAMPHORHITCH_TOKEN").value_or(arguments_.token);
             return;
         }
         if (const auto text = text_of_file(value("token-file"), "can't read the token"))
         {
-            out_.token = text->substr(0, text->find('\n'));
+            arguments_.token = text->substr(0, text->find('\n'));
         }
     }
 
     void read_statements()
     {
-        out_.apply = has("apply");
-        if (out_.apply && has("file"))
+        arguments_.apply = has("apply");
+        if (arguments_.apply && has("file"))
         {
-            wrong_.push_back(on_command_line("--file and --apply don't go together"));
+            findings_.push_back(command_line_finding("--file and --apply don't go together"));
         }
-        if (out_.apply || has("file"))
+        if (arguments_.apply || has("file"))
         {
-            read_named_text(value(out_.apply ? "apply" : "file"));
+            read_statements_file(value(arguments_.apply ? "apply" : "file"));
         }
         else
         {
             join_statements();
         }
-        if (out_.statements.empty() && wrong_.empty())
+        if (arguments_.statements.empty() && findings_.empty())
         {
-            wrong_.push_back(
-                {{out_.statements_name, "", 0, 0}, "no statement, for example 'show hosts'", ""});
+            findings_.push_back({{arguments_.statements_name, "", 0, 0},
+                "no statement, for example 'show hosts'",
+                ""});
         }
     }
 
-    void read_named_text(const std::string& name)
+    void read_statements_file(const std::string& name)
     {
         if (has("statements"))
         {
-            wrong_.push_back(
-                on_command_line("statements come from the file or from here, not both"));
+            findings_.push_back(
+                command_line_finding("statements come from the file or from here, not both"));
         }
         if (name == "-")
         {
-            out_.statements_name = "standard input";
-            out_.statements = around_.standard_input();
+            arguments_.statements_name = "standard input";
+            arguments_.statements = env_.standard_input();
             return;
         }
-        out_.statements_name = name;
-        out_.statements = text_of_file(name, "can't read the statements").value_or("");
+        arguments_.statements_name = name;
+        arguments_.statements = text_of_file(name, "can't read the statements").value_or("");
     }
 
     void join_statements()
     {
-        out_.statements_name = "argument";
+        arguments_.statements_name = "argument";
         if (has("statements"))
         {
-            for (const auto& it : given_["statements"].as<std::vector<std::string>>())
+            for (const auto& it : parsed_options_["statements"].as<std::vector<std::string>>())
             {
-                out_.statements += out_.statements.empty() ? it : " " + it;
+                arguments_.statements += arguments_.statements.empty() ? it : " " + it;
             }
         }
     }
 
-    void read_ways()
+    void read_modes()
     {
-        out_.json = has("json");
-        out_.wait = has("wait");
-        out_.wait_seconds = given_["wait-seconds"].as<int>();
-        out_.watch_seconds = given_["watch"].as<int>();
-        out_.timeout_ms = has("timeout-ms") ? given_["timeout-ms"].as<int>() : out_.timeout_ms;
-        out_.command_id = value("command-id");
-        if (out_.watch_seconds < 0 || out_.wait_seconds < 0)
+        arguments_.json = has("json");
+        arguments_.wait = has("wait");
+        arguments_.wait_seconds = parsed_options_["wait-seconds"].as<int>();
+        arguments_.watch_seconds = parsed_options_["watch"].as<int>();
+        arguments_.timeout_ms =
+            has("timeout-ms") ? parsed_options_["timeout-ms"].as<int>() : arguments_.timeout_ms;
+        arguments_.command_id = value("command-id");
+        if (arguments_.watch_seconds < 0 || arguments_.wait_seconds < 0)
         {
-            wrong_.push_back(on_command_line("times must not be negative"));
+            findings_.push_back(command_line_finding("times must not be negative"));
         }
-        if (out_.timeout_ms <= 0)
+        if (arguments_.timeout_ms <= 0)
         {
-            wrong_.push_back(on_command_line("--timeout-ms must be more than 0"));
+            findings_.push_back(command_line_finding("--timeout-ms must be more than 0"));
         }
-        if (out_.wait && out_.apply)
+        if (arguments_.wait && arguments_.apply)
         {
-            wrong_.push_back(on_command_line(wait_of_a_file));
+            findings_.push_back(command_line_finding(wait_with_apply_text));
         }
     }
 
-    const cxxopts::ParseResult& given_;
-    const surroundings& around_;
-    arguments out_;
-    core::findings wrong_;
+    const cxxopts::ParseResult& parsed_options_;
+    const environment& env_;
+    arguments arguments_;
+    core::findings findings_;
 };
 
-std::optional<std::string> own_variable(const std::string& name)
+std::optional<std::string> environment_variable(const std::string& name)
 {
     const char* text = std::getenv(name.c_str());
     return text == nullptr ? std::nullopt : std::optional<std::string>{text};
 }
 
-std::optional<std::string> own_file(const std::string& name)
+std::optional<std::string> read_file(const std::string& name)
 {
     std::ifstream in(name);
-    return in ? std::optional<std::string>{whole(in)} : std::nullopt;
+    return in ? std::optional<std::string>{read_all(in)} : std::nullopt;
 }
 
 } // namespace
 
-surroundings own_surroundings()
+environment process_environment()
 {
-    return {own_variable,
-        own_file,
+    return {environment_variable,
+        read_file,
         []
         {
-            return whole(std::cin);
+            return read_all(std::cin);
         }};
 }
 
-parsed_arguments read_arguments(int argc, const char* const* argv, const surroundings& around)
+parsed_arguments read_arguments(int argc, const char* const* argv, const environment& env)
 {
     auto options = describe_options();
     try
     {
-        const auto given = options.parse(argc, argv);
-        if (given.count("help") > 0)
+        const auto parsed_options = options.parse(argc, argv);
+        if (parsed_options.count("help") > 0)
         {
-            return only_text{options.help()};
+            return text_output{options.help()};
         }
-        if (given.count("version") > 0)
+        if (parsed_options.count("version") > 0)
         {
-            return only_text{version_text};
+            return text_output{version_text};
         }
-        return reader(given, around).read();
+        return argument_reader(parsed_options, env).read();
     }
     catch (const cxxopts::exceptions::exception& ec)
     {
-        return core::findings{on_command_line(ec.what())};
+        return core::findings{command_line_finding(ec.what())};
     }
 }
 
--- a/programs/camphorhitch/src/main.cpp
+++ b/programs/camphorhitch/src/main.cpp
@@ -24,7 +24,7 @@
 exit_code run_here(const arguments& a)
 {
     const transport http(a.token, a.timeout_ms);
-    const run_parts parts{[&http](const auto& server, const auto& request)
+    const run_dependencies dependencies{[&http](const auto& server, const auto& request)
         { return http.send(server, request); },
         random_id,
         [] { return std::chrono::steady_clock::now(); },
@@ -32,15 +32,15 @@
         std::cout,
         std::cerr,
         isatty(STDOUT_FILENO) == 1};
-    return run(a, parts);
+    return run(a, dependencies);
 }
 
 } // namespace
 
 int main(int argc, char** argv)
 {
-    const auto parsed = read_arguments(argc, argv, own_surroundings());
-    if (const auto* it = std::get_if<only_text>(&parsed))
+    const auto parsed = read_arguments(argc, argv, process_environment());
+    if (const auto* it = std::get_if<text_output>(&parsed))
     {
         std::cout << it->text;
         return static_cast<int>(exit_code::ok);
--- a/programs/camphorhitch/src/options.cpp
+++ b/programs/camphorhitch/src/options.cpp
@@ -12,12 +12,12 @@
 void add_connection(cxxopts::OptionAdder& add)
 {
     add("s,server",
-        "operators' address of a daemon, ip:port; several are tried in order",
+        "operators' address of a daemon, ip:port; may be repeated, tried in order",
         cxxopts::value<std::vector<std::string>>());
     add("settings", "file of addresses, token and timeout (JSON)", cxxopts::value<std::string>());
     add("token-file", "file that holds the operators' token", cxxopts::value<std::string>());
     add("timeout-ms",
-        "most time for one call (10000 unless the settings say so)",
+        "maximum time for one call in ms; 10000 unless the settings differ",
         cxxopts::value<int>());
 }
 
@@ -30,7 +30,7 @@
         "apply a file of configuration and hosts; - is standard input",
         cxxopts::value<std::string>());
     add("command-id",
-        "id of the command; give the same one to repeat it safely",
+        "id of the command; repeats with the same id take effect once",
         cxxopts::value<std::string>()->default_value(""));
     add("statements", "statements, separated by ;", cxxopts::value<std::vector<std::string>>());
 }
@@ -40,10 +40,10 @@
     add("json", "print JSON instead of tables");
     add("wait", "wait until a command is in force everywhere, or a wave has ended");
     add("wait-seconds",
-        "give up waiting after this long",
+        "maximum time to wait, in seconds",
         cxxopts::value<int>()->default_value("600"));
     add("watch", "repeat a query every N seconds", cxxopts::value<int>()->default_value("0"));
-    add("h,help", "print this text");
+    add("h,help", "print this help");
     add("version", "print the version");
 }
 
--- a/programs/camphorhitch/src/options.hpp
+++ b/programs/camphorhitch/src/options.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// The options that the client's command line knows.
+/// Command-line options of the client.
 #pragma once
 
-// Statements hold commas; a list of values is given by repeating the option.
+// No delimiter of lists: statements contain commas, and options with several values are repeated.
 #define CXXOPTS_VECTOR_DELIMITER (char)0
 #include <cxxopts.hpp>
 
--- a/programs/camphorhitch/src/run.hpp
+++ b/programs/camphorhitch/src/run.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What one start of the client does: one call, a call and a wait, or a table that is repeated.
+/// One run of the client: a call, a call followed by a wait, or a query that is repeated.
 #pragma once
 
 #include "session.hpp"
@@ -10,19 +10,19 @@
 namespace camphorhitch::client
 {
 
-/// What a run uses of the process, so that tests can give their own.
-struct run_parts
+/// Facilities of the process that a run uses. Tests replace them.
+struct run_dependencies
 {
     send_function send;
     std::function<std::string()> new_command_id;
     std::function<std::chrono::steady_clock::time_point()> now;
-    std::function<void(std::chrono::milliseconds)> pause;
+    std::function<void(std::chrono::milliseconds)> sleep;
     std::ostream& out;
     std::ostream& err;
-    bool terminal = false; ///< out is one: repeated tables may clear it
+    bool is_terminal = false; ///< out is a terminal, which is cleared before each repeated table
 };
 
-/// \return the process's exit code.
-exit_code run(const arguments& a, const run_parts& parts);
+/// \return the exit code of the process.
+exit_code run(const arguments& a, const run_dependencies& dependencies);
 
 } // namespace camphorhitch::client
--- a/programs/camphorhitch/src/session.cpp
+++ b/programs/camphorhitch/src/session.cpp
@@ -31,7 +31,7 @@
 {
     const auto request = make_request(a, command_id, check_only);
     call_outcome last;
-    bool maybe_done = false;
+    bool may_have_effect = false;
     for (const auto& server : a.servers)
     {
         const auto raw = send(server, request);
@@ -43,16 +43,17 @@
                 return out;
             }
             last.text = out.text;
-            // Daemons that lack the same thing say the same.
-            const bool told = last.problem.find(out.problem) != std::string::npos;
-            last.problem += told ? std::string{} : out.problem;
+            // The same problem is printed once, when several daemons report it.
+            const bool already_reported = last.problem.find(out.problem) != std::string::npos;
+            last.problem += already_reported ? std::string{} : out.problem;
             continue;
         }
-        // The command carries its id, so asking the next daemon after bytes have left is safe.
-        maybe_done = maybe_done || raw.sent;
-        last.problem += server + ": " + raw.why + '\n';
+        // The request contains the command id, so it is safe to try the next daemon after bytes
+        // were sent.
+        may_have_effect = may_have_effect || raw.sent;
+        last.problem += server + ": " + raw.error + '\n';
     }
-    last.code = maybe_done ? exit_code::unknown_effect : exit_code::unavailable;
+    last.code = may_have_effect ? exit_code::unknown_effect : exit_code::unavailable;
     return last;
 }
 
--- a/programs/camphorhitch/src/session.hpp
+++ b/programs/camphorhitch/src/session.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// One call of the client: sends statements to a daemon, and tries the next when it can't be
-/// reached.
+/// One call of the client: sends statements to a daemon, and tries the next daemon when one is
+/// unavailable.
 #pragma once
 
 #include "answers.hpp"
@@ -12,6 +12,7 @@
 namespace camphorhitch::client
 {
 
+/// An HTTP request to the operators' address of a daemon.
 struct operator_request
 {
     const char* method = "POST";
@@ -24,8 +25,9 @@
 using send_function =
     std::function<raw_answer(const std::string& server, const operator_request& request)>;
 
-/// \param command_id the same one makes a repeat have its effect once.
-/// \param check_only only asks whether the command is in force everywhere by now.
+/// Sends the statements to the servers in order until one is available.
+/// \param command_id id of the command. Repeats with the same id take effect once.
+/// \param check_only queries whether the command is in force on all daemons, without executing it.
 call_outcome execute(
     const arguments& a, const send_function& send, const std::string& command_id, bool check_only);
 
--- a/programs/camphorhitch/src/transport.cpp
+++ b/programs/camphorhitch/src/transport.cpp
@@ -26,7 +26,7 @@
     }
 };
 
-using field_list = std::unique_ptr<curl_slist, list_deleter>;
+using header_list = std::unique_ptr<curl_slist, list_deleter>;
 
 std::size_t append(char* data, std::size_t size, std::size_t count, void* to)
 {
@@ -34,13 +34,13 @@
     return size * count;
 }
 
-field_list fields_of(const operator_request& r, const std::string& token)
+header_list make_headers(const operator_request& r, const std::string& token)
 {
     curl_slist* list = curl_slist_append(nullptr, "Content-Type: application/json");
     list = curl_slist_append(list, "Expect:");
     list = curl_slist_append(list, ("Authorization: Bearer " + token).c_str());
     list = curl_slist_append(list, ("Camphorhitch-Command: " + r.command_id).c_str());
-    return field_list(list);
+    return header_list(list);
 }
 
 } // namespace
@@ -60,12 +60,12 @@
 {
     raw_answer out;
     const std::unique_ptr<CURL, easy_deleter> easy(curl_easy_init());
-    const auto fields = fields_of(r, token_);
+    const auto headers = make_headers(r, token_);
     const std::string url = "http://" + server + r.path;
     curl_easy_setopt(easy.get(), CURLOPT_URL, url.c_str());
     curl_easy_setopt(easy.get(), CURLOPT_CUSTOMREQUEST, r.method);
     curl_easy_setopt(easy.get(), CURLOPT_PROXY, "");
-    curl_easy_setopt(easy.get(), CURLOPT_HTTPHEADER, fields.get());
+    curl_easy_setopt(easy.get(), CURLOPT_HTTPHEADER, headers.get());
     curl_easy_setopt(easy.get(), CURLOPT_POSTFIELDSIZE, static_cast<long>(r.body.size()));
     curl_easy_setopt(easy.get(), CURLOPT_POSTFIELDS, r.body.c_str());
     curl_easy_setopt(easy.get(), CURLOPT_TIMEOUT_MS, static_cast<long>(timeout_ms_));
@@ -77,7 +77,7 @@
     curl_easy_getinfo(easy.get(), CURLINFO_REQUEST_SIZE, &request_bytes);
     out.answered = ec == CURLE_OK;
     out.sent = request_bytes > 0;
-    out.why = curl_easy_strerror(ec);
+    out.error = curl_easy_strerror(ec);
     return out;
 }
 
--- a/programs/camphorhitch/src/transport.hpp
+++ b/programs/camphorhitch/src/transport.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The client's HTTP calls, by libcurl.
+/// HTTP calls of the client, by libcurl.
 #pragma once
 
 #include "session.hpp"
@@ -7,10 +7,12 @@
 namespace camphorhitch::client
 {
 
-/// Holds libcurl's global state while the client runs.
+/// Sends HTTP requests. The object owns the global state of libcurl during its lifetime.
 class transport
 {
 public:
+    /// \param token the operators' token, sent with each request.
+    /// \param timeout_ms timeout of one request in milliseconds.
     transport(std::string token, int timeout_ms);
     ~transport();
     transport(const transport&) = delete;
--- a/programs/camphorhitch/tests/answers_tests.cpp
+++ b/programs/camphorhitch/tests/answers_tests.cpp
@@ -23,7 +23,7 @@
 
 TEST_GROUP(answers){};
 
-TEST(answers, each_code_has_its_exit_code_and_the_worst_decides)
+TEST(answers, each_code_has_its_exit_code_and_the_most_severe_is_returned)
 {
     struct row
     {
--- a/programs/camphorhitch/tests/arguments_tests.cpp
+++ b/programs/camphorhitch/tests/arguments_tests.cpp
@@ -13,7 +13,7 @@
 const char* const good_settings =
     R"({"operators": ["10.0.0.1:7410", "10.0.0.2:7410"], "token": "from-settings", "timeout_ms": 700})";
 
-surroundings fake_surroundings(std::map<std::string, std::string> variables)
+environment fake_environment(std::map<std::string, std::string> variables)
 {
     const std::map<std::string, std::string> files{{"good.json", good_settings},
         {"bad.json", R"({"operators": [], "tokn": "x"})"},
@@ -36,7 +36,7 @@
 {
     words.insert(words.begin(), "camphorhitch");
     return read_arguments(
-        static_cast<int>(words.size()), words.data(), fake_surroundings(std::move(variables)));
+        static_cast<int>(words.size()), words.data(), fake_environment(std::move(variables)));
 }
 
 std::string joined(const std::vector<std::string>& all)
@@ -53,7 +53,7 @@
 
 TEST_GROUP(arguments){};
 
-TEST(arguments, of_each_value_option_goes_before_environment_before_settings)
+TEST(arguments, options_precede_the_environment_and_that_the_settings_file)
 {
     struct row
     {
@@ -106,7 +106,7 @@
     }
 }
 
-TEST(arguments, statements_come_from_words_a_file_or_standard_input)
+TEST(arguments, statements_are_read_from_words_a_file_or_standard_input)
 {
     struct row
     {
@@ -170,6 +170,6 @@
 
 TEST(arguments, help_and_version_need_no_server)
 {
-    CHECK_TRUE(std::holds_alternative<only_text>(read({"--help"}, {})));
-    CHECK_TRUE(std::holds_alternative<only_text>(read({"--version"}, {})));
+    CHECK_TRUE(std::holds_alternative<text_output>(read({"--help"}, {})));
+    CHECK_TRUE(std::holds_alternative<text_output>(read({"--version"}, {})));
 }
--- a/programs/camphorhitch/tests/run_tests.cpp
+++ b/programs/camphorhitch/tests/run_tests.cpp
@@ -24,7 +24,8 @@
     return {false, sent, "gone", 0, ""};
 }
 
-/// Answers in turn; the last one is repeated. Time is the pauses'.
+/// Process in which calls return the given answers in order, the last one repeatedly. Only sleep()
+/// advances the time.
 struct fake_process
 {
     std::deque<raw_answer> answers;
@@ -46,7 +47,7 @@
         return it;
     }
 
-    exit_code run(const arguments& a, bool terminal = false)
+    exit_code run(const arguments& a, bool is_terminal = false)
     {
         return camphorhitch::client::run(a,
             {[this](const auto& server, const auto& r) { return next(server, r); },
@@ -55,7 +56,7 @@
                 [this](std::chrono::milliseconds it) { time += it; },
                 out,
                 err,
-                terminal});
+                is_terminal});
     }
 };
 
@@ -103,9 +104,10 @@
     }
 }
 
-// The connection breaks after the command has left: the operator doesn't know whether the wave
-// began. Told the id, he repeats the command and it begins once; without it he would begin two.
-TEST(run, an_unknown_effect_tells_the_id_that_makes_a_repeat_safe)
+// Guards against a second wave when the connection breaks after the command was sent, so that its
+// effect is unknown. The client prints the command id; a repeat with this id starts the wave only
+// once, while a repeat without it would start a second wave.
+TEST(run, an_unknown_effect_prints_the_id_for_a_safe_repeat)
 {
     fake_process p;
     p.answers = {lost(true)};
@@ -121,7 +123,7 @@
     STRCMP_EQUAL("a:1 POST /v1/execute given-id", again.asked.front().c_str());
 }
 
-TEST(run, what_all_servers_lack_is_told_once)
+TEST(run, a_problem_of_all_servers_is_printed_once)
 {
     fake_process p;
     p.answers = {answered(R"({"results": [{"code": "unavailable", "text": "no service\n"}]})")};
@@ -130,7 +132,7 @@
     STRCMP_EQUAL("no service\n", p.err.str().c_str());
 }
 
-TEST(run, a_file_is_put_as_it_is)
+TEST(run, a_file_is_sent_unchanged)
 {
     fake_process p;
     p.answers = {answered(good)};
@@ -141,7 +143,7 @@
     STRCMP_EQUAL("{\"pools\": []}", p.bodies.front().c_str());
 }
 
-TEST(run, wait_repeats_the_question_until_it_is_in_force)
+TEST(run, wait_queries_until_the_command_is_in_force)
 {
     fake_process p;
     p.answers = {answered(unsettled), answered(no_settled), lost(true), answered(good)};
@@ -157,31 +159,31 @@
     STRCMP_EQUAL("in force everywhere\n", p.err.str().c_str());
 }
 
-TEST(run, wait_ends_after_its_seconds)
+TEST(run, wait_ends_after_wait_seconds)
 {
     fake_process p;
     p.answers = {answered(unsettled), answered(no_settled)};
     auto a = ask("set pool q spare = true");
     a.wait = true;
     a.wait_seconds = 2;
-    const auto began = p.time;
+    const auto start = p.time;
     CHECK_EQUAL(7, static_cast<int>(p.run(a)));
-    CHECK_TRUE(p.time - began == std::chrono::seconds{2});
+    CHECK_TRUE(p.time - start == std::chrono::seconds{2});
 }
 
 TEST(run, watch_clears_only_a_terminal_and_ends_with_the_first_failure)
 {
     const std::string clear = "\x1b[H\x1b[2J";
-    for (const bool terminal : {false, true})
+    for (const bool is_terminal : {false, true})
     {
         fake_process p;
         p.answers = {
             answered(good), answered(good), answered(R"({"results": [{"code": "refused"}]})")};
         auto a = ask("show hosts");
         a.watch_seconds = 3;
-        CHECK_EQUAL(1, static_cast<int>(p.run(a, terminal)));
-        const auto expected = terminal ? clear + "table\n" + clear + "table\n" + clear
-                                       : std::string{"table\n\ntable\n\n"};
+        CHECK_EQUAL(1, static_cast<int>(p.run(a, is_terminal)));
+        const auto expected = is_terminal ? clear + "table\n" + clear + "table\n" + clear
+                                          : std::string{"table\n\ntable\n\n"};
         STRCMP_EQUAL(expected.c_str(), p.out.str().c_str());
     }
 }
