--- a/libs/core/include/core/invariant.hpp
+++ b/libs/core/include/core/invariant.hpp
@@ -15,10 +15,10 @@
 /// \return the previous handler.
 invariant_handler set_invariant_handler(invariant_handler next);
 
-/// Calls the handler when \p holds is false.
-void require(bool holds, const char* text);
+/// Calls the handler when \p condition is false.
+void require(bool condition, const char* text);
 
-/// Calls the handler with \p text and \p detail when \p holds is false.
-void require(bool holds, const char* text, const std::string& detail);
+/// Calls the handler with \p text and \p detail when \p condition is false.
+void require(bool condition, const char* text, const std::string& detail);
 
 } // namespace camphorhitch::core
--- a/libs/core/src/base64.cpp
+++ b/libs/core/src/base64.cpp
@@ -9,17 +9,17 @@
 namespace
 {
 
-constexpr std::string_view letters =
+constexpr std::string_view alphabet =
     "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
-constexpr std::uint8_t no_letter = 255;
+constexpr std::uint8_t invalid_character = 255;
 
-std::array<std::uint8_t, 256> letter_values()
+std::array<std::uint8_t, 256> character_values()
 {
     std::array<std::uint8_t, 256> values{};
-    values.fill(no_letter);
-    for (std::size_t i = 0; i < letters.size(); ++i)
+    values.fill(invalid_character);
+    for (std::size_t i = 0; i < alphabet.size(); ++i)
     {
-        values[static_cast<unsigned char>(letters[i])] = static_cast<std::uint8_t>(i);
+        values[static_cast<unsigned char>(alphabet[i])] = static_cast<std::uint8_t>(i);
     }
     return values;
 }
@@ -39,12 +39,12 @@
         while (n >= 6)
         {
             n -= 6;
-            text += letters[(bits >> n) & 63];
+            text += alphabet[(bits >> n) & 63];
         }
     }
     if (n > 0)
     {
-        text += letters[(bits << (6 - n)) & 63];
+        text += alphabet[(bits << (6 - n)) & 63];
     }
     text.append((4 - text.size() % 4) % 4, '=');
     return text;
@@ -52,7 +52,7 @@
 
 std::optional<std::string> from_base64(std::string_view text)
 {
-    static const auto values = letter_values();
+    static const auto values = character_values();
     if (text.size() % 4 != 0)
     {
         return std::nullopt;
@@ -67,7 +67,7 @@
     for (const char it : text)
     {
         const auto v = values[static_cast<unsigned char>(it)];
-        if (v == no_letter)
+        if (v == invalid_character)
         {
             return std::nullopt;
         }
--- a/libs/core/src/findings.cpp
+++ b/libs/core/src/findings.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-constexpr std::size_t largest_near_miss = 2;
+constexpr std::size_t max_suggestion_distance = 2;
 
 std::size_t edit_distance(const std::string& a, const std::string& b)
 {
@@ -66,7 +66,7 @@
 std::string nearest_name(const std::string& word, const std::vector<std::string>& known)
 {
     std::string best;
-    std::size_t best_distance = largest_near_miss + 1;
+    std::size_t best_distance = max_suggestion_distance + 1;
     for (const auto& it : known)
     {
         const std::size_t n = edit_distance(word, it);
--- a/libs/core/src/invariant.cpp
+++ b/libs/core/src/invariant.cpp
@@ -29,17 +29,17 @@
     return std::exchange(current_handler(), std::move(next));
 }
 
-void require(bool holds, const char* text)
+void require(bool condition, const char* text)
 {
-    if (!holds)
+    if (!condition)
     {
         current_handler()(text);
     }
 }
 
-void require(bool holds, const char* text, const std::string& detail)
+void require(bool condition, const char* text, const std::string& detail)
 {
-    if (!holds)
+    if (!condition)
     {
         current_handler()(std::string{text} + ": " + detail);
     }
--- a/libs/core/tests/core_tests.cpp
+++ b/libs/core/tests/core_tests.cpp
@@ -10,7 +10,7 @@
 
 TEST_GROUP(findings){};
 
-TEST(findings, text_names_place_and_suggestion)
+TEST(findings, text_contains_position_and_suggestion)
 {
     struct row
     {
@@ -72,7 +72,7 @@
 
 TEST_GROUP(invariant){};
 
-TEST(invariant, a_broken_one_reaches_the_handler)
+TEST(invariant, a_violation_calls_the_handler)
 {
     std::string seen;
     auto before = set_invariant_handler([&](const std::string& text) { seen = text; });
@@ -84,7 +84,7 @@
 
 TEST_GROUP(base64){};
 
-TEST(base64, there_and_back)
+TEST(base64, encodes_and_decodes)
 {
     struct row
     {
