--- a/bench/wave_policies/src/rollout.cpp
+++ b/bench/wave_policies/src/rollout.cpp
@@ -161,7 +161,7 @@
         for (const auto& id : selected)
         {
             const auto* record = fleet_sim::find_host(w.kv, id);
-            const bool waits = record != nullptr && record->maintained.empty();
+            const bool waits = record != nullptr && record->last_wave.empty();
             if (waits && lost < hosts_lost)
             {
                 w.platform.hosts.at(id).returns = false;
--- a/libs/checked_json/include/checked_json/document.hpp
+++ b/libs/checked_json/include/checked_json/document.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Parsing of JSON text within bounds.
+/// Parsing of JSON text within limits on its size.
 #pragma once
 
 #include "checked_json/node.hpp"
@@ -13,34 +13,35 @@
 namespace camphorhitch::checked_json
 {
 
-/// What a text may cost at most. More than that gives a finding.
-struct bounds
+/// Limits on a text. A text beyond a limit is not parsed further and gives one finding.
+struct parse_limits
 {
     std::size_t bytes = 4u << 20;
-    std::size_t depth = 64;        ///< nested objects and arrays
-    std::size_t values = 1u << 18; ///< a parsed value takes many times the bytes of its text
+    std::size_t depth = 64;        ///< of nested objects and arrays
+    std::size_t values = 1u << 18; ///< a parsed value needs many times the memory of its text
 };
 
+/// A parsed text.
 struct document
 {
-    std::string name;
+    std::string name; ///< name of the document in findings
     node root;
-    core::findings found; ///< duplicate keys
+    core::findings duplicate_keys; ///< one finding for each duplicate key
 };
 
-/// \param name the document's name in findings.
+/// \param name name of the document in findings.
 /// \return the document, or the one finding that ended the parsing.
 std::variant<document, core::findings> parse(
-    const std::string& text, const std::string& name, const bounds& most = {});
+    const std::string& text, const std::string& name, const parse_limits& limits = {});
 
-/// \return the place of the value at \p pointer, with the line of the innermost object or list on
-/// the way when there is no such value.
+/// \return the position of the value at the JSON pointer \p pointer. When there is no such value,
+/// the line and column are those of the innermost existing object or array on its path.
 core::place place_of(const document& d, const std::string& pointer);
 
-/// \return \p text cut to a length fit for a message, with control characters replaced.
-std::string shown(std::string_view text);
+/// \return \p text truncated to a length suitable for a message, with control characters replaced.
+std::string printable_excerpt(std::string_view text);
 
-/// \return \p token escaped for use in a JSON pointer, cut like shown().
+/// \return \p token escaped for use in a JSON pointer, truncated, with control characters replaced.
 std::string pointer_token(std::string_view token);
 
 } // namespace camphorhitch::checked_json
--- a/libs/checked_json/include/checked_json/node.hpp
+++ b/libs/checked_json/include/checked_json/node.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A parsed JSON value that knows its place in the text.
+/// A parsed JSON value with its position in the text.
 #pragma once
 
 #include <cstdint>
@@ -15,9 +15,10 @@
 using array = std::vector<node>;
 using object = std::vector<member>;
 
+/// A JSON value and its position.
 struct node
 {
-    /// Whole numbers are std::int64_t where they fit, std::uint64_t above that.
+    /// An integer is std::int64_t when it fits, and std::uint64_t above that.
     using content = std::variant<std::monostate,
         bool,
         std::int64_t,
@@ -32,13 +33,13 @@
     int column = 0; ///< 1-based, in bytes
 };
 
-/// One key and its value, in the order of the text.
+/// A key of an object and its value. Members are in the order of the text.
 struct member
 {
     std::string key;
     node value;
-    int line = 0;   ///< of the key
-    int column = 0; ///< of the key
+    int line = 0;   ///< line of the key, 1-based
+    int column = 0; ///< column of the key, 1-based, in bytes
 };
 
 } // namespace camphorhitch::checked_json
--- a/libs/checked_json/include/checked_json/reader.hpp
+++ b/libs/checked_json/include/checked_json/reader.hpp
@@ -1,9 +1,9 @@
 /// \file
-/// Reads the keys of JSON objects into variables and collects what is wrong with them.
+/// Reads the keys of JSON objects into variables and collects all findings.
 ///
-/// A record describes its keys once, for reading and for writing, by a function template
-/// `describe(Keys& keys, Record& r)` beside it that calls required(), defaulted() and optional()
-/// of an object_reader or an object_writer.
+/// The keys of a record are described once, for reading and for writing, by a function template
+/// `describe(Keys& keys, Record& r)` in the namespace of the record. It calls required(),
+/// defaulted() and optional() of an object_reader or an object_writer.
 #pragma once
 
 #include "checked_json/document.hpp"
@@ -22,26 +22,28 @@
 namespace camphorhitch::checked_json
 {
 
+/// Treatment of unknown keys.
 enum class strictness
 {
-    strict, ///< unknown keys are findings, but for the comment key "//"
-    lenient ///< unknown keys are ignored: a newer version may have written them
+    strict, ///< unknown keys are findings, except the comment key "//"
+    lenient ///< unknown keys are ignored, because a newer version may have written them
 };
 
-/// The findings of one document. Bounded, since hostile text could make one for each byte.
+/// The findings of one document. Their number is bounded, because hostile text could cause one for
+/// each byte.
 class report
 {
 public:
-    report(std::string document, strictness how);
+    report(std::string document, strictness mode);
 
     void add(core::finding it);
 
-    /// False when no further finding will be kept.
-    bool has_room() const;
+    /// \return whether add() keeps the next finding. It drops findings beyond the bound.
+    bool accepts_more() const;
 
-    strictness how() const
+    strictness mode() const
     {
-        return how_;
+        return mode_;
     }
 
     const std::string& document() const
@@ -56,63 +58,68 @@
 
 private:
     std::string document_;
-    strictness how_;
+    strictness mode_;
     core::findings found_;
 };
 
-/// One value and the way to it from the root.
+/// A value and its path from the root, as a linked list of its parents.
 struct value
 {
     const node* it = nullptr;
-    report* found = nullptr;
+    report* found = nullptr;       ///< receives the findings
     const value* parent = nullptr; ///< null at the root
-    std::string_view key;          ///< within the parent, when that is an object
-    std::size_t index = 0;         ///< within the parent, when that is an array
+    std::string_view key;          ///< key of the value when its parent is an object
+    std::size_t index = 0;         ///< index of the value when its parent is an array
 };
 
 /// \return the JSON pointer of \p at.
 std::string pointer_of(const value& at);
 
-/// Reports that \p at isn't \p wanted.
+/// Reports that the type of \p at is not \p wanted.
 void report_type(const value& at, const char* wanted);
 
-/// Reports \p text about \p at.
+/// Adds a finding with \p text at the position of \p at.
 void add_finding(const value& at, std::string text, std::string suggestion = {});
 
+// The read() functions add a finding and leave \p out unchanged when the value is wrong.
 void read(const value& at, bool& out);
 void read(const value& at, double& out, const real_range& range = {});
 void read(const value& at, std::string& out, const text_size& size = {});
 void read(const value& at, std::string& out, text_check check);
 void read(const value& at, core::millis& out, const millis_range& range = {});
 
-/// \return the whole number within the range, or nothing after a finding.
-std::optional<std::int64_t> read_whole(const value& at, const int_range& range);
+/// \return the integer, or nothing after a finding about its type or range.
+std::optional<std::int64_t> read_integer(const value& at, const int_range& range);
 std::optional<std::uint64_t> read_unsigned(const value& at);
 
-/// \return the list's elements, or null after a finding.
+/// \return the elements of the array, or null after a finding about the type.
 const array* read_array(const value& at);
-/// Reports each text that stands a second time; \p texts belong to the elements of \p at's list.
+
+/// Reports each element of the array \p at whose text occurs earlier in the array.
+/// \param texts the texts of the elements, in their order.
+/// \param key key of the text within the elements; empty when the elements are texts.
 void report_duplicates(
     const value& at, const std::vector<std::string_view>& texts, std::string_view key);
 
-/// Reports a list with fewer than \p least elements.
-void report_too_few(const value& at, std::size_t least);
+/// Reports an array with fewer than \p min_count elements.
+void report_too_few(const value& at, std::size_t min_count);
 
-/// \return the text, or null after a finding.
+/// \return the text, or null after a finding about the type.
 const std::string* read_text(const value& at);
 
 /// Reads the keys of one object.
 class object_reader
 {
 public:
-    /// Reports when \p at is no object; then all keys count as absent and none as missing.
+    /// Reports when \p at is not an object. All keys are then absent, and no key is reported as
+    /// missing.
     explicit object_reader(const value& at);
 
-    /// A key that must be there.
+    /// Reads a key that must be present.
     template <class T, class... Rules>
     object_reader& required(std::string_view key, T& out, const Rules&... rules)
     {
-        if (const node* it = take(key))
+        if (const node* it = find_key(key))
         {
             read(child(key, *it), out, rules...);
         }
@@ -123,31 +130,31 @@
         return *this;
     }
 
-    /// A key that may be absent; \p out keeps its value then. Writers always write it, so that a
-    /// later change of the default changes no stored document.
+    /// Reads a key that may be absent; \p out then keeps its value. Writers always write the key,
+    /// so that a later change of the default does not change stored documents.
     template <class T, class... Rules>
     object_reader& defaulted(std::string_view key, T& out, const Rules&... rules)
     {
-        if (const node* it = take(key))
+        if (const node* it = find_key(key))
         {
             read(child(key, *it), out, rules...);
         }
         return *this;
     }
 
-    /// A key that may be absent and whose default is empty, zero, false or the first name.
-    /// Writers leave it out then.
+    /// Reads a key that may be absent and whose default is empty, zero, false or the first name.
+    /// Writers omit the key when it has its default.
     template <class T, class... Rules>
     object_reader& optional(std::string_view key, T& out, const Rules&... rules)
     {
         return defaulted(key, out, rules...);
     }
 
-    /// Reports the keys that were not asked for (when strict). Call it last.
+    /// In strict mode, reports the keys that none of the calls above named. To be called last.
     void finish();
 
 private:
-    const node* take(std::string_view key);
+    const node* find_key(std::string_view key);
     value child(std::string_view key, const node& it) const;
     void report_missing(std::string_view key);
 
@@ -159,7 +166,7 @@
 template <std::integral Int>
 void read(const value& at, Int& out, const int_range& range)
 {
-    if (const auto v = read_whole(at, range))
+    if (const auto v = read_integer(at, range))
     {
         out = static_cast<Int>(*v);
     }
@@ -182,7 +189,7 @@
     }
 }
 
-/// Reads a name of \p table.
+/// Reads a text that must be a name in \p table.
 template <class E, std::size_t N>
 void read(const value& at, E& out, const core::name_table<E, N>& table)
 {
@@ -203,7 +210,7 @@
         names.emplace_back(it.name);
         all += (all.empty() ? "" : ", ") + names.back();
     }
-    const std::string word = shown(*text);
+    const std::string word = printable_excerpt(*text);
     add_finding(at, "'" + word + "' is none of: " + all, core::nearest_name(word, names));
 }
 
@@ -217,6 +224,7 @@
 {
 };
 
+/// A struct that is read and written by its describe().
 template <class T>
 concept record = std::is_class_v<T> && !std::is_same_v<T, std::string> &&
                  !std::is_same_v<T, core::millis> && !is_vector<T>::value;
@@ -230,7 +238,8 @@
     keys.finish();
 }
 
-/// Reads a list; each element starts as T{} and stays in its place also when it is wrong.
+/// Reads an array. An element that is wrong stays in the vector as T{} where its value could not be
+/// read, so that indices agree with the text.
 template <class T, class... Rules>
 void read_list(const value& at, std::vector<T>& out, const Rules&... rules)
 {
@@ -266,19 +275,19 @@
     report_duplicates(at, ids, rule.key);
 }
 
-/// Reads a list of texts, each with \p check.
+/// Reads an array of texts, each checked by \p check.
 inline void read(const value& at, std::vector<std::string>& out, text_check check)
 {
     read_list(at, out, check);
 }
 
-/// Reads a list of texts that differ, each by \p rules.
+/// Reads an array of unique texts, each read by \p rules.
 template <class... Rules>
 void read(
     const value& at, std::vector<std::string>& out, const unique_texts& rule, const Rules&... rules)
 {
     read_list(at, out, rules...);
-    report_too_few(at, rule.least);
+    report_too_few(at, rule.min_count);
     report_duplicates(at, {out.begin(), out.end()}, {});
 }
 
--- a/libs/checked_json/include/checked_json/record.hpp
+++ b/libs/checked_json/include/checked_json/record.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Whole records from JSON text and to it, by their describe().
+/// Conversion between records and JSON text by their describe().
 #pragma once
 
 #include "checked_json/reader.hpp"
@@ -8,12 +8,13 @@
 namespace camphorhitch::checked_json
 {
 
-/// \return the findings of \p d and of reading \p out from it, all together.
+/// Reads \p out from \p d.
+/// \return all findings: duplicate keys of \p d, and those of reading the record.
 template <record T>
-core::findings read_record(const document& d, strictness how, T& out)
+core::findings read_record(const document& d, strictness mode, T& out)
 {
-    report found{d.name, how};
-    for (const auto& it : d.found)
+    report found{d.name, mode};
+    for (const auto& it : d.duplicate_keys)
     {
         found.add(it);
     }
@@ -21,19 +22,21 @@
     return found.found();
 }
 
-/// \param name the document's name in findings.
-/// \return the record, or everything that is wrong with the text.
+/// \param name name of the document in findings.
+/// \return the record, or all findings of the text.
 template <record T>
-std::variant<T, core::findings> decode(
-    const std::string& text, const std::string& name, strictness how, const bounds& most = {})
+std::variant<T, core::findings> decode(const std::string& text,
+    const std::string& name,
+    strictness mode,
+    const parse_limits& limits = {})
 {
-    auto parsed = parse(text, name, most);
+    auto parsed = parse(text, name, limits);
     if (auto* found = std::get_if<core::findings>(&parsed))
     {
         return std::move(*found);
     }
     T out{};
-    core::findings found = read_record(std::get<document>(parsed), how, out);
+    core::findings found = read_record(std::get<document>(parsed), mode, out);
     if (!found.empty())
     {
         return found;
--- a/libs/checked_json/include/checked_json/rules.hpp
+++ b/libs/checked_json/include/checked_json/rules.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What a value must satisfy beside its type. Writers ignore these.
+/// Rules for values, checked after their type. Writers ignore them.
 #pragma once
 
 #include "core/time.hpp"
@@ -11,59 +11,61 @@
 namespace camphorhitch::checked_json
 {
 
-/// Lowest and highest whole number, both allowed.
+/// Range of an integer, both bounds included.
 struct int_range
 {
     std::int64_t lowest = 0;
     std::int64_t highest = std::numeric_limits<std::int64_t>::max();
 };
 
-/// Lowest and highest number, both allowed.
+/// Range of a number, both bounds included.
 struct real_range
 {
     double lowest = 0;
     double highest = std::numeric_limits<double>::max();
 };
 
-/// Shortest and longest duration, both allowed. The text holds whole milliseconds.
+/// Range of a duration, both bounds included. The JSON value is an integer in milliseconds.
 struct millis_range
 {
     core::millis shortest{0};
     core::millis longest{std::numeric_limits<std::int64_t>::max()};
 };
 
-/// Length of a text in bytes.
+/// Range of the length of a text, both bounds included.
 struct text_size
 {
-    std::size_t least = 0;
-    std::size_t most = 1u << 20;
+    std::size_t min_bytes = 0;
+    std::size_t max_bytes = 1u << 20;
 };
 
-/// Looks at a text: \return what is wrong with it, or an empty string.
+/// Checks a text.
+/// \return the text of the finding, or an empty string when the text is valid.
 using text_check = std::string (*)(const std::string& text);
 
-/// Asks that no two records of a list have the same text in \p id.
+/// Requires that the member \p id is unique among the records of an array.
 template <class T>
 struct unique_by
 {
-    const char* key; ///< of the text within the record
+    const char* key; ///< key of the member, for findings
     std::string T::*id;
 };
 
-/// Asks that no two texts of a list be the same, and for some number of them.
+/// Requires that the texts of an array are unique, and a minimum number of them.
 struct unique_texts
 {
-    std::size_t least = 0;
+    std::size_t min_count = 0;
 };
 
-/// A name: 1 to 64 of `A-Z a-z 0-9 . _ -`, fit for keys, paths and labels.
+/// Checks a name: 1 to 64 characters of `A-Z a-z 0-9 . _ -`, which are valid in keys, paths and in
+/// labels.
 std::string check_name(const std::string& text);
 
-/// An IP number and a port, "10.0.0.7:8080" or "[fd00::7]:8080"; no host names, which would make a
-/// process depend on a resolver.
+/// Checks an IP address and port, "10.0.0.7:8080" or "[fd00::7]:8080". Host names are not allowed,
+/// because they would make the process depend on a resolver.
 std::string check_address(const std::string& text);
 
-/// As check_address(), or empty.
+/// As check_address(), but an empty text is valid.
 std::string check_address_or_empty(const std::string& text);
 
 } // namespace camphorhitch::checked_json
--- a/libs/checked_json/include/checked_json/writer.hpp
+++ b/libs/checked_json/include/checked_json/writer.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Writes records as compact JSON text, by the same describe() that reads them.
+/// Writes records as compact JSON text by the describe() with which they are read.
 #pragma once
 
 #include "core/names.hpp"
@@ -17,29 +17,34 @@
 namespace camphorhitch::checked_json
 {
 
-/// Where a value is written to; owned by the object_writer at the root.
-struct slot
+/// Position in the JSON tree at which a value is written. The root object_writer owns the tree.
+struct json_slot
 {
     nlohmann::ordered_json* it;
 };
 
-slot slot_of_key(slot object, std::string_view key);
-slot next_slot(slot list);
-void make_list(slot at, std::size_t size);
-
-void write(slot at, bool v);
-void write(slot at, double v);
-void write(slot at, std::int64_t v);
-void write(slot at, std::uint64_t v);
-void write(slot at, const std::string& v);
-void write(slot at, core::millis v);
+/// Adds a key to an object.
+/// \return the slot of its value.
+json_slot add_key(json_slot object, std::string_view key);
+/// Appends an element to an array.
+/// \return the slot of the element.
+json_slot append_element(json_slot list);
+/// Makes the value at \p at an empty array with capacity for \p size elements.
+void make_array(json_slot at, std::size_t size);
+
+void write(json_slot at, bool v);
+void write(json_slot at, double v);
+void write(json_slot at, std::int64_t v);
+void write(json_slot at, std::uint64_t v);
+void write(json_slot at, const std::string& v);
+void write(json_slot at, core::millis v);
 
 /// Writes the keys of one object.
 class object_writer
 {
 public:
     object_writer();
-    explicit object_writer(slot at);
+    explicit object_writer(json_slot at);
     object_writer(const object_writer&) = delete;
     object_writer& operator=(const object_writer&) = delete;
     ~object_writer();
@@ -47,7 +52,7 @@
     template <class T, class... Rules>
     object_writer& required(std::string_view key, const T& v, const Rules&... rules)
     {
-        write_any(slot_of_key(at_, key), v, rules...);
+        write_any(add_key(at_, key), v, rules...);
         return *this;
     }
 
@@ -57,7 +62,7 @@
         return required(key, v, rules...);
     }
 
-    /// Left out when it is empty, zero, false or the first name.
+    /// Writes the key unless the value is empty, zero, false or the first name.
     template <class T, class... Rules>
     object_writer& optional(std::string_view key, const T& v, const Rules&... rules)
     {
@@ -68,7 +73,8 @@
         return *this;
     }
 
-    /// \return compact JSON. Bytes that are no UTF-8 are replaced, since JSON can't hold them.
+    /// \return compact JSON. Bytes that are not valid UTF-8 are replaced, because JSON cannot
+    /// contain them.
     std::string text() const;
 
 private:
@@ -90,23 +96,23 @@
     }
 
     template <class E, std::size_t N>
-    static void write_any(slot at, E v, const core::name_table<E, N>& table)
+    static void write_any(json_slot at, E v, const core::name_table<E, N>& table)
     {
         write(at, std::string{core::name_of(table, v)});
     }
 
     template <class T, class... Rules>
-    static void write_any(slot at, const std::vector<T>& v, const Rules&...)
+    static void write_any(json_slot at, const std::vector<T>& v, const Rules&...)
     {
-        make_list(at, v.size());
+        make_array(at, v.size());
         for (const auto& it : v)
         {
-            write_any(next_slot(at), it);
+            write_any(append_element(at), it);
         }
     }
 
     template <class T, class... Rules>
-    static void write_any(slot at, const T& v, const Rules&...)
+    static void write_any(json_slot at, const T& v, const Rules&...)
     {
         constexpr bool is_plain = std::is_arithmetic_v<T> || std::is_same_v<T, std::string> ||
                                   std::is_same_v<T, core::millis>;
@@ -127,7 +133,7 @@
     }
 
     std::unique_ptr<nlohmann::ordered_json> root_;
-    slot at_;
+    json_slot at_;
 };
 
 } // namespace camphorhitch::checked_json
--- a/libs/checked_json/src/document.cpp
+++ b/libs/checked_json/src/document.cpp
@@ -11,15 +11,15 @@
 namespace
 {
 
-constexpr std::size_t most_shown_bytes = 200;
-constexpr std::size_t most_token_bytes = 64;
+constexpr std::size_t max_excerpt_bytes = 200;
+constexpr std::size_t max_token_bytes = 64;
 
-std::string cut_to(std::string_view text, std::size_t most)
+std::string truncate(std::string_view text, std::size_t max_bytes)
 {
-    std::size_t n = std::min(most, text.size());
+    std::size_t n = std::min(max_bytes, text.size());
     while (n < text.size() && n > 0 && (static_cast<unsigned char>(text[n]) & 0xc0) == 0x80)
     {
-        --n; // not inside a UTF-8 character
+        --n; // no cut inside a UTF-8 character
     }
     std::string out{text.substr(0, n)};
     for (char& c : out)
@@ -36,7 +36,7 @@
     return out;
 }
 
-std::string unescaped(std::string_view token)
+std::string unescape(std::string_view token)
 {
     std::string out;
     for (std::size_t i = 0; i < token.size(); ++i)
@@ -70,19 +70,19 @@
 } // namespace
 
 std::variant<document, core::findings> parse(
-    const std::string& text, const std::string& name, const bounds& most)
+    const std::string& text, const std::string& name, const parse_limits& limits)
 {
-    if (text.size() > most.bytes)
+    if (text.size() > limits.bytes)
     {
         return core::findings{{{name, {}, 0, 0},
             "is " + std::to_string(text.size()) + " bytes long, at most " +
-                std::to_string(most.bytes) + " are allowed",
+                std::to_string(limits.bytes) + " are allowed",
             {}}};
     }
     document d;
     d.name = name;
     text_cursor cursor{text};
-    tree_builder builder{d, cursor, most};
+    tree_builder builder{d, cursor, limits};
     const counting_iterator it{cursor, text.size()};
     nlohmann::json::sax_parse(it, it, &builder);
     if (!builder.fatal().empty())
@@ -101,7 +101,7 @@
     {
         rest.remove_prefix(1);
         const auto end = std::min(rest.find('/'), rest.size());
-        it = child(*it, unescaped(rest.substr(0, end)));
+        it = child(*it, unescape(rest.substr(0, end)));
         if (it == nullptr)
         {
             break;
@@ -113,15 +113,15 @@
     return where;
 }
 
-std::string shown(std::string_view text)
+std::string printable_excerpt(std::string_view text)
 {
-    return cut_to(text, most_shown_bytes);
+    return truncate(text, max_excerpt_bytes);
 }
 
 std::string pointer_token(std::string_view token)
 {
     std::string out;
-    for (const char c : cut_to(token, most_token_bytes))
+    for (const char c : truncate(token, max_token_bytes))
     {
         switch (c)
         {
--- a/libs/checked_json/src/object_reader.cpp
+++ b/libs/checked_json/src/object_reader.cpp
@@ -8,8 +8,9 @@
 namespace
 {
 
-constexpr std::string_view comment_key = "//"; ///< JSON has no comments; this key's value is one
-constexpr std::size_t longest_key_for_suggestion = 64; ///< bytes; the search is quadratic
+/// JSON has no comments; files contain them as the value of this key.
+constexpr std::string_view comment_key = "//";
+constexpr std::size_t max_suggestion_key_bytes = 64; ///< the search takes quadratic time
 
 } // namespace
 
@@ -22,7 +23,7 @@
     }
 }
 
-const node* object_reader::take(std::string_view key)
+const node* object_reader::find_key(std::string_view key)
 {
     known_.push_back(key);
     if (members_ == nullptr)
@@ -54,7 +55,7 @@
 
 void object_reader::finish()
 {
-    if (members_ == nullptr || at_.found->how() == strictness::lenient)
+    if (members_ == nullptr || at_.found->mode() == strictness::lenient)
     {
         return;
     }
@@ -66,12 +67,12 @@
         {
             continue;
         }
-        if (!at_.found->has_room())
+        if (!at_.found->accepts_more())
         {
             at_.found->add({});
             return;
         }
-        const bool is_short = it.key.size() <= longest_key_for_suggestion;
+        const bool is_short = it.key.size() <= max_suggestion_key_bytes;
         const core::place where{
             at_.found->document(), pointer_of(child(it.key, it.value)), it.line, it.column};
         at_.found->add(
--- a/libs/checked_json/src/reader.cpp
+++ b/libs/checked_json/src/reader.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr std::size_t most_findings = 100;
+constexpr std::size_t max_findings = 100;
 
 template <class T>
 std::string number_text(T v)
@@ -22,7 +22,8 @@
     return text;
 }
 
-/// \return whether \p v is in the range; reports when it isn't.
+/// Reports a value outside the range.
+/// \return whether \p v is in the range.
 template <class T>
 bool in_range(const value& at, T v, T lowest, T highest, const char* unit)
 {
@@ -39,26 +40,26 @@
 
 } // namespace
 
-report::report(std::string document, strictness how) : document_(std::move(document)), how_(how)
+report::report(std::string document, strictness mode) : document_(std::move(document)), mode_(mode)
 {
 }
 
 void report::add(core::finding it)
 {
-    if (has_room())
+    if (accepts_more())
     {
         found_.push_back(std::move(it));
         return;
     }
-    if (found_.size() == most_findings)
+    if (found_.size() == max_findings)
     {
         found_.push_back({{document_, {}, 0, 0}, "has more findings than are shown here", {}});
     }
 }
 
-bool report::has_room() const
+bool report::accepts_more() const
 {
-    return found_.size() < most_findings;
+    return found_.size() < max_findings;
 }
 
 void report_type(const value& at, const char* wanted)
@@ -87,9 +88,9 @@
 
 void add_finding(const value& at, std::string text, std::string suggestion)
 {
-    if (!at.found->has_room())
+    if (!at.found->accepts_more())
     {
-        at.found->add({}); // spares the pointer's text
+        at.found->add({}); // dropped, so the pointer need not be composed
         return;
     }
     const core::place where{at.found->document(), pointer_of(at), at.it->line, at.it->column};
@@ -141,17 +142,17 @@
     {
         return;
     }
-    if (text->size() < size.least && text->empty())
+    if (text->size() < size.min_bytes && text->empty())
     {
         add_finding(at, "must not be empty");
     }
-    else if (text->size() < size.least)
+    else if (text->size() < size.min_bytes)
     {
-        add_finding(at, "must have at least " + std::to_string(size.least) + " bytes");
+        add_finding(at, "must have at least " + std::to_string(size.min_bytes) + " bytes");
     }
-    else if (text->size() > size.most)
+    else if (text->size() > size.max_bytes)
     {
-        add_finding(at, "must have at most " + std::to_string(size.most) + " bytes");
+        add_finding(at, "must have at most " + std::to_string(size.max_bytes) + " bytes");
     }
     else
     {
@@ -193,7 +194,7 @@
     }
 }
 
-std::optional<std::int64_t> read_whole(const value& at, const int_range& range)
+std::optional<std::int64_t> read_integer(const value& at, const int_range& range)
 {
     const auto* v = std::get_if<std::int64_t>(&at.it->value);
     if (v == nullptr)
@@ -210,7 +211,7 @@
     {
         return *large;
     }
-    const auto v = read_whole(at, int_range{});
+    const auto v = read_integer(at, int_range{});
     return v ? std::optional{static_cast<std::uint64_t>(*v)} : std::nullopt;
 }
 
@@ -234,12 +235,12 @@
     return text;
 }
 
-void report_too_few(const value& at, std::size_t least)
+void report_too_few(const value& at, std::size_t min_count)
 {
     const auto* list = std::get_if<array>(&at.it->value);
-    if (list != nullptr && list->size() < least)
+    if (list != nullptr && list->size() < min_count)
     {
-        add_finding(at, "must name at least " + std::to_string(least));
+        add_finding(at, "must name at least " + std::to_string(min_count));
     }
 }
 
@@ -254,18 +255,18 @@
     std::stable_sort(order.begin(),
         order.end(),
         [&](std::size_t a, std::size_t b) { return texts[a] < texts[b]; });
-    for (std::size_t i = 1; i < order.size() && at.found->has_room(); ++i)
+    for (std::size_t i = 1; i < order.size() && at.found->accepts_more(); ++i)
     {
         const auto text = texts[order[i]];
         if (text.empty() || text != texts[order[i - 1]])
         {
-            continue; // an empty one was reported when it was read
+            continue; // reading has already reported an empty text
         }
         const std::size_t index = order[i];
         const node& element = std::get<array>(at.it->value)[index];
         const std::string what = key.empty() ? "'" : std::string{key} + " '";
         add_finding({&element, at.found, &at, {}, index},
-            what + shown(text) + "' stands twice in the list");
+            what + printable_excerpt(text) + "' stands twice in the list");
     }
 }
 
--- a/libs/checked_json/src/rules.cpp
+++ b/libs/checked_json/src/rules.cpp
@@ -10,8 +10,8 @@
 namespace
 {
 
-constexpr std::size_t longest_name = 64; ///< bytes
-constexpr int highest_port = 65535;
+constexpr std::size_t max_name_length = 64; ///< bytes; allowed characters have one byte each
+constexpr int max_port = 65535;
 
 bool is_name_character(char c)
 {
@@ -19,11 +19,11 @@
            c == '_' || c == '-';
 }
 
-bool is_ip_number(const std::string& host)
+bool is_ip_address(const std::string& host)
 {
     if (host.find('\0') != std::string::npos)
     {
-        return false; // inet_pton() would stop there
+        return false; // inet_pton() would ignore the text after it
     }
     in6_addr any{};
     if (host.size() >= 2 && host.front() == '[' && host.back() == ']')
@@ -38,16 +38,16 @@
     int port = -1;
     const char* end = text.data() + text.size();
     const auto [rest, ec] = std::from_chars(text.data(), end, port);
-    return ec == std::errc{} && rest == end && port >= 0 && port <= highest_port;
+    return ec == std::errc{} && rest == end && port >= 0 && port <= max_port;
 }
 
 } // namespace
 
 std::string check_name(const std::string& text)
 {
-    if (text.empty() || text.size() > longest_name)
+    if (text.empty() || text.size() > max_name_length)
     {
-        return "must have 1 to " + std::to_string(longest_name) + " characters";
+        return "must have 1 to " + std::to_string(max_name_length) + " characters";
     }
     if (!std::all_of(text.begin(), text.end(), is_name_character))
     {
@@ -60,7 +60,7 @@
 {
     const auto colon = text.rfind(':');
     const bool has_port = colon != std::string::npos && is_port(text.substr(colon + 1));
-    if (!has_port || !is_ip_number(text.substr(0, colon)))
+    if (!has_port || !is_ip_address(text.substr(0, colon)))
     {
         return "must be an IP number and a port, as 10.0.0.7:8080 (no host name)";
     }
--- a/libs/checked_json/src/text_cursor.cpp
+++ b/libs/checked_json/src/text_cursor.cpp
@@ -6,7 +6,7 @@
 namespace
 {
 
-bool between_tokens(char c)
+bool is_separator(char c)
 {
     return c == ' ' || c == '\t' || c == '\r' || c == '\n' || c == ',' || c == ':';
 }
@@ -16,14 +16,14 @@
 void text_cursor::advance()
 {
     const char c = text_[offset_++];
-    if (line_ended_)
+    if (at_line_end_)
     {
         ++last_.line;
         last_.column = 0;
     }
     ++last_.column;
-    line_ended_ = c == '\n';
-    if (!in_token_ && !between_tokens(c))
+    at_line_end_ = c == '\n';
+    if (!in_token_ && !is_separator(c))
     {
         in_token_ = true;
         token_ = last_;
--- a/libs/checked_json/src/text_cursor.hpp
+++ b/libs/checked_json/src/text_cursor.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Counts lines and columns while nlohmann's lexer reads a text.
+/// Position in a text while nlohmann's lexer reads it.
 #pragma once
 
 #include <cstddef>
@@ -15,11 +15,12 @@
     int column = 0;
 };
 
-/// Where the lexer is in the text, and where the token it last began starts.
+/// Tracks the position of the lexer and the start of the current token.
 ///
-/// The lexer tells of a token only after its end, and of a number only after the character behind
-/// it. So the cursor itself notes the first significant character after the token before. What may
-/// stand behind a number (white space, a comma, a closing bracket) never begins a value.
+/// The lexer reports a token only after its end, and a number only after the next character. The
+/// cursor therefore records the position of the first significant character after the previous
+/// token. This is correct after a number too, because the characters that can follow a number
+/// (white space, a comma, a closing bracket) never start a value.
 class text_cursor
 {
 public:
@@ -37,15 +38,18 @@
         return text_[offset_];
     }
 
+    /// Moves to the next character and updates the positions.
     void advance();
 
-    /// The start of the token that is being read, or else the place of the character read last.
-    position here() const
+    /// \return the start of the current token, or between tokens the position of the last
+    /// character.
+    position current_position() const
     {
         return in_token_ ? token_ : last_;
     }
 
-    /// \return the start of the token read last; the next token begins after this call.
+    /// Ends the current token: the next significant character starts a new one.
+    /// \return the start of the current token.
     position take_token();
 
 private:
@@ -54,10 +58,10 @@
     position last_;
     position token_;
     bool in_token_ = false;
-    bool line_ended_ = false;
+    bool at_line_end_ = false;
 };
 
-/// The input iterator that the lexer sees.
+/// Input iterator of the lexer. It advances the cursor.
 class counting_iterator
 {
 public:
@@ -82,7 +86,7 @@
         return *this;
     }
 
-    /// Compares with the end only; that is all an input iterator is asked for here.
+    /// Compares with the end only. The lexer makes no other comparison.
     friend bool operator==(const counting_iterator& a, const counting_iterator&)
     {
         return a.cursor_->offset() == a.end_;
--- a/libs/checked_json/src/tree_builder.cpp
+++ b/libs/checked_json/src/tree_builder.cpp
@@ -9,11 +9,12 @@
 namespace
 {
 
-constexpr std::size_t most_duplicate_findings = 20;
+constexpr std::size_t max_duplicate_findings = 20;
 
-/// nlohmann's text without its number and prefix, which repeat the place, and in ASCII: it quotes
-/// the bytes that were no UTF-8, and whoever shows the finding as JSON would fail on them.
-std::string bare_message(const std::string& text)
+/// \return nlohmann's message without its number and prefix, which repeat the position. Bytes that
+/// are not ASCII are replaced: the message quotes bytes that are not valid UTF-8, and encoding such
+/// a finding as JSON would fail.
+std::string strip_message(const std::string& text)
 {
     std::string out = text.substr(text.find("] ") + 2);
     if (out.rfind("parse error", 0) == 0)
@@ -31,8 +32,8 @@
 
 } // namespace
 
-tree_builder::tree_builder(document& d, text_cursor& cursor, const bounds& most)
-    : document_(d), cursor_(cursor), most_(most)
+tree_builder::tree_builder(document& d, text_cursor& cursor, const parse_limits& limits)
+    : document_(d), cursor_(cursor), limits_(limits)
 {
 }
 
@@ -83,13 +84,13 @@
 bool tree_builder::key(string_t& v)
 {
     stack_.back().key = std::move(v);
-    stack_.back().key_place = cursor_.take_token();
+    stack_.back().key_position = cursor_.take_token();
     return true;
 }
 
 bool tree_builder::end_object()
 {
-    find_duplicate_keys(std::get<object>(stack_.back().it.value));
+    report_duplicate_keys(std::get<object>(stack_.back().it.value));
     return close();
 }
 
@@ -106,20 +107,20 @@
 bool tree_builder::parse_error(
     std::size_t, const std::string&, const nlohmann::detail::exception& ex)
 {
-    return stop(shown(bare_message(ex.what())));
+    return stop(printable_excerpt(strip_message(ex.what())));
 }
 
-/// Nested text costs stack in whoever walks the tree: each walker recurses, and deep enough input
-/// would end the process. The bound on depth keeps every walk short.
+/// The limit on depth bounds recursion: functions that walk the tree are recursive, and input that
+/// is nested deeply enough would overflow the stack.
 bool tree_builder::open(node::content empty)
 {
-    if (stack_.size() >= most_.depth)
+    if (stack_.size() >= limits_.depth)
     {
-        return stop("nested deeper than " + std::to_string(most_.depth));
+        return stop("nested deeper than " + std::to_string(limits_.depth));
     }
-    if (++values_ > most_.values)
+    if (++values_ > limits_.values)
     {
-        return stop("more than " + std::to_string(most_.values) + " values");
+        return stop("more than " + std::to_string(limits_.values) + " values");
     }
     const position at = cursor_.take_token();
     stack_.push_back({{std::move(empty), at.line, at.column}, {}, {}});
@@ -137,9 +138,9 @@
 
 bool tree_builder::add(node::content value)
 {
-    if (++values_ > most_.values)
+    if (++values_ > limits_.values)
     {
-        return stop("more than " + std::to_string(most_.values) + " values");
+        return stop("more than " + std::to_string(limits_.values) + " values");
     }
     const position at = cursor_.take_token();
     attach({std::move(value), at.line, at.column});
@@ -160,20 +161,22 @@
         return;
     }
     std::get<object>(parent.it.value)
-        .push_back(
-            {std::move(parent.key), std::move(it), parent.key_place.line, parent.key_place.column});
+        .push_back({std::move(parent.key),
+            std::move(it),
+            parent.key_position.line,
+            parent.key_position.column});
 }
 
 bool tree_builder::stop(const std::string& text)
 {
-    const position at = cursor_.here();
+    const position at = cursor_.current_position();
     fatal_.push_back({{document_.name, pointer(), at.line, at.column}, text, {}});
     return false;
 }
 
-/// Two values under one key: each reader of the text may take another one of them, so what was
-/// checked by one is not what is used by the next.
-void tree_builder::find_duplicate_keys(const object& members)
+/// Reports duplicate keys. Parsers differ in which of the values they use, so that a value checked
+/// by one parser might not be the value used by another.
+void tree_builder::report_duplicate_keys(const object& members)
 {
     std::vector<std::size_t> order(members.size());
     for (std::size_t i = 0; i < order.size(); ++i)
@@ -190,18 +193,18 @@
         {
             continue;
         }
-        if (document_.found.size() >= most_duplicate_findings)
+        if (document_.duplicate_keys.size() >= max_duplicate_findings)
         {
             return;
         }
-        document_.found.push_back(
+        document_.duplicate_keys.push_back(
             {{document_.name, pointer() + '/' + pointer_token(it.key), it.line, it.column},
                 "key stands twice",
                 {}});
     }
 }
 
-/// \return the pointer of the innermost open value.
+/// \return the JSON pointer of the innermost open value.
 std::string tree_builder::pointer() const
 {
     std::string text;
--- a/libs/checked_json/src/tree_builder.hpp
+++ b/libs/checked_json/src/tree_builder.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Builds the tree of nodes from nlohmann's SAX events, within bounds.
+/// Builds the tree of nodes from nlohmann's SAX events, within limits.
 #pragma once
 
 #include "checked_json/document.hpp"
@@ -14,10 +14,11 @@
 namespace camphorhitch::checked_json
 {
 
+/// Builds a document. Each event handler returns false to end the parsing after a fatal finding.
 class tree_builder : public nlohmann::json_sax<nlohmann::json>
 {
 public:
-    tree_builder(document& d, text_cursor& cursor, const bounds& most);
+    tree_builder(document& d, text_cursor& cursor, const parse_limits& limits);
 
     bool null() override;
     bool boolean(bool v) override;
@@ -35,19 +36,19 @@
         const std::string& token,
         const nlohmann::detail::exception& ex) override;
 
-    /// What ended the parsing, or nothing.
+    /// \return the finding that ended the parsing, or an empty list.
     const core::findings& fatal() const
     {
         return fatal_;
     }
 
 private:
-    /// An object or array that isn't closed yet.
+    /// An object or array whose end has not been read yet.
     struct open_value
     {
         node it;
-        std::string key; ///< under which the next value goes, in an object
-        position key_place;
+        std::string key; ///< key of the next value, in an object
+        position key_position;
     };
 
     bool open(node::content empty);
@@ -55,12 +56,12 @@
     bool add(node::content value);
     void attach(node it);
     bool stop(const std::string& text);
-    void find_duplicate_keys(const object& members);
+    void report_duplicate_keys(const object& members);
     std::string pointer() const;
 
     document& document_;
     text_cursor& cursor_;
-    bounds most_;
+    parse_limits limits_;
     std::size_t values_ = 0;
     std::vector<open_value> stack_;
     core::findings fatal_;
--- a/libs/checked_json/src/writer.cpp
+++ b/libs/checked_json/src/writer.cpp
@@ -7,49 +7,49 @@
 
 using json = nlohmann::ordered_json;
 
-slot slot_of_key(slot object, std::string_view key)
+json_slot add_key(json_slot object, std::string_view key)
 {
     return {&(*object.it)[std::string{key}]};
 }
 
-slot next_slot(slot list)
+json_slot append_element(json_slot list)
 {
     auto& values = list.it->get_ref<json::array_t&>();
     return {&values.emplace_back()};
 }
 
-void make_list(slot at, std::size_t size)
+void make_array(json_slot at, std::size_t size)
 {
     *at.it = json::array();
     at.it->get_ref<json::array_t&>().reserve(size);
 }
 
-void write(slot at, bool v)
+void write(json_slot at, bool v)
 {
     *at.it = v;
 }
 
-void write(slot at, double v)
+void write(json_slot at, double v)
 {
     *at.it = v;
 }
 
-void write(slot at, std::int64_t v)
+void write(json_slot at, std::int64_t v)
 {
     *at.it = v;
 }
 
-void write(slot at, std::uint64_t v)
+void write(json_slot at, std::uint64_t v)
 {
     *at.it = v;
 }
 
-void write(slot at, const std::string& v)
+void write(json_slot at, const std::string& v)
 {
     *at.it = v;
 }
 
-void write(slot at, core::millis v)
+void write(json_slot at, core::millis v)
 {
     *at.it = std::int64_t{v.count()};
 }
@@ -58,7 +58,7 @@
 {
 }
 
-object_writer::object_writer(slot at) : at_(at)
+object_writer::object_writer(json_slot at) : at_(at)
 {
     *at.it = json::object();
 }
--- a/libs/checked_json/tests/findings_tests.cpp
+++ b/libs/checked_json/tests/findings_tests.cpp
@@ -11,9 +11,9 @@
 namespace
 {
 
-std::string findings_of(const std::string& text, strictness how, const bounds& most = {})
+std::string findings_of(const std::string& text, strictness mode, const parse_limits& limits = {})
 {
-    const auto r = decode<sample>(text, "s", how, most);
+    const auto r = decode<sample>(text, "s", mode, limits);
     const auto* found = std::get_if<core::findings>(&r);
     return found == nullptr ? std::string{} : core::to_text(*found);
 }
@@ -27,7 +27,7 @@
 
 TEST_GROUP(reading){};
 
-TEST(reading, each_fault_is_told_with_its_place)
+TEST(reading, each_error_is_reported_with_its_position)
 {
     struct row
     {
@@ -85,7 +85,7 @@
     }
 }
 
-TEST(reading, a_newer_versions_keys_are_ignored_when_lenient_and_nothing_else_is)
+TEST(reading, lenient_mode_ignores_unknown_keys_only)
 {
     struct row
     {
@@ -104,7 +104,7 @@
     }
 }
 
-TEST(reading, text_that_is_no_json_or_too_large_gives_one_finding_with_its_place)
+TEST(reading, invalid_or_too_large_text_gives_one_finding_with_its_position)
 {
     struct row
     {
@@ -132,9 +132,10 @@
     }
 }
 
-/// A text with a million unknown keys, each a line break and half a megabyte long, is sent to us.
-/// The answer stays short, and no line of it can be mistaken for a line of our own.
-TEST(reading, hostile_keys_are_cut_and_findings_are_bounded)
+/// Guards against hostile text with thousands of unknown keys, or with a key of half a megabyte
+/// that contains a line break and a forged log event. The findings stay short, and no key can add a
+/// line that looks like output of this program.
+TEST(reading, hostile_keys_are_truncated_and_findings_are_bounded)
 {
     std::string many = "{\"name\":\"a\"";
     for (int i = 0; i < 5000; ++i)
@@ -174,12 +175,12 @@
     }
 }
 
-TEST(reading, addresses_are_ip_numbers_with_a_port)
+TEST(reading, addresses_are_ip_addresses_with_a_port)
 {
     struct row
     {
         std::string text;
-        bool good;
+        bool is_valid;
     };
     const row rows[] = {{"10.0.0.7:8080", true},
         {"[fd00::7]:0", true},
@@ -195,6 +196,6 @@
         {"", false}};
     for (const auto& it : rows)
     {
-        CHECK_EQUAL(it.good, check_address(it.text).empty());
+        CHECK_EQUAL(it.is_valid, check_address(it.text).empty());
     }
 }
--- a/libs/checked_json/tests/sample.hpp
+++ b/libs/checked_json/tests/sample.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A record with a key of each type.
+/// A record with a key of each supported type.
 #pragma once
 
 #include "checked_json/record.hpp"
--- a/libs/checked_json/tests/writing_tests.cpp
+++ b/libs/checked_json/tests/writing_tests.cpp
@@ -9,7 +9,7 @@
 
 TEST_GROUP(writing){};
 
-TEST(writing, text_is_compact_and_leaves_out_what_is_optional_and_empty)
+TEST(writing, text_is_compact_without_empty_optional_keys)
 {
     sample s;
     s.name = "a";
@@ -24,9 +24,9 @@
         encode(s).c_str());
 }
 
-/// Bytes from anywhere reach the decoder. Whatever they are, it answers with a record or with
-/// findings; what it accepts, it accepts again after a round trip.
-TEST(writing, any_bytes_give_a_record_or_findings)
+/// Guards against input on which the decoder crashes or returns neither a record nor findings. A
+/// record that the decoder accepts is accepted again after it was encoded.
+TEST(writing, random_text_gives_a_record_or_findings)
 {
     CHECK(rc::check("bytes of JSON's own letters",
         []
--- a/libs/fleet/src/live_list_rules.cpp
+++ b/libs/fleet/src/live_list_rules.cpp
@@ -25,7 +25,7 @@
                                 std::to_string(e.boot_count) + " now";
     if (was_maintained && !h.wave.empty())
     {
-        h.maintained = h.wave;
+        h.last_wave = h.wave;
     }
     clear_plan(h);
     h.boot_count = e.boot_count;
--- a/libs/fleet/src/wave_plan.cpp
+++ b/libs/fleet/src/wave_plan.cpp
@@ -21,7 +21,7 @@
     {
         return wave_host_status::failed;
     }
-    if (h.maintained == w.id)
+    if (h.last_wave == w.id)
     {
         return wave_host_status::done;
     }
@@ -228,7 +228,7 @@
     out.rack = h.rack;
     out.status = it->second.in_transit ? wave_host_status::unavailable : status_of(h, w);
     out.failed_by_wave =
-        out.status == wave_host_status::failed && (h.wave == w.id || h.maintained == w.id);
+        out.status == wave_host_status::failed && (h.wave == w.id || h.last_wave == w.id);
     return out;
 }
 
--- a/libs/fleet/src/wave_rules.cpp
+++ b/libs/fleet/src/wave_rules.cpp
@@ -243,7 +243,7 @@
     {
         for (const auto& it : view.document.hosts)
         {
-            const bool by_wave = it.wave == w.id || it.maintained == w.id;
+            const bool by_wave = it.wave == w.id || it.last_wave == w.id;
             if (it.state == host_state::failed && by_wave)
             {
                 out.push_back(it.id);
--- a/libs/fleet/src/waves.cpp
+++ b/libs/fleet/src/waves.cpp
@@ -45,7 +45,7 @@
         return;
     }
     n.admitted += admits(*wave, h.id) ? 1 : 0;
-    n.unfinished += h.state != host_state::failed && h.maintained != wave->id ? 1 : 0;
+    n.unfinished += h.state != host_state::failed && h.last_wave != wave->id ? 1 : 0;
 }
 
 } // namespace
@@ -87,7 +87,7 @@
 const wave_document* active_wave_for(const host_record& h, const std::vector<wave_view>& waves)
 {
     const auto* wave = assigned_wave(h.id, waves);
-    const bool works = wave != nullptr && is_active(*wave) && h.maintained != wave->id;
+    const bool works = wave != nullptr && is_active(*wave) && h.last_wave != wave->id;
     return works ? wave : nullptr;
 }
 
--- a/libs/fleet/tests/pool_decider_tests.cpp
+++ b/libs/fleet/tests/pool_decider_tests.cpp
@@ -159,7 +159,7 @@
     second.live.hosts = {{"h1", live_state::live, 2}};
     second.decide_and_write();
     CHECK(second.h1().state == host_state::serving);
-    STRCMP_EQUAL("w1", second.h1().maintained.c_str());
+    STRCMP_EQUAL("w1", second.h1().last_wave.c_str());
     CHECK(find<order_reboot>(second.decide()) == nullptr);
 }
 
@@ -354,5 +354,5 @@
     o.live.hosts = {{"h1", live_state::live, 2}};
     o.decide_and_write();
     CHECK(o.h1().state == host_state::serving);
-    STRCMP_EQUAL("w1", o.h1().maintained.c_str());
+    STRCMP_EQUAL("w1", o.h1().last_wave.c_str());
 }
--- a/libs/fleet/tests/pool_rules_tests.cpp
+++ b/libs/fleet/tests/pool_rules_tests.cpp
@@ -234,7 +234,7 @@
         apply(d, host_down{"h1", 1}, c);
         apply(d, host_live{"h1", 2, true}, c);
         CHECK(d.hosts[0].state == host_state::serving);
-        STRCMP_EQUAL(it.maintained, d.hosts[0].maintained.c_str());
+        STRCMP_EQUAL(it.maintained, d.hosts[0].last_wave.c_str());
         STRCMP_EQUAL("", d.hosts[0].wave.c_str());
     }
 }
--- a/libs/fleet/tests/wave_tests.cpp
+++ b/libs/fleet/tests/wave_tests.cpp
@@ -82,12 +82,12 @@
         {
             auto& h = host(id);
             const bool fails = std::find(failing.begin(), failing.end(), id) != failing.end();
-            const bool through = h.maintained == "w1" || h.state == host_state::failed;
+            const bool through = h.last_wave == "w1" || h.state == host_state::failed;
             if (!through || fails)
             {
                 h.state = fails ? host_state::failed : host_state::serving;
                 h.wave = fails ? "w1" : "";
-                h.maintained = fails ? h.maintained : "w1";
+                h.last_wave = fails ? h.last_wave : "w1";
             }
         }
     }
@@ -164,7 +164,7 @@
     STRCMP_EQUAL("not back: s0", fixture.own.document.why.weighed.c_str());
     STRCMP_EQUAL("", fixture.decide().c_str());
     fixture.host("s0").state = host_state::held;
-    fixture.host("s0").maintained = "w1";
+    fixture.host("s0").last_wave = "w1";
     fixture.host("s0").wave.clear();
     STRCMP_EQUAL("a0 a2 b0 b2", fixture.decide().c_str());
     CHECK(fixture.own.document.phase == wave_phase::growing);
@@ -239,7 +239,7 @@
     {
         for (auto& it : view.document.hosts)
         {
-            it.maintained = it.id == "a0" ? "" : "w1";
+            it.last_wave = it.id == "a0" ? "" : "w1";
         }
     }
     fixture.host("a0").lent_by = "s";
@@ -335,7 +335,7 @@
     const auto h = fixture.host("a0");
     STRCMP_EQUAL("w1", active_wave_for(h, both)->id.c_str());
     auto maintained = h;
-    maintained.maintained = "w1";
+    maintained.last_wave = "w1";
     CHECK(active_wave_for(maintained, both) == nullptr);
     const wave_inputs in{second, fixture.config, fixture.pools, true, both, sample::now};
     const auto out = decide_wave(in);
--- a/libs/jobs/src/codec.cpp
+++ b/libs/jobs/src/codec.cpp
@@ -11,7 +11,7 @@
 {
 
 /// A document holds thousands of jobs, each with several dozen values.
-constexpr checked_json::bounds document_bounds{1u << 20, 16, 1u << 18};
+constexpr checked_json::parse_limits document_bounds{1u << 20, 16, 1u << 18};
 
 } // namespace
 
--- a/libs/language/include/language/parse.hpp
+++ b/libs/language/include/language/parse.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Text to statements.
+/// Parsing of text into statements.
 #pragma once
 
 #include "core/findings.hpp"
@@ -12,29 +12,31 @@
 namespace camphorhitch::language
 {
 
-/// Longer texts give a finding and are not read.
-inline constexpr std::size_t longest_text = 1u << 20; // bytes
+/// Maximum length of a text in bytes. A longer text is not parsed and gives one finding.
+inline constexpr std::size_t max_text_bytes = 1u << 20;
 
-/// Reading ends there: a long text could make a finding of each few bytes.
-inline constexpr std::size_t most_findings = 100;
+/// Parsing ends after this number of findings: a text could otherwise give a finding for every few
+/// bytes.
+inline constexpr std::size_t max_findings = 100;
 
+/// A statement and the position at which it starts.
 struct located_statement
 {
     position at;
-    statement what;
+    statement body;
 };
 
-/// What a text holds. With any finding nothing of it may be run, so that a slip in one line doesn't
-/// leave the lines before it done.
-struct parsed
+/// Statements and findings of a text. When there is any finding, no statement of the text may be
+/// run: otherwise a mistake in one line would leave the lines before it executed.
+struct parse_result
 {
     std::vector<located_statement> statements;
-    core::findings found;
+    core::findings findings;
 };
 
-/// Reads statements separated by `;` or line breaks; `#` starts a comment. Goes on after a mistake
-/// at the next separator, so that all findings come together.
-/// \param document the text's name in findings.
-parsed parse(const std::string& text, const std::string& document);
+/// Parses statements that are separated by `;` or line breaks; `#` starts a comment. After a
+/// mistake the parser continues at the next separator, so that all findings are reported together.
+/// \param document name of the text in findings.
+parse_result parse(const std::string& text, const std::string& document);
 
 } // namespace camphorhitch::language
--- a/libs/language/include/language/statements.hpp
+++ b/libs/language/include/language/statements.hpp
@@ -15,7 +15,8 @@
 namespace camphorhitch::language
 {
 
-/// Where something stands in the text. It doesn't count when statements are compared.
+/// Position in the text. All positions compare equal, so that the comparison of two statements
+/// ignores where they stand.
 struct position
 {
     int line = 0;   ///< 1-based
@@ -27,7 +28,7 @@
     }
 };
 
-/// A name of something, or of a field.
+/// Name of an object or of a field.
 struct name
 {
     std::string text;
@@ -36,7 +37,8 @@
     bool operator==(const name&) const = default;
 };
 
-/// A value as it was written; what it means depends on what it is compared with or assigned to.
+/// A value as written in the text. Its kind follows from the field with which it is compared, or
+/// from the setting to which it is assigned.
 struct value
 {
     std::string text;
@@ -66,18 +68,20 @@
     {comparison::contains, "~"},
 }};
 
+/// A condition on one field of a row, for example `slots >= 8`.
 struct condition
 {
     name field;
-    comparison how = comparison::equal;
+    comparison op = comparison::equal;
     value operand;
 
     bool operator==(const condition&) const = default;
 };
 
-/// All of them must hold.
+/// Conditions that must all hold.
 using conditions = std::vector<condition>;
 
+/// Tables that `show` can print.
 enum class table_kind
 {
     hosts,
@@ -103,6 +107,7 @@
     {table_kind::teams, "teams"},
 }};
 
+/// `order by id desc`
 struct ordering
 {
     name field;
@@ -114,14 +119,15 @@
 /// `show hosts where zone = z1 and state = serving order by id desc limit 10`
 struct show_statement
 {
-    table_kind what = table_kind::hosts;
+    table_kind table = table_kind::hosts;
     conditions where;
     std::optional<ordering> order;
-    std::optional<std::int64_t> limit; ///< rows
+    std::optional<std::int64_t> limit; ///< maximum number of rows
 
     bool operator==(const show_statement&) const = default;
 };
 
+/// Kinds of object that `why` can explain.
 enum class subject_kind
 {
     host,
@@ -148,6 +154,7 @@
     bool operator==(const why_statement&) const = default;
 };
 
+/// Kinds of object that have settings.
 enum class setting_owner
 {
     pool,
@@ -163,10 +170,11 @@
     {setting_owner::config, "config"},
 }};
 
+/// `budget.absent = 2`
 struct assignment
 {
     name field;
-    value to;
+    value new_value;
 
     bool operator==(const assignment&) const = default;
 };
@@ -175,13 +183,14 @@
 struct set_statement
 {
     setting_owner owner = setting_owner::pool;
-    name of; ///< empty for the configuration itself
+    name owner_name; ///< of the pool, policy or team; empty for the configuration
     std::vector<assignment> assignments;
 
     bool operator==(const set_statement&) const = default;
 };
 
-enum class drain_by
+/// Groups of hosts that one statement can drain.
+enum class drain_scope
 {
     host,
     zone,
@@ -189,21 +198,21 @@
     pool
 };
 
-inline constexpr core::name_table<drain_by, 4> drain_by_names{{
-    {drain_by::host, "host"},
-    {drain_by::zone, "zone"},
-    {drain_by::rack, "rack"},
-    {drain_by::pool, "pool"},
+inline constexpr core::name_table<drain_scope, 4> drain_scope_names{{
+    {drain_scope::host, "host"},
+    {drain_scope::zone, "zone"},
+    {drain_scope::rack, "rack"},
+    {drain_scope::pool, "pool"},
 }};
 
 /// `drain zone z1 wave spring policy careful`, or `drain host h17 for leaving`
 struct drain_statement
 {
-    drain_by by = drain_by::host;
-    name what;
-    bool leaving = false;       ///< the hosts go away; no wave
-    std::optional<name> wave;   ///< id of the wave to start
-    std::optional<name> policy; ///< for that wave
+    drain_scope scope = drain_scope::host;
+    name scope_name;
+    bool leaving = false;       ///< the platform takes the hosts away, so no wave is started
+    std::optional<name> wave;   ///< id of the wave to start; absent: chosen by the daemon
+    std::optional<name> policy; ///< policy of the wave
 
     bool operator==(const drain_statement&) const = default;
 };
@@ -227,6 +236,7 @@
     bool operator==(const start_wave_statement&) const = default;
 };
 
+/// `a=careful`: an arm and its policy.
 struct experiment_arm
 {
     name arm;
@@ -291,7 +301,7 @@
 struct submit_job_statement
 {
     std::string json; ///< one well-formed JSON object
-    position at;      ///< of its opening brace
+    position at;      ///< position of the opening brace
 
     bool operator==(const submit_job_statement&) const = default;
 };
@@ -313,10 +323,11 @@
 /// \return the statement in its canonical form, which parses to an equal statement.
 std::string to_text(const statement& s);
 
-/// \return whether the statement only reads.
+/// \return whether the statement only reads state.
 bool is_query(const statement& s);
 
-/// \return \p text as it must be written in a statement, in quotes where it needs them.
-std::string written(const std::string& text);
+/// \return \p text in the form in which a statement must contain it: in quotes when it contains a
+/// character that a word cannot contain, and unchanged otherwise.
+std::string quoted_if_needed(const std::string& text);
 
 } // namespace camphorhitch::language
--- a/libs/language/include/language/table.hpp
+++ b/libs/language/include/language/table.hpp
@@ -16,7 +16,7 @@
 namespace camphorhitch::language
 {
 
-/// Empty when the value isn't known or doesn't apply. Must be of its column's kind otherwise.
+/// Value of one cell, of the kind of its column. std::monostate: unknown or not applicable.
 using cell = std::variant<std::monostate, std::string, std::int64_t, double, core::millis, bool>;
 
 struct column
@@ -27,7 +27,7 @@
     bool operator==(const column&) const = default;
 };
 
-using row = std::vector<cell>; ///< a cell for each column
+using row = std::vector<cell>; ///< one cell for each column
 
 struct table
 {
@@ -37,24 +37,25 @@
     bool operator==(const table&) const = default;
 };
 
-/// Indices of rows, or what is wrong with the conditions.
-using selected = std::variant<std::vector<std::size_t>, core::findings>;
+/// Indices of the selected rows, or the findings of the conditions.
+using row_selection = std::variant<std::vector<std::size_t>, core::findings>;
 
-/// \param document the name in findings of the text that the conditions come from.
-/// \return the rows of \p t, in their order, for which all conditions hold. An empty cell is equal
-///     to "" only, and neither less nor greater than anything.
-selected select_rows(const table& t, const conditions& where, const std::string& document);
+/// \param document name in findings of the text that contains the conditions.
+/// \return the rows of \p t, in the order of the table, for which all conditions hold. An empty
+///     cell is equal to "" only, and neither less nor greater than any value.
+row_selection select_rows(const table& t, const conditions& where, const std::string& document);
 
-/// \return the rows that \p query asks for, in the order that it asks for. Empty cells come last.
+/// \return the rows that \p query selects, in the order that it requests. Rows with an empty cell
+///     in the ordering column come last.
 std::variant<table, core::findings> evaluate(
     const show_statement& query, const table& t, const std::string& document);
 
-/// \return an aligned table with a line of column names, for people. Control characters of cells
-///     are replaced, since they could steer a terminal.
+/// \return an aligned table with a line of column names, for people. Control characters in cells
+///     are replaced, because a terminal would interpret them.
 std::string to_text(const table& t);
 
-/// \return a JSON list with an object for each row, keys in the order of the columns; durations in
-///     milliseconds, empty cells null.
+/// \return a JSON array with one object for each row. Keys are in the order of the columns,
+///     durations in milliseconds; an empty cell is null.
 std::string to_json(const table& t);
 
 } // namespace camphorhitch::language
--- a/libs/language/include/language/values.hpp
+++ b/libs/language/include/language/values.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What written values mean.
+/// Kinds of value, and conversion between values and their text.
 #pragma once
 
 #include "core/time.hpp"
@@ -16,21 +16,22 @@
 enum class value_kind
 {
     text,
-    whole,    ///< a whole number
-    number,   ///< with decimals
-    duration, ///< a whole number with a unit: 250ms, 30s, 5m, 2h, 1d
-    truth     ///< true or false
+    integer,  ///< an integer
+    number,   ///< a number that may have decimals
+    duration, ///< an integer with a unit: 250ms, 30s, 5m, 2h, 1d
+    boolean   ///< true or false
 };
 
-std::optional<std::int64_t> read_whole(std::string_view text);
-std::optional<double> read_number(std::string_view text);
+// Each function returns nothing when the whole text is not a value of its kind.
+std::optional<std::int64_t> read_integer(std::string_view text);
+std::optional<double> read_number(std::string_view text); // finite numbers only
 std::optional<core::millis> read_duration(std::string_view text);
-std::optional<bool> read_truth(std::string_view text);
+std::optional<bool> read_boolean(std::string_view text);
 
-/// \return the kind in words, for findings: "a whole number".
-std::string in_words(value_kind kind);
+/// \return a description of the kind for findings, for example "a whole number".
+std::string describe_kind(value_kind kind);
 
-/// \return the duration with the largest unit that holds it in whole numbers.
+/// \return the duration as an integer with the largest unit that needs no decimals.
 std::string to_text(core::millis t);
 
 } // namespace camphorhitch::language
--- a/libs/language/src/expectations.cpp
+++ b/libs/language/src/expectations.cpp
@@ -11,15 +11,16 @@
 namespace
 {
 
+/// An expected element of the grammar and the words that it can be.
 struct expectation
 {
-    std::string_view what;
+    std::string_view expected;
     std::vector<std::string> words;
-    bool is_listed; ///< in the finding
+    bool is_listed; ///< whether the finding lists the words
 };
 
 template <class E, std::size_t N>
-std::vector<std::string> words_of(const core::name_table<E, N>& table)
+std::vector<std::string> names_in(const core::name_table<E, N>& table)
 {
     std::vector<std::string> all;
     for (const auto& it : table)
@@ -32,24 +33,24 @@
 const std::vector<expectation>& expectations()
 {
     static const std::vector<expectation> all = {
-        {a_statement,
+        {expected_statement,
             {"show", "why", "set", "drain", "move", "start", "stop", "cancel", "resume", "submit"},
             true},
-        {a_table, words_of(table_kind_names), true},
-        {a_subject, words_of(subject_kind_names), true},
-        {an_owner, words_of(setting_owner_names), true},
-        {a_selection, words_of(drain_by_names), true},
-        {startable, {"wave", "experiment"}, true},
-        {cancellable, {"wave", "job", "jobs"}, true},
-        {end_of_statement,
+        {expected_table, names_in(table_kind_names), true},
+        {expected_subject, names_in(subject_kind_names), true},
+        {expected_owner, names_in(setting_owner_names), true},
+        {expected_selection, names_in(drain_scope_names), true},
+        {expected_startable, {"wave", "experiment"}, true},
+        {expected_cancellable, {"wave", "job", "jobs"}, true},
+        {expected_end,
             {"where", "and", "order", "limit", "desc", "policy", "wave", "for", "seed"},
             false},
     };
     return all;
 }
 
-/// \return what stands at \p it, for a finding.
-std::string found_at(const source& text, const char* it)
+/// \return the word or character at \p it; empty at the end of the statement.
+std::string input_at(const source& text, const char* it)
 {
     const char* after = it;
     while (after != text.end() && is_word_char(*after))
@@ -64,55 +65,55 @@
     return is_end ? std::string{} : std::string(1, *it);
 }
 
-std::string expected_text(const std::string& what)
+std::string describe_expected(const std::string& expected)
 {
     for (const auto& it : expectations())
     {
-        if (it.what != what || !it.is_listed)
+        if (it.expected != expected || !it.is_listed)
         {
             continue;
         }
-        std::string text = what + " (";
+        std::string text = expected + " (";
         for (const auto& word : it.words)
         {
             text += (&word == &it.words.front() ? "" : ", ") + word;
         }
         return text + ')';
     }
-    return what;
+    return expected;
 }
 
-std::string suggestion_for(const std::string& what, const std::string& found)
+std::string suggestion_for(const std::string& expected, const std::string& found)
 {
     for (const auto& it : expectations())
     {
-        if (it.what == what)
+        if (it.expected == expected)
         {
             const auto near = core::nearest_name(found, it.words);
             return near == found ? std::string{} : near;
         }
     }
-    // A keyword is named in quotes.
-    const bool is_keyword = what.size() > 2 && what.front() == '\'';
-    return is_keyword ? core::nearest_name(found, {what.substr(1, what.size() - 2)})
+    // The description of a keyword is the keyword in quotes.
+    const bool is_keyword = expected.size() > 2 && expected.front() == '\'';
+    return is_keyword ? core::nearest_name(found, {expected.substr(1, expected.size() - 2)})
                       : std::string{};
 }
 
 } // namespace
 
-core::finding unexpected(
-    const source& text, const char* it, const std::string& what, const std::string& document)
+core::finding unexpected_input(
+    const source& text, const char* it, const std::string& expected, const std::string& document)
 {
     while (it != text.end() && (*it == ' ' || *it == '\t' || *it == '\r'))
     {
         ++it;
     }
-    const auto found = found_at(text, it);
-    const auto shown = found.empty() ? "the end of the statement" : cited(found);
+    const auto found = input_at(text, it);
+    const auto shown = found.empty() ? "the end of the statement" : quoted_excerpt(found);
     return finding_at(text.position_of(it),
         document,
-        "expected " + expected_text(what) + ", not " + shown,
-        found.empty() ? std::string{} : suggestion_for(what, found));
+        "expected " + describe_expected(expected) + ", not " + shown,
+        found.empty() ? std::string{} : suggestion_for(expected, found));
 }
 
 } // namespace camphorhitch::language
--- a/libs/language/src/expectations.hpp
+++ b/libs/language/src/expectations.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What the grammar expects where, and findings about what stands there instead.
+/// Descriptions of the elements that the grammar expects, and findings about unexpected input.
 #pragma once
 
 #include "core/findings.hpp"
@@ -10,18 +10,19 @@
 namespace camphorhitch::language
 {
 
-inline constexpr const char* a_statement = "a statement";
-inline constexpr const char* a_table = "a table";
-inline constexpr const char* a_subject = "a subject";
-inline constexpr const char* an_owner = "something with settings";
-inline constexpr const char* a_selection = "a selection of hosts";
-inline constexpr const char* startable = "something to start";
-inline constexpr const char* cancellable = "something to cancel";
-inline constexpr const char* end_of_statement = "the end of the statement";
+inline constexpr const char* expected_statement = "a statement";
+inline constexpr const char* expected_table = "a table";
+inline constexpr const char* expected_subject = "a subject";
+inline constexpr const char* expected_owner = "something with settings";
+inline constexpr const char* expected_selection = "a selection of hosts";
+inline constexpr const char* expected_startable = "something to start";
+inline constexpr const char* expected_cancellable = "something to cancel";
+inline constexpr const char* expected_end = "the end of the statement";
 
-/// \param it where \p what was expected.
-/// \param document the text's name in the finding.
-core::finding unexpected(
-    const source& text, const char* it, const std::string& what, const std::string& document);
+/// \return a finding that names the expected element and the input found instead.
+/// \param it position of the unexpected input.
+/// \param document name of the text in the finding.
+core::finding unexpected_input(
+    const source& text, const char* it, const std::string& expected, const std::string& document);
 
 } // namespace camphorhitch::language
--- a/libs/language/src/finding.hpp
+++ b/libs/language/src/finding.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Findings at a place of the text.
+/// Findings at a position in the text.
 #pragma once
 
 #include "checked_json/document.hpp"
@@ -15,10 +15,11 @@
     return {{document, "", at.line, at.column}, std::move(text), std::move(suggestion)};
 }
 
-/// \return \p text in quotes, cut to a length fit for a message, without control characters.
-inline std::string cited(const std::string& text)
+/// \return \p text in quotes, truncated to a length suitable for a message, with control characters
+/// replaced.
+inline std::string quoted_excerpt(const std::string& text)
 {
-    return '\'' + checked_json::shown(text) + '\'';
+    return '\'' + checked_json::printable_excerpt(text) + '\'';
 }
 
 } // namespace camphorhitch::language
--- a/libs/language/src/grammar.hpp
+++ b/libs/language/src/grammar.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The grammar; the only code that includes Boost.Spirit.
+/// The grammar. Only its implementation includes Boost.Spirit, which is slow to compile.
 #pragma once
 
 #include "language/statements.hpp"
@@ -10,16 +10,18 @@
 namespace camphorhitch::language
 {
 
-/// A statement and the place after it.
-struct statement_end
+/// A statement and the position after it.
+struct parsed_statement
 {
-    statement what;
-    const char* after = nullptr;
+    statement body;
+    const char* end = nullptr;
 };
 
-/// \param it where a statement begins.
-/// \param document the text's name in a finding.
-std::variant<statement_end, core::finding> read_statement(
+/// Reads one statement.
+/// \param it start of the statement.
+/// \param document name of the text in a finding.
+/// \return the statement, or the finding at the first unexpected input.
+std::variant<parsed_statement, core::finding> read_statement(
     const source& text, const char* it, const std::string& document);
 
 } // namespace camphorhitch::language
--- a/libs/language/src/parse.cpp
+++ b/libs/language/src/parse.cpp
@@ -14,9 +14,9 @@
 namespace
 {
 
-constexpr std::size_t least_arms = 2;
+constexpr std::size_t min_arms = 2;
 
-/// What the grammar can't see: mistakes inside a statement that is well formed.
+/// Finds mistakes in well-formed statements that the grammar cannot detect.
 struct checker
 {
     const std::string& document;
@@ -29,7 +29,7 @@
 
     void operator()(const start_experiment_statement& s) const
     {
-        if (s.arms.size() < least_arms)
+        if (s.arms.size() < min_arms)
         {
             found.push_back(
                 finding_at(s.id.at, document, "an experiment compares two arms or more"));
@@ -37,12 +37,12 @@
         std::set<std::string> arms;
         for (const auto& it : s.arms)
         {
-            require_new(arms, it.arm, "arm");
+            require_unique(arms, it.arm, "arm");
         }
         std::set<std::string> pools;
         for (const auto& it : s.pools)
         {
-            require_new(pools, it, "pool");
+            require_unique(pools, it, "pool");
         }
     }
 
@@ -65,12 +65,13 @@
     {
     }
 
-    void require_new(std::set<std::string>& known, const name& it, const char* what) const
+    void require_unique(std::set<std::string>& known, const name& it, const char* what) const
     {
         if (!known.insert(it.text).second)
         {
-            found.push_back(finding_at(
-                it.at, document, std::string(what) + ' ' + cited(it.text) + " is named twice"));
+            found.push_back(finding_at(it.at,
+                document,
+                std::string(what) + ' ' + quoted_excerpt(it.text) + " is named twice"));
         }
     }
 
@@ -85,36 +86,37 @@
 
 } // namespace
 
-parsed parse(const std::string& text, const std::string& document)
+parse_result parse(const std::string& text, const std::string& document)
 {
-    parsed all;
+    parse_result all;
     const source from(text);
-    if (text.size() > longest_text)
+    if (text.size() > max_text_bytes)
     {
-        all.found.push_back(finding_at(
-            {1, 1}, document, "longer than " + std::to_string(longest_text) + " bytes, not read"));
+        all.findings.push_back(finding_at({1, 1},
+            document,
+            "longer than " + std::to_string(max_text_bytes) + " bytes, not read"));
         return all;
     }
-    const char* it = from.skip_blank(from.begin());
+    const char* it = from.skip_separators(from.begin());
     while (it != from.end())
     {
-        if (all.found.size() >= most_findings)
+        if (all.findings.size() >= max_findings)
         {
-            all.found.push_back(finding_at(
+            all.findings.push_back(finding_at(
                 from.position_of(it), document, "too many findings; not read from here on"));
             break;
         }
         auto read = read_statement(from, it, document);
         if (auto* wrong = std::get_if<core::finding>(&read))
         {
-            all.found.push_back(std::move(*wrong));
-            it = from.skip_blank(from.end_of_statement(it));
+            all.findings.push_back(std::move(*wrong));
+            it = from.skip_separators(from.end_of_statement(it));
             continue;
         }
-        auto& good = std::get<statement_end>(read);
-        std::visit(checker{document, all.found}, good.what);
-        all.statements.push_back({from.position_of(it), std::move(good.what)});
-        it = from.skip_blank(good.after);
+        auto& good = std::get<parsed_statement>(read);
+        std::visit(checker{document, all.findings}, good.body);
+        all.statements.push_back({from.position_of(it), std::move(good.body)});
+        it = from.skip_separators(good.end);
     }
     return all;
 }
--- a/libs/language/src/parsers.hpp
+++ b/libs/language/src/parsers.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Small parsers that the grammar is put together from. Included by the grammar alone, since
-/// Boost.Spirit takes long to compile.
+/// Basic parsers of which the grammar is composed. Only the grammar includes this file, because
+/// Boost.Spirit is slow to compile.
 #pragma once
 
 #include "core/names.hpp"
@@ -12,7 +12,7 @@
 #include <string>
 #include <utility>
 
-// How Spirit names what it expected: compound parsers by the part that says it best.
+// Name of a compound parser in Spirit's expectation failures: that of its most descriptive part.
 namespace boost::spirit::x3
 {
 
@@ -56,10 +56,11 @@
 
 namespace x3 = boost::spirit::x3;
 
-/// Under this tag the parser's context carries the source.
+/// Tag under which the parser context holds the source.
 struct source_tag;
 
-/// A parser that reads by Derived::read(source, first), which gives a value or nothing.
+/// Base of parsers that call Derived::read(source, first), which returns a value, or nothing when
+/// the parser does not match.
 template <class Derived, class Value>
 struct source_parser : x3::parser<Derived>
 {
@@ -84,8 +85,8 @@
     }
 };
 
-/// Takes nothing and gives the place of what comes next.
-struct here_parser : source_parser<here_parser, position>
+/// Consumes nothing and returns the position of the next input.
+struct current_position_parser : source_parser<current_position_parser, position>
 {
     static std::optional<position> read(const source& text, const char* first)
     {
@@ -93,13 +94,13 @@
     }
 };
 
-/// Takes an object in braces; braces inside quotes don't count.
-struct braces_parser : source_parser<braces_parser, std::string>
+/// Consumes an object in braces. Braces inside quotes are ignored.
+struct braced_object_parser : source_parser<braced_object_parser, std::string>
 {
     static std::optional<std::string> read(const source& text, const char*& first)
     {
         const bool is_open = first != text.end() && *first == '{';
-        const char* after = is_open ? text.after_braces(first) : nullptr;
+        const char* after = is_open ? text.end_of_braces(first) : nullptr;
         if (after == nullptr)
         {
             return std::nullopt;
@@ -108,7 +109,7 @@
     }
 };
 
-/// A character that may stand without quotes.
+/// A character that a word may contain without quotes.
 struct word_char_parser : x3::char_parser<word_char_parser>
 {
     using attribute_type = char;
@@ -121,8 +122,8 @@
     }
 };
 
-const here_parser here{};
-const braces_parser braces{};
+const current_position_parser current_position{};
+const braced_object_parser braced_object{};
 const word_char_parser word_char{};
 
 const auto blank = x3::char_(" \t\r");
@@ -138,18 +139,18 @@
     x3::lexeme['"' >> *(escape | (x3::char_ - x3::char_("\"\\\n"))) > closing_quote];
 BOOST_SPIRIT_DEFINE(quoted)
 
-/// A whole word. \p shown is how findings name it.
+/// A complete word. \p shown is its name in findings.
 auto keyword(const char* text, const char* shown)
 {
     return x3::rule<struct keyword_id>{shown} = x3::lexeme[x3::lit(text) >> !word_char];
 }
 
-auto sign(const char* text, const char* shown)
+auto symbol(const char* text, const char* shown)
 {
-    return x3::rule<struct sign_id>{shown} = x3::lit(text);
+    return x3::rule<struct symbol_id>{shown} = x3::lit(text);
 }
 
-/// One of the names in \p table, as a whole word.
+/// One of the names in \p table, as a complete word.
 template <class E, std::size_t N>
 auto one_of(const core::name_table<E, N>& table, const char* shown)
 {
@@ -161,10 +162,10 @@
     return x3::rule<struct one_of_id, E>{shown} = x3::lexeme[names >> !word_char];
 }
 
-// ---- actions: the attribute into a member of the rule's value ----
+// ---- actions that store the attribute in a member of the rule's value ----
 
 template <class Member>
-auto into(Member member)
+auto assign_to(Member member)
 {
     return [member](auto& context)
     {
@@ -182,7 +183,7 @@
 }
 
 template <class Member>
-auto raise(Member member)
+auto set_flag(Member member)
 {
     return [member](auto& context)
     {
@@ -190,9 +191,9 @@
     };
 }
 
-/// Reads the word by \p read, and fails where it can't.
+/// Converts the word by \p read. The parser fails when \p read returns nothing.
 template <class Read>
-auto as(Read read)
+auto convert_with(Read read)
 {
     return [read](auto& context)
     {
--- a/libs/language/src/print.cpp
+++ b/libs/language/src/print.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-std::string quoted(const std::string& text)
+std::string quote(const std::string& text)
 {
     std::string to = "\"";
     for (const char it : text)
@@ -32,13 +32,13 @@
     return to + '"';
 }
 
-std::string written_name(const name& n)
+std::string name_text(const name& n)
 {
-    return written(n.text);
+    return quoted_if_needed(n.text);
 }
 
 template <class E, std::size_t N>
-std::string word(const core::name_table<E, N>& table, E v)
+std::string name_in(const core::name_table<E, N>& table, E v)
 {
     return std::string(core::name_of(table, v));
 }
@@ -64,61 +64,59 @@
                            " and ",
                            [](const condition& it)
                            {
-                               return written_name(it.field) + ' ' +
-                                      word(comparison_names, it.how) + ' ' +
-                                      written(it.operand.text);
+                               return name_text(it.field) + ' ' + name_in(comparison_names, it.op) +
+                                      ' ' + quoted_if_needed(it.operand.text);
                            });
 }
 
 std::string optional_text(const char* keyword, const std::optional<name>& n)
 {
-    return n ? keyword + written_name(*n) : std::string{};
+    return n ? keyword + name_text(*n) : std::string{};
 }
 
 struct printer
 {
     std::string operator()(const show_statement& s) const
     {
-        std::string text = "show " + word(table_kind_names, s.what) + where_text(s.where);
+        std::string text = "show " + name_in(table_kind_names, s.table) + where_text(s.where);
         if (s.order)
         {
-            text +=
-                " order by " + written_name(s.order->field) + (s.order->descending ? " desc" : "");
+            text += " order by " + name_text(s.order->field) + (s.order->descending ? " desc" : "");
         }
         return text + (s.limit ? " limit " + std::to_string(*s.limit) : "");
     }
 
     std::string operator()(const why_statement& s) const
     {
-        return "why " + word(subject_kind_names, s.kind) + ' ' + written_name(s.id);
+        return "why " + name_in(subject_kind_names, s.kind) + ' ' + name_text(s.id);
     }
 
     std::string operator()(const set_statement& s) const
     {
         const bool is_named = s.owner != setting_owner::config;
-        return "set " + word(setting_owner_names, s.owner) +
-               (is_named ? ' ' + written_name(s.of) : std::string{}) + ' ' +
+        return "set " + name_in(setting_owner_names, s.owner) +
+               (is_named ? ' ' + name_text(s.owner_name) : std::string{}) + ' ' +
                joined(s.assignments,
                    ", ",
                    [](const assignment& it)
-                   { return written_name(it.field) + " = " + written(it.to.text); });
+                   { return name_text(it.field) + " = " + quoted_if_needed(it.new_value.text); });
     }
 
     std::string operator()(const drain_statement& s) const
     {
-        return "drain " + word(drain_by_names, s.by) + ' ' + written_name(s.what) +
+        return "drain " + name_in(drain_scope_names, s.scope) + ' ' + name_text(s.scope_name) +
                (s.leaving ? " for leaving" : "") + optional_text(" wave ", s.wave) +
                optional_text(" policy ", s.policy);
     }
 
     std::string operator()(const move_statement& s) const
     {
-        return "move host " + written_name(s.host) + " to pool " + written_name(s.pool);
+        return "move host " + name_text(s.host) + " to pool " + name_text(s.pool);
     }
 
     std::string operator()(const start_wave_statement& s) const
     {
-        return "start wave " + written_name(s.id) + where_text(s.where) +
+        return "start wave " + name_text(s.id) + where_text(s.where) +
                optional_text(" policy ", s.policy);
     }
 
@@ -126,13 +124,13 @@
     {
         const auto arm = [](const experiment_arm& it)
         {
-            return written_name(it.arm) + '=' + written_name(it.policy);
+            return name_text(it.arm) + '=' + name_text(it.policy);
         };
         const auto pool = [](const name& it)
         {
-            return written_name(it);
+            return name_text(it);
         };
-        return "start experiment " + written_name(s.id) + " arms " + joined(s.arms, ",", arm) +
+        return "start experiment " + name_text(s.id) + " arms " + joined(s.arms, ",", arm) +
                " on pool " + joined(s.pools, ",", pool) +
                (s.duration ? " for " + to_text(*s.duration) : "") +
                (s.seed ? " seed " + std::to_string(*s.seed) : "");
@@ -140,22 +138,22 @@
 
     std::string operator()(const stop_experiment_statement& s) const
     {
-        return "stop experiment " + written_name(s.id);
+        return "stop experiment " + name_text(s.id);
     }
 
     std::string operator()(const cancel_wave_statement& s) const
     {
-        return "cancel wave " + written_name(s.id);
+        return "cancel wave " + name_text(s.id);
     }
 
     std::string operator()(const resume_wave_statement& s) const
     {
-        return "resume wave " + written_name(s.id);
+        return "resume wave " + name_text(s.id);
     }
 
     std::string operator()(const cancel_job_statement& s) const
     {
-        return "cancel job " + written_name(s.id);
+        return "cancel job " + name_text(s.id);
     }
 
     std::string operator()(const cancel_jobs_statement& s) const
@@ -181,10 +179,10 @@
     return std::holds_alternative<show_statement>(s) || std::holds_alternative<why_statement>(s);
 }
 
-std::string written(const std::string& text)
+std::string quoted_if_needed(const std::string& text)
 {
     const bool is_word = !text.empty() && std::all_of(text.begin(), text.end(), is_word_char);
-    return is_word ? text : quoted(text);
+    return is_word ? text : quote(text);
 }
 
 } // namespace camphorhitch::language
--- a/libs/language/src/query.cpp
+++ b/libs/language/src/query.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-std::vector<std::string> names_of(const table& t)
+std::vector<std::string> column_names(const table& t)
 {
     std::vector<std::string> names;
     for (const auto& it : t.columns)
@@ -34,8 +34,8 @@
     {
         found.push_back(finding_at(field.at,
             document,
-            "no field " + cited(field.text) + " here",
-            core::nearest_name(field.text, names_of(t))));
+            "no field " + quoted_excerpt(field.text) + " here",
+            core::nearest_name(field.text, column_names(t))));
     }
     return i;
 }
@@ -46,26 +46,26 @@
     return v ? cell{*v} : cell{};
 }
 
-/// \return \p text as a cell of a column of \p kind, or an empty one.
+/// \return \p text as a cell of a column of \p kind, or an empty cell when it is not of that kind.
 cell read_cell(value_kind kind, const std::string& text)
 {
     switch (kind)
     {
     case value_kind::text:
         return text;
-    case value_kind::whole:
+    case value_kind::integer:
     case value_kind::number:
         return to_cell(read_number(text));
     case value_kind::duration:
         return to_cell(read_duration(text));
-    case value_kind::truth:
-        return to_cell(read_truth(text));
+    case value_kind::boolean:
+        return to_cell(read_boolean(text));
     }
     return {};
 }
 
-/// Whole numbers and decimals compare with each other.
-cell widened(const cell& c)
+/// Converts integers to double, so that integers and decimals compare with each other.
+cell to_comparable(const cell& c)
 {
     const auto* n = std::get_if<std::int64_t>(&c);
     return n != nullptr ? cell{static_cast<double>(*n)} : c;
@@ -73,8 +73,8 @@
 
 std::partial_ordering compare(const cell& a, const cell& b)
 {
-    const cell x = widened(a);
-    const cell y = widened(b);
+    const cell x = to_comparable(a);
+    const cell y = to_comparable(b);
     const bool comparable = x.index() == y.index() && x.index() != 0;
     if (!comparable)
     {
@@ -85,13 +85,13 @@
                    : std::partial_ordering::equivalent;
 }
 
-/// A condition whose field and operand are known to fit the table.
+/// A condition after its field and operand were checked against the table.
 struct bound_condition
 {
     std::size_t column;
-    comparison how;
+    comparison op;
     cell operand;
-    bool asks_for_empty;
+    bool compares_with_empty;
 };
 
 bool contains(const cell& c, const cell& part)
@@ -106,15 +106,15 @@
     return c.index() == 0 || (text != nullptr && text->empty());
 }
 
-bool holds(const bound_condition& c, const row& r)
+bool matches(const bound_condition& c, const row& r)
 {
     const cell& it = r[c.column];
-    if (c.asks_for_empty)
+    if (c.compares_with_empty)
     {
-        return is_empty(it) == (c.how == comparison::equal);
+        return is_empty(it) == (c.op == comparison::equal);
     }
     const auto order = compare(it, c.operand);
-    switch (c.how)
+    switch (c.op)
     {
     case comparison::equal:
         return std::is_eq(order);
@@ -134,19 +134,19 @@
     return false;
 }
 
-bool is_equality(comparison how)
+bool is_equality(comparison op)
 {
-    return how == comparison::equal || how == comparison::not_equal;
+    return op == comparison::equal || op == comparison::not_equal;
 }
 
-/// \return what is wrong with comparing a column of \p kind in this way, or an empty string.
-std::string wrong_comparison(value_kind kind, comparison how)
+/// \return the reason why \p op cannot be applied to a column of \p kind, or an empty string.
+std::string comparison_error(value_kind kind, comparison op)
 {
-    if (how == comparison::contains && kind != value_kind::text)
+    if (op == comparison::contains && kind != value_kind::text)
     {
         return "'~' is for texts only";
     }
-    if (kind == value_kind::truth && !is_equality(how))
+    if (kind == value_kind::boolean && !is_equality(op))
     {
         return "true and false have no order";
     }
@@ -165,30 +165,30 @@
             continue;
         }
         const auto kind = t.columns[i].kind;
-        const bool asks_for_empty = it.operand.text.empty() && is_equality(it.how);
+        const bool compares_with_empty = it.operand.text.empty() && is_equality(it.op);
         const cell operand = read_cell(kind, it.operand.text);
-        auto wrong = wrong_comparison(kind, it.how);
-        if (wrong.empty() && !asks_for_empty && operand.index() == 0)
+        auto wrong = comparison_error(kind, it.op);
+        if (wrong.empty() && !compares_with_empty && operand.index() == 0)
         {
-            wrong =
-                cited(it.field.text) + " is " + in_words(kind) + ", not " + cited(it.operand.text);
+            wrong = quoted_excerpt(it.field.text) + " is " + describe_kind(kind) + ", not " +
+                    quoted_excerpt(it.operand.text);
         }
         if (!wrong.empty())
         {
             found.push_back(finding_at(it.operand.at, document, wrong));
         }
-        bound.push_back({i, it.how, operand, asks_for_empty});
+        bound.push_back({i, it.op, operand, compares_with_empty});
     }
     return bound;
 }
 
-std::vector<std::size_t> matching(const table& t, const std::vector<bound_condition>& where)
+std::vector<std::size_t> matching_rows(const table& t, const std::vector<bound_condition>& where)
 {
     std::vector<std::size_t> all;
     for (std::size_t i = 0; i < t.rows.size(); ++i)
     {
         const bool all_hold = std::all_of(
-            where.begin(), where.end(), [&](const auto& it) { return holds(it, t.rows[i]); });
+            where.begin(), where.end(), [&](const auto& it) { return matches(it, t.rows[i]); });
         if (all_hold)
         {
             all.push_back(i);
@@ -215,7 +215,7 @@
 
 } // namespace
 
-selected select_rows(const table& t, const conditions& where, const std::string& document)
+row_selection select_rows(const table& t, const conditions& where, const std::string& document)
 {
     core::findings found;
     const auto bound = bind(t, where, document, found);
@@ -223,7 +223,7 @@
     {
         return found;
     }
-    return matching(t, bound);
+    return matching_rows(t, bound);
 }
 
 std::variant<table, core::findings> evaluate(
@@ -237,13 +237,13 @@
     {
         return found;
     }
-    auto rows = matching(t, bound);
+    auto rows = matching_rows(t, bound);
     if (query.order)
     {
         sort(rows, t, by, query.order->descending);
     }
-    const auto most = static_cast<std::uint64_t>(query.limit.value_or(INT64_MAX));
-    rows.resize(std::min<std::uint64_t>(rows.size(), most));
+    const auto max_rows = static_cast<std::uint64_t>(query.limit.value_or(INT64_MAX));
+    rows.resize(std::min<std::uint64_t>(rows.size(), max_rows));
     table to{t.columns, {}};
     for (const auto it : rows)
     {
--- a/libs/language/src/render.cpp
+++ b/libs/language/src/render.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-constexpr const char* between_columns = "  ";
+constexpr const char* column_separator = "  ";
 
 template <class... Functions>
 struct overloaded : Functions...
@@ -24,21 +24,23 @@
 
 std::string number_text(double n)
 {
-    constexpr int digits = 6; // significant; more would only show how numbers are stored
+    // Significant digits. More digits would show rounding errors of the binary format.
+    constexpr int digits = 6;
     std::array<char, 32> buf{};
     const auto end =
         std::to_chars(buf.data(), buf.data() + buf.size(), n, std::chars_format::general, digits);
     return {buf.data(), end.ptr};
 }
 
-/// A job's name comes from anybody who may submit jobs; it must not steer the operator's terminal.
-std::string without_controls(std::string text)
+/// Replaces control characters by '?'. Any user who may submit jobs chooses job names, and these
+/// must not be able to control the operator's terminal.
+std::string replace_control_characters(std::string text)
 {
     constexpr char last_control = 0x1f;
-    constexpr char rubout = 0x7f;
+    constexpr char delete_character = 0x7f;
     for (auto& it : text)
     {
-        it = (it >= 0 && it <= last_control) || it == rubout ? '?' : it;
+        it = (it >= 0 && it <= last_control) || it == delete_character ? '?' : it;
     }
     return text;
 }
@@ -48,7 +50,7 @@
     return std::visit(
         overloaded{
             [](std::monostate) { return std::string("-"); },
-            [](const std::string& s) { return without_controls(s); },
+            [](const std::string& s) { return replace_control_characters(s); },
             [](std::int64_t n) { return std::to_string(n); },
             [](double n) { return number_text(n); },
             [](core::millis t) { return to_text(t); },
@@ -57,8 +59,8 @@
         c);
 }
 
-/// \return the number of characters of UTF-8 text.
-std::size_t width_of(const std::string& text)
+/// \return the number of characters in UTF-8 text.
+std::size_t character_count(const std::string& text)
 {
     constexpr unsigned char continuation_mask = 0xc0;
     constexpr unsigned char continuation = 0x80;
@@ -70,18 +72,19 @@
 
 bool is_right_aligned(value_kind kind)
 {
-    return kind != value_kind::text && kind != value_kind::truth;
+    return kind != value_kind::text && kind != value_kind::boolean;
 }
 
 using text_row = std::vector<std::string>;
 
-std::string line_of(const text_row& cells, const std::vector<std::size_t>& widths, const table& t)
+std::string format_line(
+    const text_row& cells, const std::vector<std::size_t>& widths, const table& t)
 {
     std::string line;
     for (std::size_t i = 0; i < cells.size(); ++i)
     {
-        const std::string padding(widths[i] - width_of(cells[i]), ' ');
-        line += i == 0 ? "" : between_columns;
+        const std::string padding(widths[i] - character_count(cells[i]), ' ');
+        line += i == 0 ? "" : column_separator;
         line += is_right_aligned(t.columns[i].kind) ? padding + cells[i] : cells[i] + padding;
     }
     line.erase(line.find_last_not_of(' ') + 1);
@@ -124,13 +127,13 @@
     {
         for (std::size_t i = 0; i < line.size(); ++i)
         {
-            widths[i] = std::max(widths[i], width_of(line[i]));
+            widths[i] = std::max(widths[i], character_count(line[i]));
         }
     }
     std::string text;
     for (const auto& it : lines)
     {
-        text += line_of(it, widths, t);
+        text += format_line(it, widths, t);
     }
     return text;
 }
--- a/libs/language/src/settings.cpp
+++ b/libs/language/src/settings.cpp
@@ -12,26 +12,26 @@
 namespace
 {
 
-/// A member of the configuration that can be assigned.
+/// Pointer to a member of the configuration that can be assigned.
 using member = std::variant<int*, double*, bool*, core::millis*, std::string*, model::policy_kind*>;
 
-/// A setting's name and its member within an owner of type Owner.
+/// Name of a setting and its member in an object of type Owner.
 template <class Owner>
-struct entry
+struct setting_entry
 {
     const char* name;
-    member (*of)(Owner&);
+    member (*member_of)(Owner&);
 };
 
 #define CAMPHORHITCH_SETTING(owner, path)                                                          \
-    entry<model::owner>                                                                            \
+    setting_entry<model::owner>                                                                    \
     {                                                                                              \
 #path, [](model::owner & it) -> member {                                                   \
             return &it.path;                                                                       \
         }                                                                                          \
     }
 
-const std::vector<entry<model::pool_config>> pool_entries = {
+const std::vector<setting_entry<model::pool_config>> pool_entries = {
     CAMPHORHITCH_SETTING(pool_config, budget.absent),
     CAMPHORHITCH_SETTING(pool_config, budget.absent_per_zone),
     CAMPHORHITCH_SETTING(pool_config, policy),
@@ -52,7 +52,7 @@
     CAMPHORHITCH_SETTING(pool_config, long_running.reserved_slots),
 };
 
-const std::vector<entry<model::policy_config>> policy_entries = {
+const std::vector<setting_entry<model::policy_config>> policy_entries = {
     CAMPHORHITCH_SETTING(policy_config, kind),
     CAMPHORHITCH_SETTING(policy_config, canary),
     CAMPHORHITCH_SETTING(policy_config, growth),
@@ -63,13 +63,13 @@
     CAMPHORHITCH_SETTING(policy_config, drain_timeout),
 };
 
-const std::vector<entry<model::team_config>> team_entries = {
+const std::vector<setting_entry<model::team_config>> team_entries = {
     CAMPHORHITCH_SETTING(team_config, processors),
     CAMPHORHITCH_SETTING(team_config, memory_gb),
     CAMPHORHITCH_SETTING(team_config, accelerators),
 };
 
-const std::vector<entry<model::configuration>> config_entries = {
+const std::vector<setting_entry<model::configuration>> config_entries = {
     CAMPHORHITCH_SETTING(configuration, key_memory),
     CAMPHORHITCH_SETTING(configuration, keys_per_slot),
     CAMPHORHITCH_SETTING(configuration, answer_kept_bytes),
@@ -77,11 +77,11 @@
 
 #undef CAMPHORHITCH_SETTING
 
-// ---- reading one value into a member; \return what is wrong, or an empty string ----
+// ---- assignment of one value to a member; returns the error text, or an empty string ----
 
-std::string not_a(value_kind kind, const value& v)
+std::string type_error(value_kind kind, const value& v)
 {
-    return "takes " + in_words(kind) + ", not " + cited(v.text);
+    return "takes " + describe_kind(kind) + ", not " + quoted_excerpt(v.text);
 }
 
 template <class Read, class To>
@@ -89,7 +89,7 @@
 {
     if (!n)
     {
-        return not_a(kind, v);
+        return type_error(kind, v);
     }
     if (*n < Read{})
     {
@@ -101,12 +101,12 @@
 
 std::string assign(const value& v, int& to)
 {
-    const auto n = read_whole(v.text);
+    const auto n = read_integer(v.text);
     if (n && *n > std::numeric_limits<int>::max())
     {
         return "must be at most " + std::to_string(std::numeric_limits<int>::max());
     }
-    return assign_number(n, value_kind::whole, v, to);
+    return assign_number(n, value_kind::integer, v, to);
 }
 
 std::string assign(const value& v, double& to)
@@ -121,9 +121,9 @@
 
 std::string assign(const value& v, bool& to)
 {
-    const auto truth = read_truth(v.text);
-    to = truth.value_or(to);
-    return truth ? std::string{} : not_a(value_kind::truth, v);
+    const auto flag = read_boolean(v.text);
+    to = flag.value_or(to);
+    return flag ? std::string{} : type_error(value_kind::boolean, v);
 }
 
 std::string assign(const value& v, std::string& to)
@@ -141,37 +141,38 @@
     {
         names += (names.empty() ? "" : ", ") + std::string(it.name);
     }
-    return kind ? std::string{} : "takes one of " + names + ", not " + cited(v.text);
+    return kind ? std::string{} : "takes one of " + names + ", not " + quoted_excerpt(v.text);
 }
 
 value_kind kind_of(const member& m)
 {
-    constexpr value_kind kinds[] = {value_kind::whole,
+    constexpr value_kind kinds[] = {value_kind::integer,
         value_kind::number,
-        value_kind::truth,
+        value_kind::boolean,
         value_kind::duration,
         value_kind::text,
         value_kind::text};
     return kinds[m.index()];
 }
 
-// ---- one owner ----
+// ---- settings of one owner ----
 
 template <class Owner>
-std::vector<setting> list(const std::vector<entry<Owner>>& entries)
+std::vector<setting> list_settings(const std::vector<setting_entry<Owner>>& entries)
 {
     Owner any;
     std::vector<setting> all;
     all.reserve(entries.size());
     for (const auto& it : entries)
     {
-        all.push_back({it.name, kind_of(it.of(any))});
+        all.push_back({it.name, kind_of(it.member_of(any))});
     }
     return all;
 }
 
 template <class Owner>
-const entry<Owner>* find_entry(const std::vector<entry<Owner>>& entries, const std::string& field)
+const setting_entry<Owner>* find_entry(
+    const std::vector<setting_entry<Owner>>& entries, const std::string& field)
 {
     for (const auto& it : entries)
     {
@@ -184,8 +185,8 @@
 }
 
 template <class Owner>
-core::finding no_such_setting(const set_statement& s,
-    const std::vector<entry<Owner>>& entries,
+core::finding unknown_setting_finding(const set_statement& s,
+    const std::vector<setting_entry<Owner>>& entries,
     const name& field,
     const std::string& document)
 {
@@ -198,19 +199,19 @@
     const std::string owner(core::name_of(setting_owner_names, s.owner));
     return finding_at(field.at,
         document,
-        cited(field.text) + " is no " + owner + " setting",
+        quoted_excerpt(field.text) + " is no " + owner + " setting",
         core::nearest_name(field.text, names));
 }
 
-core::finding about(
+core::finding setting_finding(
     const name& field, position at, const std::string& wrong, const std::string& document)
 {
-    return finding_at(at, document, cited(field.text) + ' ' + wrong);
+    return finding_at(at, document, quoted_excerpt(field.text) + ' ' + wrong);
 }
 
 template <class Owner>
-core::findings assign_all(const set_statement& s,
-    const std::vector<entry<Owner>>& entries,
+core::findings assign_settings(const set_statement& s,
+    const std::vector<setting_entry<Owner>>& entries,
     Owner& owner,
     const std::string& document)
 {
@@ -221,71 +222,74 @@
         const auto* known = find_entry(entries, it.field.text);
         if (known == nullptr)
         {
-            found.push_back(no_such_setting(s, entries, it.field, document));
+            found.push_back(unknown_setting_finding(s, entries, it.field, document));
             continue;
         }
         if (!assigned.insert(it.field.text).second)
         {
-            found.push_back(about(it.field, it.field.at, "is assigned twice", document));
+            found.push_back(setting_finding(it.field, it.field.at, "is assigned twice", document));
         }
-        const auto wrong =
-            std::visit([&it](auto* target) { return assign(it.to, *target); }, known->of(owner));
+        const auto wrong = std::visit(
+            [&it](auto* target) { return assign(it.new_value, *target); }, known->member_of(owner));
         if (!wrong.empty())
         {
-            found.push_back(about(it.field, it.to.at, wrong, document));
+            found.push_back(setting_finding(it.field, it.new_value.at, wrong, document));
         }
     }
     return found;
 }
 
 template <class Owner>
-core::findings check_one(
-    const set_statement& s, const std::vector<entry<Owner>>& entries, const std::string& document)
+core::findings check_settings(const set_statement& s,
+    const std::vector<setting_entry<Owner>>& entries,
+    const std::string& document)
 {
     Owner any;
-    return assign_all(s, entries, any, document);
+    return assign_settings(s, entries, any, document);
 }
 
 template <class Owner>
-core::findings apply_one(const set_statement& s,
-    const std::vector<entry<Owner>>& entries,
+core::findings apply_settings(const set_statement& s,
+    const std::vector<setting_entry<Owner>>& entries,
     std::vector<Owner>& owners,
     const std::string& document)
 {
     std::vector<std::string> names;
     for (auto& it : owners)
     {
-        if (it.name == s.of.text)
+        if (it.name == s.owner_name.text)
         {
             Owner changed = it;
-            auto found = assign_all(s, entries, changed, document);
+            auto found = assign_settings(s, entries, changed, document);
             it = found.empty() ? changed : it;
             return found;
         }
         names.push_back(it.name);
     }
-    return {finding_at(s.of.at,
+    return {finding_at(s.owner_name.at,
         document,
         "there is no " + std::string(core::name_of(setting_owner_names, s.owner)) + ' ' +
-            cited(s.of.text),
-        core::nearest_name(s.of.text, names))};
+            quoted_excerpt(s.owner_name.text),
+        core::nearest_name(s.owner_name.text, names))};
 }
 
-/// An experiment gives its pools their policies and takes them back at its end. A policy that
-/// operators chose meanwhile would spoil the comparison and then be lost.
-core::findings check_experiment(
+/// Rejects a change of the policy of a pool that is in an experiment. The experiment sets the
+/// policies of its pools and restores the earlier ones at its end. A policy that operators set
+/// meanwhile would invalidate the comparison, and would then be overwritten.
+core::findings check_experiment_policy(
     const set_statement& s, const model::configuration& c, const std::string& document)
 {
     core::findings found;
-    const auto* pool = s.owner == setting_owner::pool ? model::find_pool(c, s.of.text) : nullptr;
+    const auto* pool =
+        s.owner == setting_owner::pool ? model::find_pool(c, s.owner_name.text) : nullptr;
     for (const auto& it : s.assignments)
     {
         if (pool != nullptr && !pool->experiment.empty() && it.field.text == "policy")
         {
             found.push_back(finding_at(it.field.at,
                 document,
-                "experiment " + cited(pool->experiment) + " chooses the policy of pool " +
-                    cited(pool->name) + "; stop it first"));
+                "experiment " + quoted_excerpt(pool->experiment) + " chooses the policy of pool " +
+                    quoted_excerpt(pool->name) + "; stop it first"));
         }
     }
     return found;
@@ -293,10 +297,12 @@
 
 } // namespace
 
-const std::vector<setting>& settings_of(setting_owner owner)
+const std::vector<setting>& assignable_settings(setting_owner owner)
 {
-    static const std::vector<setting> all[] = {
-        list(pool_entries), list(policy_entries), list(team_entries), list(config_entries)};
+    static const std::vector<setting> all[] = {list_settings(pool_entries),
+        list_settings(policy_entries),
+        list_settings(team_entries),
+        list_settings(config_entries)};
     return all[static_cast<std::size_t>(owner)];
 }
 
@@ -305,20 +311,20 @@
     switch (s.owner)
     {
     case setting_owner::pool:
-        return check_one(s, pool_entries, document);
+        return check_settings(s, pool_entries, document);
     case setting_owner::policy:
-        return check_one(s, policy_entries, document);
+        return check_settings(s, policy_entries, document);
     case setting_owner::team:
-        return check_one(s, team_entries, document);
+        return check_settings(s, team_entries, document);
     case setting_owner::config:
-        return check_one(s, config_entries, document);
+        return check_settings(s, config_entries, document);
     }
     return {};
 }
 
 core::findings apply(const set_statement& s, model::configuration& c, const std::string& document)
 {
-    auto conflicts = check_experiment(s, c, document);
+    auto conflicts = check_experiment_policy(s, c, document);
     if (!conflicts.empty())
     {
         return conflicts;
@@ -326,15 +332,15 @@
     switch (s.owner)
     {
     case setting_owner::pool:
-        return apply_one(s, pool_entries, c.pools, document);
+        return apply_settings(s, pool_entries, c.pools, document);
     case setting_owner::policy:
-        return apply_one(s, policy_entries, c.policies, document);
+        return apply_settings(s, policy_entries, c.policies, document);
     case setting_owner::team:
-        return apply_one(s, team_entries, c.teams, document);
+        return apply_settings(s, team_entries, c.teams, document);
     case setting_owner::config:
     {
         auto changed = c;
-        auto found = assign_all(s, config_entries, changed, document);
+        auto found = assign_settings(s, config_entries, changed, document);
         c = found.empty() ? changed : c;
         return found;
     }
--- a/libs/language/src/source.cpp
+++ b/libs/language/src/source.cpp
@@ -52,7 +52,7 @@
     return {static_cast<int>(next - line_starts_.begin()), static_cast<int>(it - next[-1]) + 1};
 }
 
-const char* source::skip_blank(const char* it) const
+const char* source::skip_separators(const char* it) const
 {
     while (it != end())
     {
@@ -74,8 +74,8 @@
 
 const char* source::end_of_statement(const char* it) const
 {
-    // Looking for a closing brace once more after it wasn't found would take time in the square of
-    // the text's length.
+    // After one search without a closing brace there is no further search: repeated searches would
+    // take time quadratic in the length of the text.
     bool braces_close = true;
     while (it != end() && !is_separator(*it))
     {
@@ -86,11 +86,11 @@
         }
         else if (*it == '"')
         {
-            after = after_quotes(it);
+            after = end_of_quotes(it);
         }
         else if (*it == '{' && braces_close)
         {
-            const char* closed = after_braces(it);
+            const char* closed = end_of_braces(it);
             braces_close = closed != nullptr;
             after = braces_close ? closed : after;
         }
@@ -99,13 +99,13 @@
     return it;
 }
 
-const char* source::after_braces(const char* it) const
+const char* source::end_of_braces(const char* it) const
 {
     int open = 0;
     while (it != end())
     {
         const char c = *it;
-        it = c == '"' ? after_quotes(it) : it + 1;
+        it = c == '"' ? end_of_quotes(it) : it + 1;
         open += c == '{' ? 1 : 0;
         open -= c == '}' ? 1 : 0;
         if (open == 0)
@@ -121,7 +121,7 @@
     return std::find(it, end(), '\n');
 }
 
-const char* source::after_quotes(const char* it) const
+const char* source::end_of_quotes(const char* it) const
 {
     ++it;
     while (it != end() && *it != '"' && *it != '\n')
--- a/libs/language/src/source.hpp
+++ b/libs/language/src/source.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The text under the parser: places in it, and where statements end.
+/// The text that is parsed: positions in it, and boundaries of statements.
 #pragma once
 
 #include "language/statements.hpp"
@@ -10,9 +10,10 @@
 namespace camphorhitch::language
 {
 
-/// \return whether \p c may stand in a name or value without quotes.
+/// \return whether a name or value may contain \p c without quotes.
 bool is_word_char(char c);
 
+/// A text with an index of its lines. Positions in the text are pointers.
 class source
 {
 public:
@@ -23,19 +24,21 @@
     const char* end() const;
     position position_of(const char* it) const;
 
-    /// \return the next place from \p it on where a statement begins, or the end.
-    const char* skip_blank(const char* it) const;
+    /// Skips blanks, separators and comments.
+    /// \return the start of the next statement at or after \p it, or the end of the text.
+    const char* skip_separators(const char* it) const;
 
-    /// \return the separator that ends the statement which begins at \p it, or the end. Quotes and
-    ///     braces hide separators.
+    /// \return the separator after the statement that starts at \p it, or the end of the text.
+    ///     Separators inside quotes and braces are ignored.
     const char* end_of_statement(const char* it) const;
 
-    /// \return the place after the brace that closes the one at \p it, or nullptr.
-    const char* after_braces(const char* it) const;
+    /// \return the position after the brace that matches the opening brace at \p it, or nullptr
+    ///     when there is none.
+    const char* end_of_braces(const char* it) const;
 
 private:
     const char* end_of_line(const char* it) const;
-    const char* after_quotes(const char* it) const;
+    const char* end_of_quotes(const char* it) const;
 
     const std::string& text_;
     std::vector<const char*> line_starts_;
--- a/libs/language/src/values.cpp
+++ b/libs/language/src/values.cpp
@@ -18,7 +18,7 @@
     std::int64_t ms;
 };
 
-// The largest first.
+// In descending order, so that to_text() uses the largest possible unit.
 constexpr std::array<unit, 5> units{{
     {"d", 24LL * 3600 * 1000},
     {"h", 3600LL * 1000},
@@ -27,16 +27,16 @@
     {"ms", 1},
 }};
 
-constexpr core::name_table<value_kind, 5> kinds_in_words{{
+constexpr core::name_table<value_kind, 5> kind_descriptions{{
     {value_kind::text, "a text"},
-    {value_kind::whole, "a whole number"},
+    {value_kind::integer, "a whole number"},
     {value_kind::number, "a number"},
     {value_kind::duration, "a duration such as 250ms, 30s, 5m, 2h or 1d"},
-    {value_kind::truth, "true or false"},
+    {value_kind::boolean, "true or false"},
 }};
 
 template <class T>
-std::optional<T> read_all(std::string_view text)
+std::optional<T> parse_number(std::string_view text)
 {
     T n{};
     const char* end = text.data() + text.size();
@@ -50,16 +50,16 @@
 
 } // namespace
 
-std::optional<std::int64_t> read_whole(std::string_view text)
+std::optional<std::int64_t> read_integer(std::string_view text)
 {
-    return read_all<std::int64_t>(text);
+    return parse_number<std::int64_t>(text);
 }
 
 std::optional<double> read_number(std::string_view text)
 {
-    // from_chars() would take "nan" and "infinity", which compare and add up to nonsense.
+    // from_chars() accepts "nan" and "infinity", which give meaningless comparisons and sums.
     constexpr std::string_view starts = "-.0123456789";
-    const auto n = read_all<double>(text);
+    const auto n = parse_number<double>(text);
     const bool is_finite = n && *n >= std::numeric_limits<double>::lowest() &&
                            *n <= std::numeric_limits<double>::max();
     if (!is_finite || starts.find(text.front()) == std::string_view::npos)
@@ -76,7 +76,7 @@
     {
         return std::nullopt;
     }
-    const auto n = read_whole(text.substr(0, digits));
+    const auto n = read_integer(text.substr(0, digits));
     for (const auto& it : units)
     {
         const bool fits = n && *n <= std::numeric_limits<std::int64_t>::max() / it.ms;
@@ -88,7 +88,7 @@
     return std::nullopt;
 }
 
-std::optional<bool> read_truth(std::string_view text)
+std::optional<bool> read_boolean(std::string_view text)
 {
     if (text == "true" || text == "false")
     {
@@ -97,9 +97,9 @@
     return std::nullopt;
 }
 
-std::string in_words(value_kind kind)
+std::string describe_kind(value_kind kind)
 {
-    return std::string(core::name_of(kinds_in_words, kind));
+    return std::string(core::name_of(kind_descriptions, kind));
 }
 
 std::string to_text(core::millis t)
--- a/libs/language/tests/fuzz_tests.cpp
+++ b/libs/language/tests/fuzz_tests.cpp
@@ -12,14 +12,14 @@
 namespace
 {
 
-/// Runs one property; the seed is fixed by the test program's main().
+/// Checks one property. The main() of the test program sets a fixed seed.
 template <class Property>
 void check_property(const char* text, Property property)
 {
     CHECK_TEXT(rc::check(text, property), text);
 }
 
-/// Every finding has a place inside the text.
+/// Asserts that the position of every finding lies inside the text.
 void check_places(const std::string& text, const core::findings& found)
 {
     const auto lines = 1 + std::count(text.begin(), text.end(), '\n');
@@ -32,18 +32,18 @@
     }
 }
 
-/// Printing what was read gives a text that reads the same.
-void check_round_trip(const parsed& read)
+/// Asserts that every statement, printed and parsed again, is equal to the original.
+void check_round_trip(const parse_result& read)
 {
     for (const auto& it : read.statements)
     {
-        const auto again = parse(to_text(it.what), "");
+        const auto again = parse(to_text(it.body), "");
         RC_ASSERT(again.statements.size() == 1U);
-        RC_ASSERT(again.statements[0].what == it.what);
+        RC_ASSERT(again.statements[0].body == it.body);
     }
 }
 
-/// Nothing but comments and separators.
+/// \return whether the text contains only comments and separators.
 bool is_blank(const std::string& text)
 {
     std::istringstream lines(text);
@@ -64,7 +64,7 @@
     return rc::gen::map(rc::gen::oneOf(rc::gen::nonEmpty(rc::gen::container<std::string>(
                                            rc::gen::elementOf(std::string("ab9_.:/@+-\xc3\xb0")))),
                             rc::gen::arbitrary<std::string>()),
-        [](const std::string& it) { return written(it); });
+        [](const std::string& it) { return quoted_if_needed(it); });
 }
 
 std::string any_of(const std::vector<std::string>& all)
@@ -89,7 +89,7 @@
     return *rc::gen::arbitrary<bool>() ? text : std::string{};
 }
 
-/// A statement that is right in its grammar.
+/// \return a random statement that matches the grammar.
 std::string any_statement()
 {
     const auto n = *any_name();
@@ -125,13 +125,13 @@
 
 TEST_GROUP(fuzz){};
 
-TEST(fuzz, any_bytes)
+TEST(fuzz, random_bytes)
 {
     check_property("any bytes give statements or findings",
         [](const std::string& text)
         {
             const auto read = parse(text, "");
-            check_places(text, read.found);
+            check_places(text, read.findings);
             check_round_trip(read);
         });
 }
@@ -143,13 +143,13 @@
         {
             const auto text = any_statement() + any_of({"", ";", "\n", " # x"});
             const auto read = parse(text, "");
-            RC_ASSERT(core::to_text(read.found) == "");
+            RC_ASSERT(core::to_text(read.findings) == "");
             RC_ASSERT(read.statements.size() == 1U);
             check_round_trip(read);
         });
 }
 
-TEST(fuzz, changed_statements)
+TEST(fuzz, mutated_statements)
 {
     check_property("changed statements give statements or findings",
         []()
@@ -177,9 +177,9 @@
                         std::string(1, '\0')}));
             }
             const auto read = parse(text, "");
-            check_places(text, read.found);
+            check_places(text, read.findings);
             check_round_trip(read);
-            const bool nothing_read = read.statements.empty() && read.found.empty();
+            const bool nothing_read = read.statements.empty() && read.findings.empty();
             RC_ASSERT(nothing_read == is_blank(text));
         });
 }
--- a/libs/language/tests/parse_tests.cpp
+++ b/libs/language/tests/parse_tests.cpp
@@ -8,15 +8,15 @@
 namespace
 {
 
-std::string printed(const parsed& p)
+std::string printed(const parse_result& p)
 {
     std::string text;
     for (const auto& it : p.statements)
     {
         text += std::to_string(it.at.line) + ':' + std::to_string(it.at.column) + ' ' +
-                to_text(it.what) + '\n';
+                to_text(it.body) + '\n';
     }
-    return text + core::to_text(p.found);
+    return text + core::to_text(p.findings);
 }
 
 } // namespace
@@ -69,7 +69,7 @@
     {
         const auto first = parse(it.text, "in");
         STRCMP_EQUAL((std::string("1:1 ") + it.canonical + "\n").c_str(), printed(first).c_str());
-        CHECK(first.statements[0].what == parse(it.canonical, "in").statements.at(0).what);
+        CHECK(first.statements[0].body == parse(it.canonical, "in").statements.at(0).body);
     }
 }
 
@@ -83,19 +83,19 @@
         printed(read).c_str());
 }
 
-TEST(statements, queries_are_told_from_commands)
+TEST(statements, queries_are_distinguished_from_commands)
 {
     const auto all = parse("show hosts; why host h; set pool p spare = true; cancel job j", "in");
     const bool expected[] = {true, true, false, false};
     for (std::size_t i = 0; i < all.statements.size(); ++i)
     {
-        CHECK_EQUAL(expected[i], is_query(all.statements[i].what));
+        CHECK_EQUAL(expected[i], is_query(all.statements[i].body));
     }
 }
 
 TEST_GROUP(mistakes){};
 
-TEST(mistakes, are_told_with_place_and_suggestion)
+TEST(mistakes, are_reported_with_position_and_suggestion)
 {
     const struct
     {
@@ -178,7 +178,7 @@
     };
     for (const auto& it : rows)
     {
-        std::string text = core::to_text(parse(it.text, "in").found);
+        std::string text = core::to_text(parse(it.text, "in").findings);
         text.pop_back();
         STRCMP_EQUAL(it.found, text.c_str());
     }
@@ -205,17 +205,17 @@
         printed(read).c_str());
 }
 
-TEST(mistakes, of_hostile_size_stay_bounded)
+TEST(mistakes, in_very_large_texts_give_a_bounded_number_of_findings)
 {
     std::string many;
-    for (std::size_t i = 0; i < most_findings * 3; ++i)
+    for (std::size_t i = 0; i < max_findings * 3; ++i)
     {
         many += "x;";
     }
     const auto bounded = parse(many, "");
-    LONGS_EQUAL(most_findings + 1, bounded.found.size());
-    STRCMP_EQUAL("too many findings; not read from here on", bounded.found.back().text.c_str());
-    const auto refused = parse(std::string(longest_text + 1, ' '), "");
-    STRCMP_EQUAL("longer than 1048576 bytes, not read", refused.found.at(0).text.c_str());
-    LONGS_EQUAL(1, parse("submit job " + std::string(longest_text / 2, '{'), "").found.size());
+    LONGS_EQUAL(max_findings + 1, bounded.findings.size());
+    STRCMP_EQUAL("too many findings; not read from here on", bounded.findings.back().text.c_str());
+    const auto refused = parse(std::string(max_text_bytes + 1, ' '), "");
+    STRCMP_EQUAL("longer than 1048576 bytes, not read", refused.findings.at(0).text.c_str());
+    LONGS_EQUAL(1, parse("submit job " + std::string(max_text_bytes / 2, '{'), "").findings.size());
 }
--- a/libs/language/tests/settings_tests.cpp
+++ b/libs/language/tests/settings_tests.cpp
@@ -26,7 +26,7 @@
 core::findings apply_text(const std::string& text, model::configuration& c)
 {
     const auto read = parse(text, "in");
-    return apply(std::get<set_statement>(read.statements.at(0).what), c, "in");
+    return apply(std::get<set_statement>(read.statements.at(0).body), c, "in");
 }
 
 } // namespace
@@ -61,7 +61,7 @@
     CHECK(expected == c);
 }
 
-TEST(settings, change_nothing_with_a_finding)
+TEST(settings, are_unchanged_when_there_is_a_finding)
 {
     const struct
     {
@@ -96,10 +96,10 @@
 
 TEST(settings, are_listed_with_their_kinds)
 {
-    const auto& all = settings_of(setting_owner::pool);
+    const auto& all = assignable_settings(setting_owner::pool);
     LONGS_EQUAL(18, all.size());
     STRCMP_EQUAL("budget.absent", all[0].name.c_str());
-    CHECK(all[0].kind == value_kind::whole && all[3].kind == value_kind::truth);
-    CHECK(settings_of(setting_owner::policy)[0].kind == value_kind::text);
-    CHECK(settings_of(setting_owner::config)[0].kind == value_kind::duration);
+    CHECK(all[0].kind == value_kind::integer && all[3].kind == value_kind::boolean);
+    CHECK(assignable_settings(setting_owner::policy)[0].kind == value_kind::text);
+    CHECK(assignable_settings(setting_owner::config)[0].kind == value_kind::duration);
 }
--- a/libs/language/tests/table_tests.cpp
+++ b/libs/language/tests/table_tests.cpp
@@ -15,10 +15,10 @@
     const cell none;
     return {{{"id", value_kind::text},
                 {"zone", value_kind::text},
-                {"slots", value_kind::whole},
+                {"slots", value_kind::integer},
                 {"load", value_kind::number},
                 {"age", value_kind::duration},
-                {"spare", value_kind::truth}},
+                {"spare", value_kind::boolean}},
         {
             {"h1", "z1", std::int64_t{8}, 0.5, millis{90000}, false},
             {"h2", "z2", std::int64_t{16}, 2.25, millis{1500}, true},
@@ -29,11 +29,11 @@
 
 show_statement query(const std::string& text)
 {
-    return std::get<show_statement>(parse("show hosts " + text, "in").statements.at(0).what);
+    return std::get<show_statement>(parse("show hosts " + text, "in").statements.at(0).body);
 }
 
-/// The ids of the rows found, or the findings.
-std::string answer(const std::string& text)
+/// \return the ids of the selected rows, or the findings.
+std::string run_query(const std::string& text)
 {
     const auto made = evaluate(query(text), hosts(), "in");
     if (const auto* wrong = std::get_if<core::findings>(&made))
@@ -87,11 +87,11 @@
     };
     for (const auto& it : rows)
     {
-        STRCMP_EQUAL_TEXT(it.ids, answer(it.text).c_str(), it.text);
+        STRCMP_EQUAL_TEXT(it.ids, run_query(it.text).c_str(), it.text);
     }
 }
 
-TEST(queries, findings_come_together)
+TEST(queries, all_findings_are_reported_together)
 {
     STRCMP_EQUAL("in:1:18: no field 'zne' here (did you mean 'zone'?)\n"
                  "in:1:45: 'slots' is a whole number, not 'many'\n"
@@ -99,12 +99,12 @@
                  "in:1:81: true and false have no order\n"
                  "in:1:98: '~' is for texts only\n"
                  "in:1:109: no field 'ag' here (did you mean 'age'?)\n",
-        answer("where zne = z1 and slots  =      many and age =        5 and spare < true and "
-               "slots ~ 1 order by ag")
+        run_query("where zne = z1 and slots  =      many and age =        5 and spare < true and "
+                  "slots ~ 1 order by ag")
             .c_str());
 }
 
-TEST(queries, rows_are_selected_for_commands_too)
+TEST(queries, select_rows_returns_row_indices)
 {
     const auto rows = select_rows(hosts(), query("where zone = z1").where, "in");
     CHECK((std::get<std::vector<std::size_t>>(rows) == std::vector<std::size_t>{0, 2}));
--- a/libs/model/include/model/keys.hpp
+++ b/libs/model/include/model/keys.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Keys in the key-value service.
+/// Keys of the documents in the key-value service.
 #pragma once
 
 #include <string>
@@ -10,7 +10,7 @@
 inline const std::string root = "/camphorhitch/";
 inline const std::string config = root + "config";
 inline const std::string roster = root + "roster";
-inline const std::string members = root + "members/"; ///< leased, one per entry host
+inline const std::string members = root + "members/"; ///< + member; key with a lease
 inline const std::string pools = root + "pools/";
 inline const std::string waves = root + "waves/";
 inline const std::string jobs = root + "jobs/";     ///< + pool + "/" + bucket
--- a/libs/model/src/check.cpp
+++ b/libs/model/src/check.cpp
@@ -9,13 +9,13 @@
 namespace
 {
 
-/// The configuration's findings with the pointers of their pools.
+/// Collects the findings of a configuration.
 struct checker
 {
     const configuration& config;
     const std::string& document;
     core::findings found;
-    std::map<std::string_view, std::size_t> pool_of_service; ///< index of the pool
+    std::map<std::string_view, std::size_t> pool_of_service; ///< index of the pool by service
 
     void add(std::string pointer, std::string text, std::string suggestion = {})
     {
@@ -45,8 +45,8 @@
         core::nearest_name(policy, names));
 }
 
-/// A pool in an experiment also needs the policy that it gets back: without it, the end of the
-/// experiment would leave it under a policy that nobody chose.
+/// A pool in an experiment must also have a valid policy to restore. Otherwise the pool would keep
+/// the policy of its arm after the experiment, which no operator chose.
 void check_policies(checker& c, std::size_t index)
 {
     const pool_config& pool = c.config.pools[index];
@@ -57,8 +57,8 @@
     }
 }
 
-/// A budget of 0 can never be met: no host could ever leave for maintenance, and a wave would
-/// wait for ever.
+/// Rejects budgets of 0. With such a budget no host could be drained for maintenance, and waves
+/// would wait forever.
 void check_budget(checker& c, std::size_t index)
 {
     const pool_config& pool = c.config.pools[index];
--- a/libs/model/src/codec.cpp
+++ b/libs/model/src/codec.cpp
@@ -32,19 +32,21 @@
 }
 
 decoded<configuration> decode_configuration(
-    const std::string& text, const std::string& name, strictness how)
+    const std::string& text, const std::string& name, strictness mode)
 {
-    return checked_json::decode<configuration>(text, name, how);
+    return checked_json::decode<configuration>(text, name, mode);
 }
 
-decoded<pool_document> decode_pool(const std::string& text, const std::string& name, strictness how)
+decoded<pool_document> decode_pool(
+    const std::string& text, const std::string& name, strictness mode)
 {
-    return checked_json::decode<pool_document>(text, name, how);
+    return checked_json::decode<pool_document>(text, name, mode);
 }
 
-decoded<wave_document> decode_wave(const std::string& text, const std::string& name, strictness how)
+decoded<wave_document> decode_wave(
+    const std::string& text, const std::string& name, strictness mode)
 {
-    return checked_json::decode<wave_document>(text, name, how);
+    return checked_json::decode<wave_document>(text, name, mode);
 }
 
 decoded<roster_document> decode_roster(const std::string& text, const std::string& name)
--- a/libs/model/src/describe_config.hpp
+++ b/libs/model/src/describe_config.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The keys of the configuration's records, for reading and writing alike.
+/// The keys of the records of the configuration, for reading and writing.
 #pragma once
 
 #include "checked_json/record.hpp"
@@ -10,7 +10,7 @@
 namespace camphorhitch::model
 {
 
-/// T, or const T when writing.
+/// Matches Record when reading, and const Record when writing.
 template <class T, class Record>
 concept is_record = std::is_same_v<std::remove_const_t<T>, Record>;
 
@@ -22,7 +22,7 @@
 using checked_json::real_range;
 
 inline constexpr int_range hosts{0, 100000};
-inline constexpr int_range some_hosts{1, 100000};
+inline constexpr int_range at_least_one_host{1, 100000};
 inline constexpr int_range queue{0, 1000000};
 inline constexpr int_range slots{0, 10000};
 inline constexpr int_range keys{1, 10000000};
@@ -31,7 +31,7 @@
 inline constexpr real_range ratio{0, 1};
 inline constexpr millis_range request_time{core::millis{1}, core::millis{3600000}};
 inline constexpr millis_range wave_time{core::millis{1}, core::millis{86400000}};
-inline constexpr millis_range memory_time{core::millis{1000}, core::millis{86400000}};
+inline constexpr millis_range key_lifetime{core::millis{1000}, core::millis{86400000}};
 
 } // namespace config_bounds
 
@@ -73,10 +73,10 @@
 {
     keys.required("name", r.name, checked_json::check_name)
         .required("kind", r.kind, policy_kind_names)
-        .defaulted("canary", r.canary, config_bounds::some_hosts)
+        .defaulted("canary", r.canary, config_bounds::at_least_one_host)
         .defaulted("growth", r.growth, config_bounds::growth)
         .optional("largest_batch", r.largest_batch, config_bounds::hosts)
-        .defaulted("halt_after", r.halt_after, config_bounds::some_hosts)
+        .defaulted("halt_after", r.halt_after, config_bounds::at_least_one_host)
         .defaulted("fixed_buffer", r.fixed_buffer, config_bounds::hosts)
         .defaulted("return_timeout_ms", r.return_timeout, config_bounds::wave_time)
         .defaulted("drain_timeout_ms", r.drain_timeout, config_bounds::wave_time);
@@ -99,7 +99,7 @@
         .optional("pools", r.pools, unique_by<pool_config>{"name", &pool_config::name})
         .optional("policies", r.policies, unique_by<policy_config>{"name", &policy_config::name})
         .optional("teams", r.teams, unique_by<team_config>{"name", &team_config::name})
-        .defaulted("key_memory_ms", r.key_memory, config_bounds::memory_time)
+        .defaulted("key_memory_ms", r.key_memory, config_bounds::key_lifetime)
         .defaulted("keys_per_slot", r.keys_per_slot, config_bounds::keys)
         .defaulted("answer_kept_bytes", r.answer_kept_bytes, config_bounds::answer_bytes)
         .optional("commands", r.commands);
--- a/libs/model/src/describe_fleet.hpp
+++ b/libs/model/src/describe_fleet.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The keys of the fleet's documents, for reading and writing alike.
+/// The keys of the fleet documents, for reading and writing.
 #pragma once
 
 #include "checked_json/record.hpp"
@@ -17,16 +17,16 @@
 using checked_json::real_range;
 using checked_json::text_size;
 
-inline constexpr text_size some_text{1, 256};
+inline constexpr text_size required_text{1, 256};
 inline constexpr int_range hosts{0, 100000};
 inline constexpr int_range slots{0, 10000};
 inline constexpr int_range connections{0, 100000};
 inline constexpr int_range accelerators{0, 10000};
-inline constexpr int_range since_zero{};
+inline constexpr int_range non_negative{};
 
 } // namespace fleet_bounds
 
-/// T, or const T when writing.
+/// Matches Record when reading, and const Record when writing.
 template <class T, class Record>
 concept is_document = std::is_same_v<std::remove_const_t<T>, Record>;
 
@@ -35,13 +35,13 @@
 {
     keys.optional("rule", r.rule)
         .optional("weighed", r.weighed)
-        .optional("at_ms", r.at_ms, fleet_bounds::since_zero);
+        .optional("at_ms", r.at_ms, fleet_bounds::non_negative);
 }
 
 template <class Keys, is_document<host_record> R>
 void describe(Keys& keys, R& r)
 {
-    keys.required("id", r.id, fleet_bounds::some_text)
+    keys.required("id", r.id, fleet_bounds::required_text)
         .optional("zone", r.zone)
         .optional("rack", r.rack)
         .defaulted("processors", r.processors, fleet_bounds::real_range{})
@@ -53,26 +53,26 @@
         .defaulted("state", r.state, host_state_names)
         .optional("purpose", r.purpose, drain_purpose_names)
         .optional("wave", r.wave)
-        .optional("maintained", r.maintained)
+        .optional("maintained", r.last_wave)
         .optional("move_to", r.move_to)
         .optional("lent_by", r.lent_by)
         .optional("command", r.command)
-        .defaulted("ownership", r.ownership, fleet_bounds::since_zero)
-        .optional("boot_count", r.boot_count, fleet_bounds::since_zero)
-        .optional("since_ms", r.since_ms, fleet_bounds::since_zero)
+        .defaulted("ownership", r.ownership, fleet_bounds::non_negative)
+        .optional("boot_count", r.boot_count, fleet_bounds::non_negative)
+        .optional("since_ms", r.since_ms, fleet_bounds::non_negative)
         .defaulted("why", r.why);
 }
 
 template <class Keys, is_document<released_host> R>
 void describe(Keys& keys, R& r)
 {
-    keys.required("host", r.host).required("to", r.to, fleet_bounds::some_text);
+    keys.required("host", r.host).required("to", r.to, fleet_bounds::required_text);
 }
 
 template <class Keys, is_document<pool_document> R>
 void describe(Keys& keys, R& r)
 {
-    keys.required("pool", r.pool, fleet_bounds::some_text)
+    keys.required("pool", r.pool, fleet_bounds::required_text)
         .optional("hosts", r.hosts, checked_json::unique_by<host_record>{"id", &host_record::id})
         .optional("released", r.released)
         .optional("commands", r.commands);
@@ -81,16 +81,16 @@
 template <class Keys, is_document<wave_document> R>
 void describe(Keys& keys, R& r)
 {
-    keys.required("id", r.id, fleet_bounds::some_text)
+    keys.required("id", r.id, fleet_bounds::required_text)
         .optional("hosts", r.hosts, checked_json::unique_texts{})
         .optional("admitted", r.admitted, checked_json::unique_texts{})
         .optional("batch", r.batch, fleet_bounds::hosts)
         .defaulted("phase", r.phase, wave_phase_names)
-        .optional("started_ms", r.started_ms, fleet_bounds::since_zero)
-        .optional("ended_ms", r.ended_ms, fleet_bounds::since_zero)
-        .optional("failures_excused", r.failures_excused, fleet_bounds::since_zero)
-        .optional("failed_at_end", r.failed_at_end, fleet_bounds::since_zero)
-        .optional("gone_at_end", r.gone_at_end, fleet_bounds::since_zero)
+        .optional("started_ms", r.started_ms, fleet_bounds::non_negative)
+        .optional("ended_ms", r.ended_ms, fleet_bounds::non_negative)
+        .optional("failures_excused", r.failures_excused, fleet_bounds::non_negative)
+        .optional("failed_at_end", r.failed_at_end, fleet_bounds::non_negative)
+        .optional("gone_at_end", r.gone_at_end, fleet_bounds::non_negative)
         .optional("policy", r.policy)
         .optional("commands", r.commands)
         .defaulted("why", r.why);
--- a/libs/model/tests/any_document.hpp
+++ b/libs/model/tests/any_document.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Random documents within the codec's ranges, for use inside RapidCheck properties.
+/// Random documents within the limits of the codec, for use inside RapidCheck properties.
 #pragma once
 
 #include "model/config.hpp"
@@ -33,7 +33,7 @@
     return low + (high - low) * static_cast<double>(any_int(0, 1 << 30)) / (1 << 30);
 }
 
-/// Any text that is valid UTF-8, with quotes, control characters and a letter of two bytes.
+/// \return random valid UTF-8 text, including quotes, control characters and a two-byte character.
 inline std::string any_text()
 {
     std::string text;
@@ -55,7 +55,7 @@
     return table[static_cast<std::size_t>(any_count(N - 1))].value;
 }
 
-/// \param make takes the element's index, so that it can make names that are unique.
+/// \param make makes an element from its index, by which it can make unique names.
 template <class Make>
 auto any_list(Make make)
 {
@@ -156,7 +156,7 @@
     it.state = any_of(host_state_names);
     it.purpose = any_of(drain_purpose_names);
     it.wave = any_text();
-    it.maintained = any_text();
+    it.last_wave = any_text();
     it.move_to = any_text();
     it.lent_by = any_text();
     it.command = any_text();
--- a/libs/model/tests/codec_tests.cpp
+++ b/libs/model/tests/codec_tests.cpp
@@ -40,7 +40,7 @@
 }
 
 template <class Make>
-bool returns_unchanged(const char* what, Make make)
+bool is_unchanged_by_round_trip(const char* what, Make make)
 {
     return rc::check(what,
         [&]
@@ -59,18 +59,18 @@
 
 TEST_GROUP(codec){};
 
-TEST(codec, every_document_returns_unchanged)
+TEST(codec, a_round_trip_leaves_every_document_unchanged)
 {
-    CHECK(returns_unchanged("configuration", any_configuration));
-    CHECK(returns_unchanged("pool", any_pool));
-    CHECK(returns_unchanged("wave", any_wave));
-    CHECK(returns_unchanged("roster", any_roster));
-    CHECK(returns_unchanged("member", [] { return any_member(0); }));
+    CHECK(is_unchanged_by_round_trip("configuration", any_configuration));
+    CHECK(is_unchanged_by_round_trip("pool", any_pool));
+    CHECK(is_unchanged_by_round_trip("wave", any_wave));
+    CHECK(is_unchanged_by_round_trip("roster", any_roster));
+    CHECK(is_unchanged_by_round_trip("member", [] { return any_member(0); }));
 }
 
-/// A member that a later change adds to a struct and forgets in describe() would be lost at each
-/// write, without a word: the document is read back with the member's default.
-TEST(codec, every_member_of_every_struct_has_its_key)
+/// Guards against a member that is added to a struct but not to its describe(). Each write would
+/// lose the value without an error, because the document is read with the default of the member.
+TEST(codec, every_member_of_every_struct_has_a_key)
 {
     struct row
     {
--- a/libs/model/tests/damage_tests.cpp
+++ b/libs/model/tests/damage_tests.cpp
@@ -20,7 +20,7 @@
     return found == nullptr ? std::string{} : core::to_text(*found);
 }
 
-/// Cuts, overwrites or repeats a part of \p text.
+/// \return \p text with a random part removed, overwritten or repeated.
 std::string damaged(std::string text)
 {
     const auto n = static_cast<std::int64_t>(text.size());
@@ -34,9 +34,10 @@
     return text.insert(begin, text.substr(static_cast<std::size_t>(any_int(0, n - 1)), count));
 }
 
-/// What any reader must do with any text: accept what writes back, or tell what is wrong.
+/// Asserts that a decoder either accepts a text, and the document can be encoded again, or reports
+/// findings.
 template <class T>
-void accepts_or_tells(const decoded<T>& d)
+void accepts_or_reports(const decoded<T>& d)
 {
     if (const auto* found = std::get_if<core::findings>(&d))
     {
@@ -46,40 +47,40 @@
     RC_ASSERT(!encode(std::get<T>(d)).empty());
 }
 
-void each_reader_accepts_or_tells(const std::string& text)
+void each_decoder_accepts_or_reports(const std::string& text)
 {
-    constexpr auto how = strictness::lenient;
-    accepts_or_tells(decode_configuration(text, "d", how));
-    accepts_or_tells(decode_pool(text, "d", how));
-    accepts_or_tells(decode_wave(text, "d", how));
-    accepts_or_tells(decode_roster(text, "d"));
-    accepts_or_tells(decode_member(text, "d"));
+    constexpr auto mode = strictness::lenient;
+    accepts_or_reports(decode_configuration(text, "d", mode));
+    accepts_or_reports(decode_pool(text, "d", mode));
+    accepts_or_reports(decode_wave(text, "d", mode));
+    accepts_or_reports(decode_roster(text, "d"));
+    accepts_or_reports(decode_member(text, "d"));
 }
 
 } // namespace
 
 TEST_GROUP(damage){};
 
-TEST(damage, damaged_documents_are_accepted_or_told)
+TEST(damage, damaged_documents_are_accepted_or_give_findings)
 {
     CHECK(rc::check("damage",
         []
         {
-            each_reader_accepts_or_tells(damaged(encode(any_configuration())));
-            each_reader_accepts_or_tells(damaged(encode(any_pool())));
-            each_reader_accepts_or_tells(damaged(encode(any_wave())));
-            each_reader_accepts_or_tells(damaged(encode(any_roster())));
-            each_reader_accepts_or_tells(damaged(encode(any_member(0))));
-            each_reader_accepts_or_tells(*rc::gen::arbitrary<std::string>());
+            each_decoder_accepts_or_reports(damaged(encode(any_configuration())));
+            each_decoder_accepts_or_reports(damaged(encode(any_pool())));
+            each_decoder_accepts_or_reports(damaged(encode(any_wave())));
+            each_decoder_accepts_or_reports(damaged(encode(any_roster())));
+            each_decoder_accepts_or_reports(damaged(encode(any_member(0))));
+            each_decoder_accepts_or_reports(*rc::gen::arbitrary<std::string>());
         }));
 }
 
-TEST(damage, older_and_newer_forms_are_read_and_contradictions_told)
+TEST(damage, older_and_newer_forms_are_read_and_wrong_values_are_reported)
 {
     struct row
     {
         const char* text;
-        strictness how;
+        strictness mode;
         const char* findings;
     };
     const row rows[] = {
@@ -97,13 +98,13 @@
     };
     for (const auto& it : rows)
     {
-        STRCMP_EQUAL(it.findings, findings_of(decode_pool(it.text, "d", it.how)).c_str());
+        STRCMP_EQUAL(it.findings, findings_of(decode_pool(it.text, "d", it.mode)).c_str());
     }
 }
 
 TEST_GROUP(check_of_configuration){};
 
-TEST(check_of_configuration, each_contradiction_is_told)
+TEST(check_of_configuration, each_contradiction_is_reported)
 {
     struct row
     {
--- a/libs/model/tests/field_count.hpp
+++ b/libs/model/tests/field_count.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Counts the members of a plain struct and the keys that its describe() names.
+/// Counts the members of an aggregate and the keys in its describe().
 #pragma once
 
 #include <cstddef>
@@ -9,15 +9,16 @@
 namespace camphorhitch::model
 {
 
-/// Converts to any member's type.
+/// Converts to the type of any member.
 struct any_member_value
 {
     template <class T>
     operator T() const; // NOLINT: implicit on purpose
 };
 
+/// \return whether \p T can be initialized from as many values as there are indices.
 template <class T, std::size_t... I>
-constexpr bool takes(std::index_sequence<I...>)
+constexpr bool is_initializable(std::index_sequence<I...>)
 {
     return requires
     {
@@ -25,11 +26,11 @@
     };
 }
 
-/// \return how many members the aggregate \p T has.
+/// \return the number of members of the aggregate \p T.
 template <class T, std::size_t N = 0>
 constexpr std::size_t field_count()
 {
-    if constexpr (takes<T>(std::make_index_sequence<N + 1>{}))
+    if constexpr (is_initializable<T>(std::make_index_sequence<N + 1>{}))
     {
         return field_count<T, N + 1>();
     }
@@ -39,7 +40,7 @@
     }
 }
 
-/// Stands in for an object_reader or object_writer.
+/// Replaces an object_reader or object_writer, and counts the keys.
 struct key_counter
 {
     std::size_t keys = 0;
@@ -64,7 +65,7 @@
     }
 };
 
-/// \return how many keys describe() names for \p T.
+/// \return the number of keys in the describe() of \p T.
 template <class T>
 std::size_t key_count()
 {
--- a/libs/settings/include/settings/client_settings.hpp
+++ b/libs/settings/include/settings/client_settings.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The settings of camphorhitch, the operators' client, from one JSON file.
+/// Settings of camphorhitch, the operators' client, read from one JSON file.
 #pragma once
 
 #include "core/findings.hpp"
@@ -12,15 +12,16 @@
 namespace camphorhitch::settings
 {
 
+/// Members have the names of their keys.
 struct client_settings
 {
-    std::vector<std::string> operators; ///< daemons' operator addresses, tried in order
-    std::string token;
-    core::millis timeout{10000}; ///< of one call
+    std::vector<std::string> operators; ///< operator addresses of daemons, tried in order
+    std::string token;                  ///< the operators' token
+    core::millis timeout{10000};        ///< timeout of one call
 };
 
-/// \param file_name the document's name in findings.
-/// \return the settings, or everything that is wrong with \p text.
+/// \param file_name name of the document in findings.
+/// \return the settings, or all findings of \p text.
 std::variant<client_settings, core::findings> read_client_settings(
     const std::string& text, const std::string& file_name);
 
--- a/libs/settings/include/settings/daemon_settings.hpp
+++ b/libs/settings/include/settings/daemon_settings.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// The settings of camphorhitchd, from one JSON file. docs/operators/settings.md tells each key.
+/// Settings of camphorhitchd, read from one JSON file. Members have the names of their keys;
+/// docs/operators/settings.md describes each key.
 #pragma once
 
 #include "core/findings.hpp"
@@ -14,64 +15,72 @@
 namespace camphorhitch::settings
 {
 
-/// The platform's key-value service.
+/// Access to the platform's key-value service.
 struct store_settings
 {
     std::vector<std::string> addresses; ///< "ip:port", tried in order
-    std::string token;                  ///< empty: none is sent
-    core::millis timeout{1000};         ///< of one call
-    core::millis lease_ttl{6000};       ///< after which a silent member leaves the roster
+    std::string token;                  ///< empty: no token is sent
+    core::millis timeout{1000};         ///< timeout of one call
+    /// A member that does not renew its lease for this time leaves the roster.
+    core::millis lease_ttl{6000};
 };
 
-/// The platform's list of live hosts and its workers.
+/// Access to the platform's list of live hosts and to its workers.
 struct platform_settings
 {
-    std::string live_list;       ///< "ip:port", or empty: there is none
-    std::string workers;         ///< "ip:port", or empty: no jobs are run
-    std::string token;           ///< empty: none is sent
-    core::millis poll{1000};     ///< between two readings of the live list
-    core::millis list_lag{5000}; ///< the list is never older than this
+    std::string live_list;       ///< "ip:port"; empty: there is no live list
+    std::string workers;         ///< "ip:port"; empty: no jobs are run
+    std::string token;           ///< empty: no token is sent
+    core::millis poll{1000};     ///< interval between two reads of the live list
+    core::millis list_lag{5000}; ///< maximum age of the live list
 };
 
-/// Bounds on what callers and targets may cost this process.
+/// Limits on the resources that callers and targets may use in this process.
 struct limit_settings
 {
-    std::size_t body_bytes = 1u << 20;   ///< of a request
-    std::size_t header_bytes = 16384;    ///< of a request
-    std::size_t connections = 2000;      ///< open at once, from callers
-    std::size_t open_requests = 1000;    ///< at once, from callers
-    std::size_t answer_bytes = 8u << 20; ///< of a target's answer
+    std::size_t body_bytes = 1u << 20;   ///< maximum body of a request
+    std::size_t header_bytes = 16384;    ///< maximum header of a request
+    std::size_t connections = 2000;      ///< maximum number of open connections from callers
+    std::size_t open_requests = 1000;    ///< maximum number of concurrent requests of callers
+    std::size_t answer_bytes = 8u << 20; ///< maximum answer of a target
 };
 
+/// Intervals and time limits of membership, permits and shutdown.
 struct timing_settings
 {
-    core::millis freshness{3000};        ///< after its last confirmation a member acts no more
-    core::millis beat_interval{500};     ///< between heartbeats to a peer
-    core::millis permit_ttl{1000};       ///< after asking for it a permit lapses unused
-    core::millis take_over_margin{1000}; ///< on top of freshness, before others' work is taken over
-    core::millis outage_grace{600000};   ///< until a silent majority counts as gone
-    core::millis drain_stop{30000};      ///< bound of a graceful stop
+    /// A member stops acting this long after its last confirmation.
+    core::millis freshness{3000};
+    core::millis beat_interval{500}; ///< interval between heartbeats to a peer
+    core::millis permit_ttl{1000};   ///< an unused permit expires this long after its request
+    /// Added to freshness before the work of another member is taken over.
+    core::millis take_over_margin{1000};
+    /// An unresponsive majority is treated as lost after this time.
+    core::millis outage_grace{600000};
+    core::millis drain_stop{30000}; ///< maximum duration of a graceful stop
 };
 
+/// Settings of the log.
 struct log_settings
 {
-    ports::log_level level = ports::log_level::info; ///< lower ones are not written
+    ports::log_level level = ports::log_level::info; ///< events of lower levels are not written
 };
 
+/// Settings of traces.
 struct trace_settings
 {
-    double sample = 0.01; ///< share of new traces that are recorded, 0 to 1
+    double sample = 0.01; ///< share of new traces that are recorded, between 0 and 1
 };
 
+/// All settings of one entry host.
 struct daemon_settings
 {
-    std::string member;           ///< this entry host's id
-    std::string zone;             ///< its availability zone
-    std::string peer_address;     ///< "ip:port", as peers reach it
-    std::string caller_address;   ///< "ip:port" to listen at
-    std::string operator_address; ///< "ip:port" to listen at
-    std::string operator_token;
-    std::string peer_token; ///< that the entry hosts show one another
+    std::string member;           ///< id of this entry host
+    std::string zone;             ///< availability zone of this entry host
+    std::string peer_address;     ///< "ip:port" at which peers connect
+    std::string caller_address;   ///< "ip:port" at which callers connect
+    std::string operator_address; ///< "ip:port" at which operators' clients connect
+    std::string operator_token;   ///< token that operators' clients must send
+    std::string peer_token;       ///< token that entry hosts send to each other
     store_settings store;
     platform_settings platform;
     limit_settings limits;
@@ -80,8 +89,8 @@
     trace_settings trace;
 };
 
-/// \param file_name the document's name in findings.
-/// \return the settings, or everything that is wrong with \p text, contradictions included.
+/// \param file_name name of the document in findings.
+/// \return the settings, or all findings of \p text, including contradictions between settings.
 std::variant<daemon_settings, core::findings> read_daemon_settings(
     const std::string& text, const std::string& file_name);
 
--- a/libs/settings/include/settings/hosted_settings.hpp
+++ b/libs/settings/include/settings/hosted_settings.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// The settings of camphorhitchd --hosted, from one JSON file: a node whose fleet lives on a
-/// hosting platform. docs/operators/hosted.md tells each key.
+/// Settings of camphorhitchd --hosted, read from one JSON file. In this mode the fleet runs on a
+/// hosting platform. Members have the names of their keys; docs/operators/hosted.md describes each
+/// key.
 #pragma once
 
 #include "core/findings.hpp"
@@ -13,76 +14,99 @@
 namespace camphorhitch::settings
 {
 
-/// Where a node listens, each "ip:port".
+/// Addresses at which a node listens, each "ip:port".
 struct listen_settings
 {
-    std::string callers;
-    std::string health;
-    std::string metrics; ///< empty: not served
-    std::string relay; ///< for the coordinator's orders to runners; empty: no relay, and none used
-    std::string operators; ///< for statements of the operators' language; empty: not served
+    std::string callers; ///< for callers
+    std::string health;  ///< for health checks
+    std::string metrics; ///< for metrics; empty: not served
+    /// For orders of the coordinator to runners; empty: the node is no relay and uses none.
+    std::string relay;
+    std::string operators; ///< for statements of operators; empty: not served
 };
 
-/// Where the hosting platform's services are, each "ip:port".
+/// Addresses of the services of the hosting platform, each "ip:port".
 struct service_settings
 {
-    std::string store;
-    std::string machines;
-    std::string advice; ///< empty: there is none
+    std::string store;    ///< the metadata store
+    std::string machines; ///< the machine service
+    std::string advice;   ///< the advice service; empty: there is none
 };
 
-/// Bounds that the hosting platform sets.
+/// Times that follow from the requirements of the hosting platform.
 struct hosted_timing
 {
-    core::millis runner_lease{2500};         ///< granted to runners
-    core::millis longest_runner_lease{6000}; ///< that runners accept
-    core::millis leader_lease{1200};         ///< after which a silent coordinator is replaced
-    core::millis keep_finished{150000};      ///< a job's state is told so long after its end
-    double stop_bound_s = 6;                 ///< from the signal to the end of the process, seconds
+    core::millis runner_lease{2500}; ///< duration of the leases granted to runners
+    /// Longest lease that runners accept; the key is longest_runner_lease_ms.
+    core::millis max_runner_lease{6000};
+    /// A coordinator that does not renew its lease for this time is replaced.
+    core::millis leader_lease{1200};
+    /// The state of a job is available for this time after its end.
+    core::millis keep_finished{150000};
+    /// Maximum time from the stop signal to the end of the process, in seconds.
+    double stop_bound_s = 6;
 };
 
-/// How hosts follow demand and tasks are placed, for operators who compare policies.
+/// Policies for the distribution of hosts and the placement of tasks. Operators change them to
+/// compare policies.
 struct hosted_policy
 {
-    bool moves = true;         ///< hosts go to other pools, or to the standby pool
-    bool in_time_first = true; ///< jobs that can still meet their objective go first
-    bool fullest_first = true; ///< short tasks fill one host after the other
-    bool learns_times = true;  ///< run times that were seen replace declared ones
-    bool hands_over = true;    ///< a coordinator that is slowed or overloaded hands over
-    bool repeats_calls = true; ///< orders and polls whose answers are overdue are sent again
-    bool watches_store = true; ///< a silent store is noticed, and nothing more is sent to it
-    bool paces = true;         ///< tasks that fill are slowed where others are disturbed
-    int spare_hosts = 1;       ///< that each pool keeps beyond its need
-    int far_short = 4;       ///< a pool that lacks so many takes hosts that others let go just now
-    core::millis rest{1500}; ///< a surplus is switched off after so long
-    double release = 8;      ///< hosts a second that a pool's need is let go at
-    double release_share = 0.5;          ///< of a pool's hosts a second on top, after its busy time
-    core::millis stops_tasks_above{800}; ///< as coordinator::rebalance_settings; 0: never
-    double margin = 1.2;                 ///< room above the computed need
-    core::millis horizon{1300};          ///< in which waiting tasks should be done
-    core::millis foresight{2200};        ///< that the trend of arrivals is followed ahead
-    double steepest = 1.5;               ///< most that a trend raises a rate; 1: no trend
-    core::millis lead{2700};             ///< a busy time is expected so long ahead; 0: none is
-    double first_share = 0.3;            ///< of a busy time's peak, that its begin asks for
-    core::millis young{2500};            ///< for so long a busy time asks for young_share; 0: never
-    double young_share = 0.5;            ///< of the highest peak of any pool
+    bool moves = true;         ///< hosts are moved to other pools and to the standby pool
+    bool in_time_first = true; ///< jobs that can still meet their objective are placed first
+    bool fullest_first = true; ///< short tasks are placed on the fullest host that has capacity
+    bool learns_times = true;  ///< measured run times replace declared run times
+    bool hands_over = true;    ///< a slowed or overloaded coordinator hands over to another node
+    bool repeats_calls = true; ///< orders and polls are sent again when their answers are overdue
+    /// An unresponsive store is detected, and no more calls are sent to it.
+    bool watches_store = true;
+    bool paces = true; ///< best-effort tasks are throttled on hosts where they disturb other tasks
+
+    // Distribution of hosts, as in coordinator::rebalance_settings.
+
+    int spare_hosts = 1; ///< hosts that each pool keeps in addition to its need
+    /// A pool short of this many hosts also gets hosts that other pools needed until just now.
+    int far_short = 4;
+    /// A surplus must last this long before its hosts go to the standby pool.
+    core::millis rest{1500};
+    double release = 8; ///< rate at which the recorded need of a pool declines, hosts per second
+    /// Share of the retained hosts of a pool that is released per second in addition, after the
+    /// busy period of the pool.
+    double release_share = 0.5;
+    /// Tasks that keep their progress are stopped when they would hold a host that another pool
+    /// lacks for longer than this. 0: never.
+    core::millis stops_tasks_above{800};
+
+    // Estimate of the need of a pool, as in coordinator::demand_settings.
+
+    double margin = 1.2;          ///< factor on the computed need
+    core::millis horizon{1300};   ///< waiting tasks should be done within about this time
+    core::millis foresight{2200}; ///< time for which the trend of arrivals is extrapolated
+    double steepest = 1.5; ///< maximum factor by which a trend raises a rate; 1: trends are ignored
+    /// Hosts are requested this long before the expected start of a busy period. 0: not in advance.
+    core::millis lead{2700};
+    double first_share = 0.3; ///< share of the peak of a busy period that is requested at its start
+    /// Duration of the early phase of a busy period, in which at least young_share is requested. 0:
+    /// no early phase.
+    core::millis young{2500};
+    double young_share = 0.5; ///< share of the highest peak of any pool
 };
 
+/// All settings of one node.
 struct hosted_settings
 {
-    std::string member;
-    std::string zone;
+    std::string member; ///< id of this node
+    std::string zone;   ///< availability zone of this node
     listen_settings listen;
     service_settings services;
     hosted_timing timing;
     hosted_policy policy;
-    std::string operators_token; ///< that operators' clients must send
-    double processor_share = 1;  ///< of a core, that this node may use
+    std::string operators_token; ///< token that operators' clients must send
+    double processor_share = 1;  ///< number of cores that this node may use
     ports::log_level log_level = ports::log_level::info;
 };
 
-/// \param file_name for the findings
-/// \return the settings, or everything that is wrong with them.
+/// \param file_name name of the document in findings.
+/// \return the settings, or all findings of \p text.
 std::variant<hosted_settings, core::findings> read_hosted_settings(
     const std::string& text, const std::string& file_name);
 
--- a/libs/settings/src/contradictions.cpp
+++ b/libs/settings/src/contradictions.cpp
@@ -8,44 +8,44 @@
 namespace
 {
 
-constexpr int beats_in_freshness = 3; ///< so that one lost heartbeat makes nobody stale
-constexpr int calls_in_lease = 2;     ///< so that one lost answer loses no lease
+constexpr int min_beats_per_freshness = 3; ///< one lost heartbeat then does not make a member stale
+constexpr int min_calls_per_lease = 2;     ///< one lost answer then does not lose the lease
 
-/// Collects contradictions between values that are each right.
+/// Collects contradictions between values that are valid individually.
 class checker
 {
 public:
-    checker(const checked_json::document& d, const core::findings& known)
-        : document_(d), known_(known)
+    checker(const checked_json::document& d, const core::findings& reported)
+        : document_(d), reported_(reported)
     {
     }
 
-    /// Reports \p text at \p pointer when \p holds is false.
-    /// \param other the value that \p pointer's contradicts.
+    /// Reports \p text at \p pointer when \p holds is false and neither value has a finding.
+    /// \param other JSON pointer of the value that the value at \p pointer contradicts.
     void expect(bool holds, const char* pointer, const char* other, const std::string& text)
     {
-        if (!holds && !is_known(pointer) && !is_known(other))
+        if (!holds && !is_reported(pointer) && !is_reported(other))
         {
             found_.push_back({checked_json::place_of(document_, pointer), text, {}});
         }
     }
 
-    core::findings take()
+    core::findings take_findings()
     {
         return std::move(found_);
     }
 
 private:
-    bool is_known(const std::string& pointer) const
+    bool is_reported(const std::string& pointer) const
     {
-        return std::any_of(known_.begin(),
-            known_.end(),
+        return std::any_of(reported_.begin(),
+            reported_.end(),
             [&](const core::finding& it)
             { return !it.where.pointer.empty() && pointer.rfind(it.where.pointer, 0) == 0; });
     }
 
     const checked_json::document& document_;
-    const core::findings& known_;
+    const core::findings& reported_;
     core::findings found_;
 };
 
@@ -59,20 +59,21 @@
     return address.substr(address.rfind(':') + 1);
 }
 
-bool is_any_address(const std::string& address)
+bool is_wildcard_address(const std::string& address)
 {
     const auto ip = ip_of(address);
     return ip == "0.0.0.0" || ip == "[::]";
 }
 
-/// Port 0 asks for a free port and clashes with nothing. An empty address was reported before.
-bool clash(const std::string& a, const std::string& b)
+/// \return whether two listeners cannot use both addresses. Port 0 selects a free port, so it
+/// conflicts with no address. An empty address was reported when it was read.
+bool addresses_conflict(const std::string& a, const std::string& b)
 {
     if (a.empty() || b.empty())
     {
         return false;
     }
-    const bool same_ip = ip_of(a) == ip_of(b) || is_any_address(a) || is_any_address(b);
+    const bool same_ip = ip_of(a) == ip_of(b) || is_wildcard_address(a) || is_wildcard_address(b);
     return same_ip && port_of(a) == port_of(b) && port_of(a) != "0";
 }
 
@@ -83,25 +84,26 @@
 
 void check_addresses(checker& c, const daemon_settings& s)
 {
-    c.expect(!is_any_address(s.peer_address),
+    c.expect(!is_wildcard_address(s.peer_address),
         "/peer_address",
         "/peer_address",
         "peers need an address to reach, not one that stands for all");
-    c.expect(!clash(s.caller_address, s.peer_address),
+    c.expect(!addresses_conflict(s.caller_address, s.peer_address),
         "/caller_address",
         "/peer_address",
         "is the address of 'peer_address' too");
-    c.expect(!clash(s.operator_address, s.peer_address),
+    c.expect(!addresses_conflict(s.operator_address, s.peer_address),
         "/operator_address",
         "/peer_address",
         "is the address of 'peer_address' too");
-    c.expect(!clash(s.operator_address, s.caller_address),
+    c.expect(!addresses_conflict(s.operator_address, s.caller_address),
         "/operator_address",
         "/caller_address",
         "is the address of 'caller_address' too");
 }
 
-/// Whoever reads the token of one service in a configuration or a log must not hold the others.
+/// The tokens must differ: a person who obtains one of them, for example from a configuration file
+/// or a log, must not be able to use the other services.
 void check_tokens(checker& c, const daemon_settings& s)
 {
     c.expect(s.store.token != s.operator_token,
@@ -128,10 +130,10 @@
 
 void check_store(checker& c, const daemon_settings& s)
 {
-    c.expect(s.store.lease_ttl >= calls_in_lease * s.store.timeout,
+    c.expect(s.store.lease_ttl >= min_calls_per_lease * s.store.timeout,
         "/store/lease_ttl_ms",
         "/store/timeout_ms",
-        "must be at least " + ms(calls_in_lease * s.store.timeout) +
+        "must be at least " + ms(min_calls_per_lease * s.store.timeout) +
             ", twice 'timeout_ms', or one lost answer loses the lease");
     c.expect(s.store.timeout < s.timing.freshness,
         "/store/timeout_ms",
@@ -143,10 +145,10 @@
 void check_timing(checker& c, const daemon_settings& s)
 {
     const timing_settings& t = s.timing;
-    c.expect(t.freshness >= beats_in_freshness * t.beat_interval,
+    c.expect(t.freshness >= min_beats_per_freshness * t.beat_interval,
         "/timing/freshness_ms",
         "/timing/beat_interval_ms",
-        "must be at least " + ms(beats_in_freshness * t.beat_interval) +
+        "must be at least " + ms(min_beats_per_freshness * t.beat_interval) +
             ", three times 'beat_interval_ms', or one lost heartbeat makes the member stale");
     c.expect(t.permit_ttl <= t.freshness,
         "/timing/permit_ttl_ms",
@@ -180,7 +182,7 @@
     check_store(c, s);
     check_timing(c, s);
     check_limits(c, s);
-    return c.take();
+    return c.take_findings();
 }
 
 } // namespace camphorhitch::settings
--- a/libs/settings/src/contradictions.hpp
+++ b/libs/settings/src/contradictions.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Settings that are each right and can't stand together.
+/// Detection of settings that are valid individually and contradict each other.
 #pragma once
 
 #include "checked_json/document.hpp"
@@ -8,8 +8,9 @@
 namespace camphorhitch::settings
 {
 
-/// \param d the text that \p s was read from, for places.
-/// \param found what is known to be wrong already; a contradiction with such a value isn't told.
+/// \param d the document from which \p s was read, for positions.
+/// \param found the findings so far. A contradiction that involves a value with a finding is not
+///     reported.
 core::findings contradictions(
     const daemon_settings& s, const checked_json::document& d, const core::findings& found);
 
--- a/libs/settings/src/describe.hpp
+++ b/libs/settings/src/describe.hpp
@@ -11,7 +11,7 @@
 namespace camphorhitch::settings
 {
 
-namespace bounds_of
+namespace ranges
 {
 
 using checked_json::int_range;
@@ -29,23 +29,23 @@
 inline constexpr millis_range stop_time{millis{100}, millis{600000}};
 inline constexpr checked_json::real_range share{0, 1};
 
-} // namespace bounds_of
+} // namespace ranges
 
-/// A token stands in a header field. A line break in it would end the field, and everything after
-/// it would be read as fields of its own.
+/// Checks a token. A token is sent in a header field: a line break in it would end the field, and
+/// the text after it would be read as further fields.
 inline std::string check_token(const std::string& text)
 {
-    constexpr std::size_t shortest = 8;
-    constexpr std::size_t longest = 256;
+    constexpr std::size_t min_length = 8;
+    constexpr std::size_t max_length = 256;
     const auto is_visible = [](char c)
     {
         return c > ' ' && c < 0x7f;
     };
-    const bool is_good = text.size() >= shortest && text.size() <= longest &&
-                         std::all_of(text.begin(), text.end(), is_visible);
-    return is_good ? std::string{}
-                   : "must have " + std::to_string(shortest) + " to " + std::to_string(longest) +
-                         " visible ASCII characters";
+    const bool is_valid = text.size() >= min_length && text.size() <= max_length &&
+                          std::all_of(text.begin(), text.end(), is_visible);
+    return is_valid ? std::string{}
+                    : "must have " + std::to_string(min_length) + " to " +
+                          std::to_string(max_length) + " visible ASCII characters";
 }
 
 inline std::string check_token_or_empty(const std::string& text)
@@ -59,8 +59,8 @@
     keys.required(
             "addresses", r.addresses, checked_json::unique_texts{1}, checked_json::check_address)
         .optional("token", r.token, check_token_or_empty)
-        .defaulted("timeout_ms", r.timeout, bounds_of::call_time)
-        .defaulted("lease_ttl_ms", r.lease_ttl, bounds_of::lease_time);
+        .defaulted("timeout_ms", r.timeout, ranges::call_time)
+        .defaulted("lease_ttl_ms", r.lease_ttl, ranges::lease_time);
 }
 
 template <class Keys>
@@ -69,29 +69,29 @@
     keys.optional("live_list", r.live_list, checked_json::check_address_or_empty)
         .optional("workers", r.workers, checked_json::check_address_or_empty)
         .optional("token", r.token, check_token_or_empty)
-        .defaulted("poll_ms", r.poll, bounds_of::short_time)
-        .defaulted("list_lag_ms", r.list_lag, bounds_of::short_time);
+        .defaulted("poll_ms", r.poll, ranges::short_time)
+        .defaulted("list_lag_ms", r.list_lag, ranges::short_time);
 }
 
 template <class Keys>
 void describe(Keys& keys, limit_settings& r)
 {
-    keys.defaulted("body_bytes", r.body_bytes, bounds_of::body_bytes)
-        .defaulted("header_bytes", r.header_bytes, bounds_of::header_bytes)
-        .defaulted("connections", r.connections, bounds_of::connections)
-        .defaulted("open_requests", r.open_requests, bounds_of::connections)
-        .defaulted("answer_bytes", r.answer_bytes, bounds_of::answer_bytes);
+    keys.defaulted("body_bytes", r.body_bytes, ranges::body_bytes)
+        .defaulted("header_bytes", r.header_bytes, ranges::header_bytes)
+        .defaulted("connections", r.connections, ranges::connections)
+        .defaulted("open_requests", r.open_requests, ranges::connections)
+        .defaulted("answer_bytes", r.answer_bytes, ranges::answer_bytes);
 }
 
 template <class Keys>
 void describe(Keys& keys, timing_settings& r)
 {
-    keys.defaulted("freshness_ms", r.freshness, bounds_of::short_time)
-        .defaulted("beat_interval_ms", r.beat_interval, bounds_of::short_time)
-        .defaulted("permit_ttl_ms", r.permit_ttl, bounds_of::short_time)
-        .defaulted("take_over_margin_ms", r.take_over_margin, bounds_of::short_time)
-        .defaulted("outage_grace_ms", r.outage_grace, bounds_of::grace_time)
-        .defaulted("drain_stop_ms", r.drain_stop, bounds_of::stop_time);
+    keys.defaulted("freshness_ms", r.freshness, ranges::short_time)
+        .defaulted("beat_interval_ms", r.beat_interval, ranges::short_time)
+        .defaulted("permit_ttl_ms", r.permit_ttl, ranges::short_time)
+        .defaulted("take_over_margin_ms", r.take_over_margin, ranges::short_time)
+        .defaulted("outage_grace_ms", r.outage_grace, ranges::grace_time)
+        .defaulted("drain_stop_ms", r.drain_stop, ranges::stop_time);
 }
 
 template <class Keys>
@@ -103,7 +103,7 @@
 template <class Keys>
 void describe(Keys& keys, trace_settings& r)
 {
-    keys.defaulted("sample", r.sample, bounds_of::share);
+    keys.defaulted("sample", r.sample, ranges::share);
 }
 
 template <class Keys>
@@ -130,7 +130,7 @@
     keys.required(
             "operators", r.operators, checked_json::unique_texts{1}, checked_json::check_address)
         .required("token", r.token, check_token)
-        .defaulted("timeout_ms", r.timeout, bounds_of::call_time);
+        .defaulted("timeout_ms", r.timeout, ranges::call_time);
 }
 
 } // namespace camphorhitch::settings
--- a/libs/settings/src/hosted_read.cpp
+++ b/libs/settings/src/hosted_read.cpp
@@ -13,16 +13,16 @@
 using checked_json::millis_range;
 using core::millis;
 
-constexpr checked_json::bounds settings_bounds{1u << 18, 16, 1u << 14};
+constexpr checked_json::parse_limits settings_bounds{1u << 18, 16, 1u << 14};
 constexpr millis_range lease_range{millis{1000}, millis{600000}};
-constexpr millis_range keep_range{millis{10000}, millis{86400000}};
+constexpr millis_range retention_range{millis{10000}, millis{86400000}};
 constexpr checked_json::real_range stop_range{0.1, 600};
 constexpr checked_json::real_range share_range{0.001, 1024};
 constexpr checked_json::int_range hosts_range{0, 10000};
-constexpr checked_json::real_range hosts_a_second_range{0.01, 10000};
-constexpr checked_json::real_range part_range{0, 1};
+constexpr checked_json::real_range release_rate_range{0.01, 10000};
+constexpr checked_json::real_range fraction_range{0, 1};
 constexpr checked_json::real_range factor_range{1, 10};
-constexpr millis_range pause_range{millis{0}, millis{600000}};
+constexpr millis_range delay_range{millis{0}, millis{600000}};
 constexpr millis_range horizon_range{millis{1}, millis{600000}};
 
 } // namespace
@@ -49,9 +49,9 @@
 void describe(Keys& keys, hosted_timing& r)
 {
     keys.defaulted("runner_lease_ms", r.runner_lease, lease_range)
-        .defaulted("longest_runner_lease_ms", r.longest_runner_lease, lease_range)
+        .defaulted("longest_runner_lease_ms", r.max_runner_lease, lease_range)
         .defaulted("leader_lease_ms", r.leader_lease, lease_range)
-        .defaulted("keep_finished_ms", r.keep_finished, keep_range)
+        .defaulted("keep_finished_ms", r.keep_finished, retention_range)
         .defaulted("stop_bound_s", r.stop_bound_s, stop_range);
 }
 
@@ -68,18 +68,18 @@
         .defaulted("paces", r.paces)
         .defaulted("spare_hosts", r.spare_hosts, hosts_range)
         .defaulted("far_short", r.far_short, hosts_range)
-        .defaulted("rest_ms", r.rest, pause_range)
-        .defaulted("release", r.release, hosts_a_second_range)
-        .defaulted("release_share", r.release_share, part_range)
-        .defaulted("stops_tasks_above_ms", r.stops_tasks_above, pause_range)
+        .defaulted("rest_ms", r.rest, delay_range)
+        .defaulted("release", r.release, release_rate_range)
+        .defaulted("release_share", r.release_share, fraction_range)
+        .defaulted("stops_tasks_above_ms", r.stops_tasks_above, delay_range)
         .defaulted("margin", r.margin, factor_range)
         .defaulted("horizon_ms", r.horizon, horizon_range)
-        .defaulted("foresight_ms", r.foresight, pause_range)
+        .defaulted("foresight_ms", r.foresight, delay_range)
         .defaulted("steepest", r.steepest, factor_range)
-        .defaulted("lead_ms", r.lead, pause_range)
-        .defaulted("first_share", r.first_share, part_range)
-        .defaulted("young_ms", r.young, pause_range)
-        .defaulted("young_share", r.young_share, part_range);
+        .defaulted("lead_ms", r.lead, delay_range)
+        .defaulted("first_share", r.first_share, fraction_range)
+        .defaulted("young_ms", r.young, delay_range)
+        .defaulted("young_share", r.young_share, fraction_range);
 }
 
 template <class Keys>
@@ -101,16 +101,16 @@
 
 void check_leases(const hosted_settings& s, const std::string& file, core::findings& found)
 {
-    if (s.timing.runner_lease > s.timing.longest_runner_lease)
+    if (s.timing.runner_lease > s.timing.max_runner_lease)
     {
         found.push_back({{file, "/timing/runner_lease_ms", 0, 0},
-            "is longer than longest_runner_lease_ms, which runners accept",
+            "is longer than longest_runner_lease_ms, the longest lease that runners accept",
             {}});
     }
     if (s.timing.leader_lease >= s.timing.runner_lease)
     {
         found.push_back({{file, "/timing/leader_lease_ms", 0, 0},
-            "must be shorter than runner_lease_ms: a successor could not renew in time what runs",
+            "must be shorter than runner_lease_ms, or a successor cannot renew the leases in time",
             {}});
     }
 }
--- a/libs/settings/src/read.cpp
+++ b/libs/settings/src/read.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-constexpr checked_json::bounds settings_bounds{1u << 18, 16, 1u << 14};
+constexpr checked_json::parse_limits settings_bounds{1u << 18, 16, 1u << 14};
 
 } // namespace
 
--- a/libs/settings/tests/hosted_settings_tests.cpp
+++ b/libs/settings/tests/hosted_settings_tests.cpp
@@ -7,12 +7,12 @@
 namespace
 {
 
-const std::string good = R"({"member":"n1","zone":"z","listen":{"callers":"10.0.0.1:1",
+const std::string valid_settings = R"({"member":"n1","zone":"z","listen":{"callers":"10.0.0.1:1",
 "health":"10.0.0.1:2"},"services":{"store":"10.0.0.2:1","machines":"10.0.0.3:1"}})";
 
 std::string with(const std::string& from, const std::string& to)
 {
-    auto text = good;
+    auto text = valid_settings;
     text.replace(text.find(from), from.size(), to);
     return text;
 }
@@ -21,9 +21,9 @@
 
 TEST_GROUP(hosted_settings){};
 
-TEST(hosted_settings, defaults_and_what_is_given)
+TEST(hosted_settings, given_values_and_defaults)
 {
-    const auto read = settings::read_hosted_settings(good, "f");
+    const auto read = settings::read_hosted_settings(valid_settings, "f");
     const auto& s = std::get<settings::hosted_settings>(read);
     STRCMP_EQUAL("n1", s.member.c_str());
     CHECK(s.listen.metrics.empty());
@@ -44,7 +44,7 @@
     CHECK(defaults.repeats_calls && defaults.watches_store && defaults.paces);
 }
 
-TEST(hosted_settings, all_that_is_wrong_is_told_with_its_place)
+TEST(hosted_settings, all_errors_are_reported_with_their_positions)
 {
     struct row
     {
--- a/libs/settings/tests/settings_tests.cpp
+++ b/libs/settings/tests/settings_tests.cpp
@@ -28,7 +28,7 @@
     return found == nullptr ? std::string{} : core::to_text(*found);
 }
 
-/// The least settings that are accepted, with \p more keys; \p store stands in "store".
+/// \return the minimal valid settings, with the keys \p more, and with \p store added to "store".
 std::string with(const std::string& more, const std::string& store = {})
 {
     return "{\"member\":\"e1\",\"zone\":\"z1\",\"peer_address\":\"10.0.0.1:1\",\n"
@@ -51,46 +51,48 @@
 {
     const auto r = read_daemon_settings(file_text("example.json"), "example.json");
     STRCMP_EQUAL("", findings_of(r).c_str());
-    const auto least = read_daemon_settings(with(""), "s");
-    STRCMP_EQUAL("", findings_of(least).c_str());
-    const auto& shown = std::get<daemon_settings>(r);
-    const auto& d = std::get<daemon_settings>(least);
+    const auto minimal = read_daemon_settings(with(""), "s");
+    STRCMP_EQUAL("", findings_of(minimal).c_str());
+    const auto& example = std::get<daemon_settings>(r);
+    const auto& d = std::get<daemon_settings>(minimal);
     struct row
     {
         const char* key;
-        long long shown;
-        long long standard;
+        long long example;
+        long long default_value;
     };
     const row rows[] = {
-        {"timeout_ms", shown.store.timeout.count(), d.store.timeout.count()},
-        {"lease_ttl_ms", shown.store.lease_ttl.count(), d.store.lease_ttl.count()},
-        {"poll_ms", shown.platform.poll.count(), d.platform.poll.count()},
-        {"list_lag_ms", shown.platform.list_lag.count(), d.platform.list_lag.count()},
-        {"body_bytes", (long long)shown.limits.body_bytes, (long long)d.limits.body_bytes},
-        {"header_bytes", (long long)shown.limits.header_bytes, (long long)d.limits.header_bytes},
-        {"connections", (long long)shown.limits.connections, (long long)d.limits.connections},
-        {"open_requests", (long long)shown.limits.open_requests, (long long)d.limits.open_requests},
-        {"answer_bytes", (long long)shown.limits.answer_bytes, (long long)d.limits.answer_bytes},
-        {"freshness_ms", shown.timing.freshness.count(), d.timing.freshness.count()},
-        {"beat_interval_ms", shown.timing.beat_interval.count(), d.timing.beat_interval.count()},
-        {"permit_ttl_ms", shown.timing.permit_ttl.count(), d.timing.permit_ttl.count()},
+        {"timeout_ms", example.store.timeout.count(), d.store.timeout.count()},
+        {"lease_ttl_ms", example.store.lease_ttl.count(), d.store.lease_ttl.count()},
+        {"poll_ms", example.platform.poll.count(), d.platform.poll.count()},
+        {"list_lag_ms", example.platform.list_lag.count(), d.platform.list_lag.count()},
+        {"body_bytes", (long long)example.limits.body_bytes, (long long)d.limits.body_bytes},
+        {"header_bytes", (long long)example.limits.header_bytes, (long long)d.limits.header_bytes},
+        {"connections", (long long)example.limits.connections, (long long)d.limits.connections},
+        {"open_requests",
+            (long long)example.limits.open_requests,
+            (long long)d.limits.open_requests},
+        {"answer_bytes", (long long)example.limits.answer_bytes, (long long)d.limits.answer_bytes},
+        {"freshness_ms", example.timing.freshness.count(), d.timing.freshness.count()},
+        {"beat_interval_ms", example.timing.beat_interval.count(), d.timing.beat_interval.count()},
+        {"permit_ttl_ms", example.timing.permit_ttl.count(), d.timing.permit_ttl.count()},
         {"take_over_margin_ms",
-            shown.timing.take_over_margin.count(),
+            example.timing.take_over_margin.count(),
             d.timing.take_over_margin.count()},
-        {"outage_grace_ms", shown.timing.outage_grace.count(), d.timing.outage_grace.count()},
-        {"drain_stop_ms", shown.timing.drain_stop.count(), d.timing.drain_stop.count()},
-        {"level", static_cast<int>(shown.log.level), static_cast<int>(d.log.level)},
+        {"outage_grace_ms", example.timing.outage_grace.count(), d.timing.outage_grace.count()},
+        {"drain_stop_ms", example.timing.drain_stop.count(), d.timing.drain_stop.count()},
+        {"level", static_cast<int>(example.log.level), static_cast<int>(d.log.level)},
     };
     for (const auto& it : rows)
     {
-        CHECK_EQUAL_TEXT(it.standard, it.shown, it.key);
+        CHECK_EQUAL_TEXT(it.default_value, it.example, it.key);
     }
     const auto client = read_client_settings(file_text("example-client.json"), "c");
     STRCMP_EQUAL("", findings_of(client).c_str());
     LONGS_EQUAL(3, std::get<client_settings>(client).operators.size());
 }
 
-TEST(settings, all_findings_come_together)
+TEST(settings, all_findings_are_reported_together)
 {
     const auto r = read_daemon_settings(
         "{\"member\":\"e 1\",\n\"zon\":\"z\",\n\"peer_address\":\"entry:1\",\n"
@@ -110,7 +112,7 @@
         findings_of(r).c_str());
 }
 
-TEST(settings, contradictions_are_told_in_their_place)
+TEST(settings, contradictions_are_reported_with_their_positions)
 {
     struct row
     {
@@ -166,7 +168,7 @@
         findings_of(read_client_settings(R"({"operators":[],"token":"operator"})", "c")).c_str());
 }
 
-TEST(settings, a_token_can_end_no_header_field)
+TEST(settings, a_token_cannot_end_a_header_field)
 {
     for (const char* token :
         {"short", "with a blank", "line\\r\\nbreak", "caf\xc3\xa9-caf\xc3\xa9"})
@@ -177,13 +179,13 @@
     }
 }
 
-TEST(settings, damaged_files_are_accepted_or_told)
+TEST(settings, damaged_files_are_accepted_or_give_findings)
 {
-    const std::string whole = file_text("example.json");
+    const std::string intact = file_text("example.json");
     CHECK(rc::check("damaged settings",
         [&]
         {
-            std::string text = whole;
+            std::string text = intact;
             const auto begin = *rc::gen::inRange<std::size_t>(0, text.size());
             const auto count = *rc::gen::inRange<std::size_t>(0, 20);
             text.replace(
--- a/programs/camphorhitchd/src/experiment_service.cpp
+++ b/programs/camphorhitchd/src/experiment_service.cpp
@@ -50,8 +50,7 @@
 
 bool failed_in(const model::wave_document& w, const model::host_record& host)
 {
-    return host.state == model::host_state::failed &&
-           (host.wave == w.id || host.maintained == w.id);
+    return host.state == model::host_state::failed && (host.wave == w.id || host.last_wave == w.id);
 }
 
 } // namespace
@@ -354,7 +353,7 @@
         {"state", language::value_kind::text},
         {"end", language::value_kind::text},
         {"arms", language::value_kind::text},
-        {"pools", language::value_kind::whole},
+        {"pools", language::value_kind::integer},
         {"observed", language::value_kind::duration},
         {"duration", language::value_kind::duration}};
     for (const auto& [id, d] : documents_)
--- a/programs/camphorhitchd/src/fleet_tables.cpp
+++ b/programs/camphorhitchd/src/fleet_tables.cpp
@@ -50,10 +50,10 @@
         {"maintained", value_kind::text},
         {"lent_by", value_kind::text},
         {"target", value_kind::text},
-        {"slots", value_kind::whole},
+        {"slots", value_kind::integer},
         {"processors", value_kind::number},
         {"memory_gb", value_kind::number},
-        {"accelerators", value_kind::whole}};
+        {"accelerators", value_kind::integer}};
     for (const auto& pool : parts.fleet.pools())
     {
         for (const auto& it : pool.document.hosts)
@@ -68,7 +68,7 @@
                 text(core::name_of(model::host_state_names, it.state)),
                 text(purpose),
                 text(it.wave),
-                text(it.maintained),
+                text(it.last_wave),
                 text(it.lent_by),
                 text(it.target),
                 whole(it.slots),
@@ -110,15 +110,15 @@
     table t;
     t.columns = {{"id", value_kind::text},
         {"policy", value_kind::text},
-        {"hosts", value_kind::whole},
-        {"serving", value_kind::whole},
-        {"held", value_kind::whole},
-        {"draining", value_kind::whole},
-        {"rebooting", value_kind::whole},
-        {"failed", value_kind::whole},
-        {"absent", value_kind::whole},
-        {"budget", value_kind::whole},
-        {"budget_per_zone", value_kind::whole},
+        {"hosts", value_kind::integer},
+        {"serving", value_kind::integer},
+        {"held", value_kind::integer},
+        {"draining", value_kind::integer},
+        {"rebooting", value_kind::integer},
+        {"failed", value_kind::integer},
+        {"absent", value_kind::integer},
+        {"budget", value_kind::integer},
+        {"budget_per_zone", value_kind::integer},
         {"owner", value_kind::text}};
     for (const auto& pool : parts.fleet.pools())
     {
@@ -132,12 +132,12 @@
     table t;
     t.columns = {{"id", value_kind::text},
         {"phase", value_kind::text},
-        {"hosts", value_kind::whole},
-        {"done", value_kind::whole},
-        {"in_progress", value_kind::whole},
-        {"waiting", value_kind::whole},
-        {"failed", value_kind::whole},
-        {"batch", value_kind::whole},
+        {"hosts", value_kind::integer},
+        {"done", value_kind::integer},
+        {"in_progress", value_kind::integer},
+        {"waiting", value_kind::integer},
+        {"failed", value_kind::integer},
+        {"batch", value_kind::integer},
         {"policy", value_kind::text},
         {"took", value_kind::duration}};
     for (const auto& wave : parts.fleet.waves())
@@ -171,10 +171,10 @@
         {"class", value_kind::text},
         {"state", value_kind::text},
         {"host", value_kind::text},
-        {"attempt", value_kind::whole},
+        {"attempt", value_kind::integer},
         {"processors", value_kind::number},
         {"memory_gb", value_kind::number},
-        {"accelerators", value_kind::whole},
+        {"accelerators", value_kind::integer},
         {"run_time", value_kind::duration}};
     for (const auto& [pool, list] : parts.jobs.all_jobs())
     {
@@ -202,9 +202,9 @@
     t.columns = {{"id", value_kind::text},
         {"zone", value_kind::text},
         {"address", value_kind::text},
-        {"epoch", value_kind::whole},
-        {"config_version", value_kind::whole},
-        {"fresh", value_kind::truth},
+        {"epoch", value_kind::integer},
+        {"config_version", value_kind::integer},
+        {"fresh", value_kind::boolean},
         {"incarnation", value_kind::text}};
     for (const auto& it : parts.members.roster().members)
     {
@@ -249,11 +249,11 @@
     table t;
     t.columns = {{"id", value_kind::text},
         {"kind", value_kind::text},
-        {"canary", value_kind::whole},
+        {"canary", value_kind::integer},
         {"growth", value_kind::number},
-        {"largest_batch", value_kind::whole},
-        {"halt_after", value_kind::whole},
-        {"fixed_buffer", value_kind::whole},
+        {"largest_batch", value_kind::integer},
+        {"halt_after", value_kind::integer},
+        {"fixed_buffer", value_kind::integer},
         {"return_timeout", value_kind::duration},
         {"drain_timeout", value_kind::duration}};
     for (const auto& it : parts.config.current().policies)
@@ -277,7 +277,7 @@
     t.columns = {{"id", value_kind::text},
         {"processors", value_kind::number},
         {"memory_gb", value_kind::number},
-        {"accelerators", value_kind::whole}};
+        {"accelerators", value_kind::integer}};
     for (const auto& it : parts.config.current().teams)
     {
         t.rows.push_back({text(it.name), it.processors, it.memory_gb, whole(it.accelerators)});
--- a/programs/camphorhitchd/src/hosted_operators.cpp
+++ b/programs/camphorhitchd/src/hosted_operators.cpp
@@ -82,7 +82,7 @@
     struct work
     {
         statement_batch batch;
-        language::parsed parsed;
+        language::parse_result parsed;
         std::size_t index = 0;
         std::vector<statement_result> results;
         std::function<void(std::vector<statement_result>)> done;
@@ -131,7 +131,7 @@
         w->done(w->results);
         return;
     }
-    const auto& what = w->parsed.statements[w->index++].what;
+    const auto& what = w->parsed.statements[w->index++].body;
     if (!language::is_query(what))
     {
         from.ctx.tel.log(ports::log_level::info,
@@ -155,18 +155,18 @@
 void hosted_operators_state::run_one(
     const language::show_statement& s, const std::string& document, const result_callback& done)
 {
-    if (s.what == language::table_kind::jobs)
+    if (s.table == language::table_kind::jobs)
     {
         show_jobs(s, document, done);
         return;
     }
-    if (s.what == language::table_kind::hosts)
+    if (s.table == language::table_kind::hosts)
     {
         show_hosts(s, document, done);
         return;
     }
     const bool of_config =
-        s.what == language::table_kind::pools || s.what == language::table_kind::config;
+        s.table == language::table_kind::pools || s.table == language::table_kind::config;
     if (!of_config)
     {
         done(bad(core::error_code::invalid, not_here));
@@ -178,7 +178,7 @@
         done(bad(core::error_code::unavailable, "no configuration is known yet"));
         return;
     }
-    const bool pools = s.what == language::table_kind::pools;
+    const bool pools = s.table == language::table_kind::pools;
     const auto age = from.ctx.time.now() - from.config_heard();
     done(shown(s, pools ? pool_table(*config) : config_table(*config, age), document));
 }
@@ -332,9 +332,9 @@
     {
         answer(answer_results(heading, all));
     };
-    if (!w->parsed.found.empty())
+    if (!w->parsed.findings.empty())
     {
-        w->done({bad(w->parsed.found)});
+        w->done({bad(w->parsed.findings)});
         return;
     }
     next(w);
--- a/programs/camphorhitchd/src/hosted_tables.cpp
+++ b/programs/camphorhitchd/src/hosted_tables.cpp
@@ -96,9 +96,9 @@
         {"state", value_kind::text},
         {"queue", value_kind::text},
         {"pool", value_kind::text},
-        {"priority", value_kind::whole},
-        {"tasks", value_kind::whole},
-        {"done", value_kind::whole},
+        {"priority", value_kind::integer},
+        {"tasks", value_kind::integer},
+        {"done", value_kind::integer},
         {"age", value_kind::duration}};
     for (const auto& it : all)
     {
@@ -117,8 +117,8 @@
         {"state", value_kind::text},
         {"address", value_kind::text},
         {"cores", value_kind::number},
-        {"memory_mb", value_kind::whole},
-        {"gpus", value_kind::whole}};
+        {"memory_mb", value_kind::integer},
+        {"gpus", value_kind::integer}};
     constexpr double thousandths = 1000;
     for (const auto& it : all)
     {
@@ -138,8 +138,9 @@
 language::table pool_table(const hosted::fleet_config& config)
 {
     language::table t;
-    t.columns = {
-        {"id", value_kind::text}, {"standby", value_kind::truth}, {"queues", value_kind::whole}};
+    t.columns = {{"id", value_kind::text},
+        {"standby", value_kind::boolean},
+        {"queues", value_kind::integer}};
     for (const auto& it : config.pools)
     {
         const auto queues = std::count_if(config.queues.begin(),
