--- a/programs/camphorhitchd/src/statement_checks.cpp
+++ b/programs/camphorhitchd/src/statement_checks.cpp
@@ -35,7 +35,7 @@
 
     core::findings operator()(const language::show_statement& s) const
     {
-        return findings_in(language::evaluate(s, columns_of(s.what, parts), document));
+        return findings_in(language::evaluate(s, columns_of(s.table, parts), document));
     }
     core::findings operator()(const language::start_wave_statement& s) const
     {
@@ -64,14 +64,14 @@
 } // namespace
 
 core::findings check_statements(
-    const language::parsed& text, const operator_parts& parts, const std::string& document)
+    const language::parse_result& text, const operator_parts& parts, const std::string& document)
 {
-    auto all = text.found;
+    auto all = text.findings;
     // Beside a text that can't be read the statements that can be are checked as well, so that
     // all mistakes come together.
     for (const auto& it : text.statements)
     {
-        const auto wrong = std::visit(checker{parts, document}, it.what);
+        const auto wrong = std::visit(checker{parts, document}, it.body);
         all.insert(all.end(), wrong.begin(), wrong.end());
     }
     std::stable_sort(all.begin(),
--- a/programs/camphorhitchd/src/statement_checks.hpp
+++ b/programs/camphorhitchd/src/statement_checks.hpp
@@ -16,7 +16,7 @@
 ///     fields, kinds of values, and what a job lacks. A name that nothing bears is found when its
 ///     statement's turn comes.
 core::findings check_statements(
-    const language::parsed& text, const operator_parts& parts, const std::string& document);
+    const language::parse_result& text, const operator_parts& parts, const std::string& document);
 
 /// A job as a statement submits it.
 struct named_submission
--- a/programs/camphorhitchd/src/statement_runner.cpp
+++ b/programs/camphorhitchd/src/statement_runner.cpp
@@ -36,7 +36,7 @@
 struct statement_runner::work
 {
     statement_batch batch;
-    language::parsed parsed;
+    language::parse_result parsed;
     std::size_t index = 0;
     std::vector<statement_result> results;
     callback done;
@@ -70,7 +70,7 @@
     }
     const auto index = w->index++;
     const place at{w->batch.name, statement_command(w->batch.command, index)};
-    const auto& what = w->parsed.statements[index].what;
+    const auto& what = w->parsed.statements[index].body;
     if (!language::is_query(what))
     {
         context_.log(ports::log_level::info,
@@ -97,7 +97,7 @@
     for (std::size_t i = 0; i < parsed.statements.size(); ++i)
     {
         const auto command = statement_command(batch.command, i);
-        const auto& what = parsed.statements[i].what;
+        const auto& what = parsed.statements[i].body;
         if (std::holds_alternative<language::set_statement>(what) &&
             (!parts_.config.applied(command) ||
                 !parts_.config.in_force_everywhere(parts_.config.current().version)))
@@ -126,14 +126,14 @@
         return owner.pool == moved->pool.text && !owner.in_transit;
     }
     const auto* drain = std::get_if<language::drain_statement>(&what);
-    if (drain == nullptr || drain->by != language::drain_by::host)
+    if (drain == nullptr || drain->scope != language::drain_scope::host)
     {
         return true;
     }
-    const auto owner = fleet::owner_of(drain->what.text, parts_.fleet.pools());
+    const auto owner = fleet::owner_of(drain->scope_name.text, parts_.fleet.pools());
     const auto* pool = parts_.fleet.find_pool(owner.pool);
     const auto* host =
-        pool == nullptr ? nullptr : model::find_host(pool->document, drain->what.text);
+        pool == nullptr ? nullptr : model::find_host(pool->document, drain->scope_name.text);
     const bool under_way = host != nullptr && host->purpose != model::drain_purpose::none;
     const bool gone = host == nullptr || host->state == model::host_state::drained;
     return !under_way || (drain->leaving && gone);
@@ -142,7 +142,7 @@
 void statement_runner::run_one(
     const language::show_statement& s, const place& at, const result_callback& done)
 {
-    const auto shown = language::evaluate(s, make_table(s.what, parts_), at.document);
+    const auto shown = language::evaluate(s, make_table(s.table, parts_), at.document);
     if (const auto* wrong = std::get_if<core::findings>(&shown))
     {
         done(bad(*wrong));
@@ -292,9 +292,11 @@
 void statement_runner::run_one(
     const language::drain_statement& s, const place& at, result_callback done)
 {
-    if (s.leaving && s.by == language::drain_by::host)
+    if (s.leaving && s.scope == language::drain_scope::host)
     {
-        change_host(s.what.text, fleet::leave_request{s.what.text, at.command}, std::move(done));
+        change_host(s.scope_name.text,
+            fleet::leave_request{s.scope_name.text, at.command},
+            std::move(done));
         return;
     }
     if (s.leaving)
@@ -302,9 +304,11 @@
         done(bad(core::error_code::invalid, "'for leaving' takes one host"));
         return;
     }
-    if (s.by == language::drain_by::host && !s.wave)
+    if (s.scope == language::drain_scope::host && !s.wave)
     {
-        change_host(s.what.text, fleet::drain_request{s.what.text, at.command}, std::move(done));
+        change_host(s.scope_name.text,
+            fleet::drain_request{s.scope_name.text, at.command},
+            std::move(done));
         return;
     }
     start_wave(wish_of(s, at.command), std::move(done));
--- a/programs/camphorhitchd/src/wave_commands.cpp
+++ b/programs/camphorhitchd/src/wave_commands.cpp
@@ -59,22 +59,22 @@
 fleet::wave_start_request wish_of(const language::drain_statement& s, const std::string& command)
 {
     fleet::wave_start_request wish;
-    wish.id = s.wave ? s.wave->text : s.what.text + "-" + command.substr(0, 8);
+    wish.id = s.wave ? s.wave->text : s.scope_name.text + "-" + command.substr(0, 8);
     wish.policy = s.policy ? s.policy->text : std::string{};
     wish.command = command;
-    switch (s.by)
+    switch (s.scope)
     {
-    case language::drain_by::host:
-        wish.selection.hosts = {s.what.text};
+    case language::drain_scope::host:
+        wish.selection.hosts = {s.scope_name.text};
         break;
-    case language::drain_by::zone:
-        wish.selection.zones = {s.what.text};
+    case language::drain_scope::zone:
+        wish.selection.zones = {s.scope_name.text};
         break;
-    case language::drain_by::rack:
-        wish.selection.racks = {s.what.text};
+    case language::drain_scope::rack:
+        wish.selection.racks = {s.scope_name.text};
         break;
-    case language::drain_by::pool:
-        wish.selection.pools = {s.what.text};
+    case language::drain_scope::pool:
+        wish.selection.pools = {s.scope_name.text};
         break;
     }
     return wish;
