--- a/libs/hosted/src/fleet_driver.cpp
+++ b/libs/hosted/src/fleet_driver.cpp
@@ -7,17 +7,17 @@
 #include "host_reader.hpp"
 #include "hosted/keys.hpp"
 #include "job_reader.hpp"
-#include "lease_bridge.hpp"
-#include "load_watch.hpp"
-#include "machine_desk.hpp"
+#include "load_monitor.hpp"
+#include "machine_controller.hpp"
 #include "owner_pace.hpp"
 #include "pending_record.hpp"
 #include "pending_watch.hpp"
 #include "progress_writer.hpp"
-#include "runner_desk.hpp"
+#include "runner_controller.hpp"
+#include "takeover_lease_renewer.hpp"
 #include "term.hpp"
 #include "tidier.hpp"
-#include "wave_runner.hpp"
+#include "wave_controller.hpp"
 
 #include <map>
 #include <optional>
--- a/libs/hosted/src/load_watch.cpp
+++ b/libs/hosted/src/load_monitor.cpp
@@ -1,4 +1,4 @@
-#include "load_watch.hpp"
+#include "load_monitor.hpp"
 
 #include "hosted/leadership.hpp"
 
--- a/libs/hosted/src/line_budget.cpp
+++ b/libs/hosted/src/log_rate_limiter.cpp
@@ -1,4 +1,4 @@
-#include "line_budget.hpp"
+#include "log_rate_limiter.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/libs/hosted/src/machine_desk.cpp
+++ b/libs/hosted/src/machine_controller.cpp
@@ -1,4 +1,4 @@
-#include "machine_desk.hpp"
+#include "machine_controller.hpp"
 
 #include "coordinator/intake.hpp"
 #include "demand_record.hpp"
--- a/libs/hosted/src/runner_desk.cpp
+++ b/libs/hosted/src/runner_controller.cpp
@@ -1,4 +1,4 @@
-#include "runner_desk.hpp"
+#include "runner_controller.hpp"
 
 #include "coordinator/answers.hpp"
 #include "coordinator/intake.hpp"
--- a/libs/hosted/src/runner_desk_polls.cpp
+++ b/libs/hosted/src/runner_controller_polls.cpp
@@ -4,7 +4,7 @@
 #include "coordinator/answers.hpp"
 #include "coordinator/intake.hpp"
 #include "repeated_order.hpp"
-#include "runner_desk.hpp"
+#include "runner_controller.hpp"
 
 #include <algorithm>
 
--- a/libs/hosted/src/lease_bridge.cpp
+++ b/libs/hosted/src/takeover_lease_renewer.cpp
@@ -1,4 +1,4 @@
-#include "lease_bridge.hpp"
+#include "takeover_lease_renewer.hpp"
 
 #include "coordinator/answers.hpp"
 #include "coordinator/intake.hpp"
--- a/libs/hosted/src/term.hpp
+++ b/libs/hosted/src/term.hpp
@@ -9,8 +9,8 @@
 #include "hosted/fleet_driver.hpp"
 #include "hosted/formats.hpp"
 #include "hosted/leadership.hpp"
-#include "line_budget.hpp"
 #include "load_report.hpp"
+#include "log_rate_limiter.hpp"
 
 #include <functional>
 #include <memory>
--- a/libs/hosted/src/wave_runner.cpp
+++ b/libs/hosted/src/wave_controller.cpp
@@ -1,4 +1,4 @@
-#include "wave_runner.hpp"
+#include "wave_controller.hpp"
 
 #include "hosted/keys.hpp"
 
--- a/libs/hosted/tests/every_fault_tests.cpp
+++ b/libs/hosted/tests/every_fault_tests.cpp
@@ -1,5 +1,5 @@
+#include "disabled_safeguards.hpp"
 #include "hosted_fakes/cluster.hpp"
-#include "planted_faults.hpp"
 
 #include <CppUTest/TestHarness.h>
 #include <algorithm>
--- a/libs/hosted/tests/wide_fleet_tests.cpp
+++ b/libs/hosted/tests/extended_fleet_tests.cpp
@@ -1,6 +1,6 @@
+#include "extended_simulation.hpp"
 #include "hosted_fakes/relays.hpp"
 #include "machine_faults.hpp"
-#include "wide_world.hpp"
 
 #include <CppUTest/TestHarness.h>
 #include <optional>
--- a/libs/hosted/tests/wide_world.hpp
+++ b/libs/hosted/tests/extended_simulation.hpp
@@ -2,7 +2,7 @@
 /// random_world with more that may fail.
 #pragma once
 
-#include "random_world.hpp"
+#include "random_simulation.hpp"
 
 namespace camphorhitch::hosted_tests
 {
--- a/libs/hosted/tests/random_count_tests.cpp
+++ b/libs/hosted/tests/random_count_tests.cpp
@@ -1,4 +1,4 @@
-#include "random_world.hpp"
+#include "random_simulation.hpp"
 
 #include <algorithm>
 #include <list>
--- a/libs/hosted/tests/random_fleet_tests.cpp
+++ b/libs/hosted/tests/random_fleet_tests.cpp
@@ -1,6 +1,6 @@
+#include "disabled_safeguards.hpp"
 #include "hosted_fakes/relays.hpp"
-#include "planted_faults.hpp"
-#include "random_world.hpp"
+#include "random_simulation.hpp"
 
 #include <CppUTest/TestHarness.h>
 
