--- a/libs/hosted/include/hosted/relay_registry.hpp
+++ b/libs/hosted/include/hosted/relay_registry.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Which nodes carry orders to runners out: each writes where it listens under a lease of the
-/// store, and the coordinator follows them all.
+/// Registry of the nodes that relay orders to runners: each relay writes its address to the store
+/// under a lease, and the coordinator follows all entries.
 #pragma once
 
 #include "core/result.hpp"
@@ -18,30 +18,33 @@
 
 struct registry_settings
 {
-    /// A node that vanished is listed for so long. Its broken connection tells sooner, so this only
-    /// bounds how long a newcomer tries it in vain.
+    /// Time for which a node that has vanished stays listed. A broken connection reveals the loss
+    /// sooner, so this only bounds how long a new coordinator tries that node in vain.
     core::millis lease{9000};
-    core::millis renew_every{3000}; ///< a third of the lease: two renewals may be lost
-    core::millis retry{1000};       ///< after a call that failed
-    /// The key is written again with every so many renewals: the store may take it away with no
-    /// sign on them, and a new coordinator would not find this node. One write a node in 30 s.
-    int renewals_a_write = 10;
-    /// Least time between two looks at the list; gathers the entries of nodes that start together.
-    core::millis follow_pause{250};
+    core::millis renewal_interval{3000}; ///< a third of the lease: two renewals may be lost
+    core::millis retry_delay{1000};      ///< after a call that failed
+    /// Number of renewals after which the key is written again: the store may remove the key while
+    /// renewals still succeed, and a new coordinator would not find this node. This costs one write
+    /// per node every 30 s.
+    int renewals_per_write = 10;
+    /// Minimum time between two reads of the list; gathers the entries of nodes that start
+    /// together.
+    core::millis min_follow_interval{250};
 };
 
-/// \return the value of the node's key.
+/// \return the value to store under the node's key.
 std::string write_relay(const ports::relay_endpoint& it);
 
-/// \param text as write_relay() made it; may be anything
+/// \param text stored value as write_relay() produced it; may be damaged
+/// \return the endpoint, or an error for a value that cannot be read.
 core::result<ports::relay_endpoint> read_relay(const std::string& member, const std::string& text);
 
 /// \return the largest share of a core among the nodes other than \p member; 0: there is none.
-double best_share_but(const std::vector<ports::relay_endpoint>& all, const std::string& member);
+double max_other_share(const std::vector<ports::relay_endpoint>& all, const std::string& member);
 
 struct registry_state;
 
-/// Must not be destroyed inside its own events.
+/// Must not be destroyed from within its own listener.
 class relay_registry
 {
 public:
@@ -52,12 +55,12 @@
     relay_registry& operator=(const relay_registry&) = delete;
     ~relay_registry();
 
-    /// Lists this node from now on.
-    void offer(ports::relay_endpoint own);
-    /// Lists it no more.
+    /// Registers this node as a relay and keeps its entry alive.
+    void advertise(ports::relay_endpoint own);
+    /// Removes this node's entry.
     void withdraw();
 
-    /// Tells the listener of all that are listed, and again when that changes.
+    /// Calls the listener with all registered relays, and again whenever the list changes.
     void follow();
     void unfollow();
 
--- a/libs/hosted/src/cadence.cpp
+++ b/libs/hosted/src/cadence.cpp
@@ -5,29 +5,31 @@
 namespace camphorhitch::hosted
 {
 
-core::millis time_between_polls(std::size_t hosts, double polls_per_second)
+core::millis poll_interval_for(std::size_t hosts, double polls_per_second)
 {
     constexpr double ms_per_second = 1000;
-    const auto fair = ms_per_second * static_cast<double>(hosts) / polls_per_second;
-    return core::millis{static_cast<std::int64_t>(fair)};
+    const auto unbounded = ms_per_second * static_cast<double>(hosts) / polls_per_second;
+    return core::millis{static_cast<std::int64_t>(unbounded)};
 }
 
-core::millis poll_wait_for(const driver_settings& s, std::size_t hosts)
+core::millis scaled_poll_wait(const driver_settings& s, std::size_t hosts)
 {
-    const auto fair = time_between_polls(hosts, s.most_polls_per_second);
-    return std::clamp(fair, s.poll_wait, s.longest_poll_wait);
+    const auto unbounded = poll_interval_for(hosts, s.max_polls_per_second);
+    return std::clamp(unbounded, s.poll_wait, s.max_poll_wait);
 }
 
-core::millis idle_poll_gap(const driver_settings& s, std::size_t hosts)
+core::millis idle_poll_delay(const driver_settings& s, std::size_t hosts)
 {
-    const auto fair = time_between_polls(hosts, s.most_idle_polls_per_second);
-    return std::clamp(fair - poll_wait_for(s, hosts), core::millis{0}, s.longest_idle_gap);
+    const auto unbounded = poll_interval_for(hosts, s.max_idle_polls_per_second);
+    return std::clamp(
+        unbounded - scaled_poll_wait(s, hosts), core::millis{0}, s.max_idle_poll_delay);
 }
 
-core::millis look_every(const driver_settings& s, core::millis shortest, std::size_t hosts)
+core::millis scaled_scan_interval(
+    const driver_settings& s, core::millis min_interval, std::size_t hosts)
 {
-    const auto fair = s.look_pause_each * static_cast<std::int64_t>(hosts);
-    return std::max(shortest, std::chrono::ceil<core::millis>(fair));
+    const auto unbounded = s.scan_delay_per_host * static_cast<std::int64_t>(hosts);
+    return std::max(min_interval, std::chrono::ceil<core::millis>(unbounded));
 }
 
 } // namespace camphorhitch::hosted
--- a/libs/hosted/src/cadence.hpp
+++ b/libs/hosted/src/cadence.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// How often an owner does what takes it longer the more hosts there are, so that a large fleet
-/// leaves it the time to decide.
+/// Intervals of the coordinator's periodic work whose cost grows with the number of hosts. They
+/// grow with the fleet, so that the coordinator of a large fleet has time left to plan.
 #pragma once
 
 #include "hosted/fleet_driver.hpp"
@@ -10,19 +10,21 @@
 namespace camphorhitch::hosted
 {
 
-/// \return the time between two polls of one host, when all hosts together are polled so often.
-core::millis time_between_polls(std::size_t hosts, double polls_per_second);
+/// \return the time between two polls of one host, if all hosts together are polled at this rate.
+core::millis poll_interval_for(std::size_t hosts, double polls_per_second);
 
-/// \return the longest wait of a poll for an end: as set, or longer where polls that bring nothing
-/// would come more often than the setting allows; never so long that a lease could lapse behind it.
-core::millis poll_wait_for(const driver_settings& s, std::size_t hosts);
+/// \return how long a runner holds a poll open until a run ends: driver_settings::poll_wait, or
+/// longer where polls without news would exceed max_polls_per_second. At most max_poll_wait, so
+/// that no lease can expire while a poll is open.
+core::millis scaled_poll_wait(const driver_settings& s, std::size_t hosts);
 
-/// \return the pause after a poll of a host that runs nothing: none in a small fleet. A host is
-/// asked often enough to be given work at any time.
-core::millis idle_poll_gap(const driver_settings& s, std::size_t hosts);
+/// \return the delay after a poll of a host that runs nothing; 0 in a small fleet. It is short
+/// enough that a host may be given work at any time.
+core::millis idle_poll_delay(const driver_settings& s, std::size_t hosts);
 
-/// \return the time between two looks at all hosts.
-/// \param shortest in a small fleet
-core::millis look_every(const driver_settings& s, core::millis shortest, std::size_t hosts);
+/// \return the time between two scans of all hosts.
+/// \param min_interval interval in a small fleet
+core::millis scaled_scan_interval(
+    const driver_settings& s, core::millis min_interval, std::size_t hosts);
 
 } // namespace camphorhitch::hosted
--- a/libs/hosted/src/fleet_driver.cpp
+++ b/libs/hosted/src/fleet_driver.cpp
@@ -28,94 +28,100 @@
 
 struct driver_parts
 {
-    std::shared_ptr<term> common;
+    std::shared_ptr<term> active_term;
     std::unique_ptr<job_reader> jobs;
     std::unique_ptr<host_reader> hosts;
-    std::unique_ptr<lease_bridge> bridge;
-    std::unique_ptr<runner_desk> desk;
+    std::unique_ptr<takeover_lease_renewer> takeover_renewer;
+    std::unique_ptr<runner_controller> runners;
     std::unique_ptr<progress_writer> writer;
-    std::unique_ptr<machine_desk> machines;
-    std::unique_ptr<wave_runner> waves;
-    std::unique_ptr<tidier> tidy;
-    std::unique_ptr<load_watch> watch;
-    std::unique_ptr<pending_watch> pending;
-    bool plan_is_due = false;
-    bool jobs_are_in = false;
-    bool record_is_in = false;
-    std::optional<std::map<std::string, int>> pending_stored; ///< of the newest record, if it is
-    core::mono_time pending_at;                               ///< when that record was made
-    core::mono_time hosts_planned_at;                         ///< latest look at waves and moves
+    std::unique_ptr<machine_controller> machines;
+    std::unique_ptr<wave_controller> waves;
+    std::unique_ptr<tidier> cleaner;
+    std::unique_ptr<load_monitor> monitor;
+    std::unique_ptr<pending_watch> pending_logger;
+    bool plan_scheduled = false;
+    bool jobs_loaded = false;
+    bool runner_record_loaded = false;
+    /// Counts of waiting jobs in the last record; empty if its write failed.
+    std::optional<std::map<std::string, int>> last_stored_pending;
+    core::mono_time pending_stored_at; ///< when these counts were made
+    core::mono_time hosts_planned_at;  ///< when waves, moves and throttling were last planned
 
-    void plan_soon();
+    void schedule_plan();
     void plan();
     void tick();
     void tick_pending();
     void store_pending();
-    void judge_reading(core::mono_time began);
+    void hand_over_if_unread(core::mono_time term_started);
     void read_demand(const std::function<void()>& then);
 };
 
-void driver_parts::plan_soon()
+void driver_parts::schedule_plan()
 {
-    if (!plan_is_due)
+    if (!plan_scheduled)
     {
-        plan_is_due = true;
-        common->ctx.time.after(common->settings.plan_delay, common->guarded([this] { plan(); }));
+        plan_scheduled = true;
+        active_term->ctx.time.after(
+            active_term->settings.plan_delay, active_term->guarded([this] { plan(); }));
     }
 }
 
 void driver_parts::plan()
 {
-    plan_is_due = false;
-    auto& t = *common;
-    if (!jobs_are_in || !record_is_in || !t.lead->holds())
+    plan_scheduled = false;
+    auto& t = *active_term;
+    if (!jobs_loaded || !runner_record_loaded || !t.lead->holds())
     {
         return;
     }
-    const auto begun = t.now();
+    const auto started = t.now();
     ++t.load.counts.plans;
     coordinator::task_events out;
-    t.lapse_hosts(out);
-    const auto pause = look_every(t.settings, t.settings.hosts_plan_every, t.fleet.hosts.size());
-    if (begun >= hosts_planned_at + pause)
+    t.expire_hosts(out);
+    const auto interval =
+        scaled_scan_interval(t.settings, t.settings.host_plan_interval, t.fleet.hosts.size());
+    if (started >= hosts_planned_at + interval)
     {
-        hosts_planned_at = begun;
-        coordinator::empty_draining_hosts(t.fleet, begun, out);
+        hosts_planned_at = started;
+        coordinator::empty_draining_hosts(t.fleet, started, out);
         waves->plan();
-        machines->plan(waves->held());
-        if (t.settings.sends_paces)
+        machines->plan(waves->held_machines());
+        if (t.settings.throttles_best_effort)
         {
-            desk->send_paces(coordinator::plan_paces(t.fleet, t.settings.paces, begun, out));
+            runners->send_throttles(
+                coordinator::plan_paces(t.fleet, t.settings.throttling, started, out));
         }
     }
     const auto unix_ms = core::to_unix_ms(t.ctx.time.wall_now());
-    const auto orders = coordinator::make_plan(t.fleet, begun, unix_ms, true, out, desk->room());
+    const auto orders =
+        coordinator::make_plan(t.fleet, started, unix_ms, true, out, runners->available_orders());
     t.log(out);
-    desk->send(orders);
+    runners->send(orders);
     if (!t.fleet.dirty_jobs.empty())
     {
         writer->request();
     }
     t.ctx.tel.observe(
-        "camphorhitch_plan_seconds", {}, std::chrono::duration<double>(t.now() - begun).count());
+        "camphorhitch_plan_seconds", {}, std::chrono::duration<double>(t.now() - started).count());
 }
 
 void driver_parts::tick()
 {
-    common->ctx.time.after(common->settings.plan_every, common->guarded([this] { tick(); }));
-    if (!jobs_are_in || !record_is_in)
+    active_term->ctx.time.after(
+        active_term->settings.plan_interval, active_term->guarded([this] { tick(); }));
+    if (!jobs_loaded || !runner_record_loaded)
     {
         return;
     }
-    desk->poll_all();
-    plan_soon();
+    runners->poll_all();
+    schedule_plan();
     writer->request_if_due();
 }
 
-/// Before the jobs: their arrivals add to it.
+/// Reads the stored demand, before the jobs are read: their arrivals are added to it.
 void driver_parts::read_demand(const std::function<void()>& then)
 {
-    auto& t = *common;
+    auto& t = *active_term;
     t.ctx.store.get(demand_key,
         ports::read_freshness::newest,
         t.guarded(
@@ -123,13 +129,13 @@
             {
                 if (read.status != ports::kv_status::ok)
                 {
-                    common->ctx.time.after(common->settings.store_retry,
-                        common->guarded([this, then] { read_demand(then); }));
+                    active_term->ctx.time.after(active_term->settings.store_retry_delay,
+                        active_term->guarded([this, then] { read_demand(then); }));
                     return;
                 }
                 if (read.item)
                 {
-                    machines->set_demand(*read.item);
+                    machines->restore_demand(*read.item);
                 }
                 then();
             }));
@@ -137,31 +143,32 @@
 
 void driver_parts::tick_pending()
 {
-    common->ctx.time.after(
-        common->settings.pending_every, common->guarded([this] { tick_pending(); }));
-    if (jobs_are_in)
+    active_term->ctx.time.after(active_term->settings.pending_record_interval,
+        active_term->guarded([this] { tick_pending(); }));
+    if (jobs_loaded)
     {
         store_pending();
     }
 }
 
-/// An owner that can't read what it needs starts nothing, while its lease, renewed by small calls,
-/// keeps others out: accepted jobs of all queues wait for ever. One that hands over costs a
-/// successor's reading; if it is the only node, it leads again, with more time.
-void driver_parts::judge_reading(core::mono_time began)
+/// A coordinator that cannot read the jobs or the record of runners starts nothing, while its
+/// lease, which small calls renew, keeps other nodes from leading: accepted jobs of all queues
+/// would wait for ever. Handing over costs the successor's reading; if this is the only node, it
+/// leads again and has more time.
+void driver_parts::hand_over_if_unread(core::mono_time term_started)
 {
-    if (jobs_are_in && record_is_in)
+    if (jobs_loaded && runner_record_loaded)
     {
         return;
     }
-    auto& t = *common;
-    const auto unread = std::chrono::duration_cast<core::millis>(t.now() - began);
+    auto& t = *active_term;
+    const auto unread = std::chrono::duration_cast<core::millis>(t.now() - term_started);
     t.ctx.tel.log(ports::log_level::warning,
         "leadership_handed_over",
         {{"reason", "jobs_unread"},
             {"unread_ms", std::to_string(unread.count())},
             {"pages", std::to_string(jobs->pages_read())},
-            {"runners_read", record_is_in ? "1" : "0"},
+            {"runners_read", runner_record_loaded ? "1" : "0"},
             {"hand_overs", std::to_string(t.lead->hand_overs())},
             {"token", std::to_string(t.token)}});
     t.lead->hand_over("the jobs could not be read in time");
@@ -169,21 +176,22 @@
 
 void driver_parts::store_pending()
 {
-    auto& t = *common;
+    auto& t = *active_term;
     if (!t.lead->holds())
     {
         return;
     }
-    auto basis = pending->basis_of(coordinator::pending_jobs(t.fleet));
-    const bool idle = t.fleet.open_jobs.empty() && basis.by_queue == pending_stored;
-    if (idle && t.now() < pending_at + t.settings.pending_idle)
+    auto basis = pending_logger->basis_of(coordinator::pending_jobs(t.fleet));
+    const bool idle = t.fleet.open_jobs.empty() && basis.by_queue == last_stored_pending;
+    if (idle && t.now() < pending_stored_at + t.settings.idle_pending_record_interval)
     {
-        return; // nothing waits and nothing is learnt
+        return; // no job waits and no count has changed
     }
     ports::store_transaction change;
-    // A successor's mark among the jobs ends this term only after the turn in which it was read: a
-    // record made in between would count as known the jobs that came with it and were dropped. The
-    // mark and the key changed in one write, so with this condition such a record is never stored.
+    // A successor's mark among the jobs ends this term only after the loop iteration in which it
+    // was read. A record made in between would state as read the jobs that came with the mark and
+    // were dropped. The mark and the leader key changed in one write, so this condition keeps such
+    // a record from being stored.
     change.conditions = {{leader_key, t.token}};
     change.puts = {{pending_key, write_pending({basis.read_through, basis.by_queue}), 0},
         {demand_key, machines->demand_record(), 0}};
@@ -192,67 +200,68 @@
             [this, basis = std::move(basis)](const ports::commit_result& result)
             {
                 const bool ok = result.status == ports::kv_status::ok;
-                pending_stored = ok ? std::optional{basis.by_queue} : std::nullopt;
-                pending_at = basis.made_at;
-                pending->see_answer(basis, result);
-                common->lost_key(result);
+                last_stored_pending = ok ? std::optional{basis.by_queue} : std::nullopt;
+                pending_stored_at = basis.made_at;
+                pending_logger->see_answer(basis, result);
+                active_term->lost_leadership(result);
             }));
 }
 
-fleet_driver::fleet_driver(context c, const formats& spelling, driver_settings s, leadership& lead)
-    : ctx_(std::move(c)), spelling_(spelling), settings_(s), lead_(lead)
+fleet_driver::fleet_driver(
+    context c, const formats& text_formats, driver_settings s, leadership& lead)
+    : ctx_(std::move(c)), text_formats_(text_formats), settings_(s), lead_(lead)
 {
 }
 
 fleet_driver::~fleet_driver() = default;
 
-void fleet_driver::begin(std::int64_t number, ports::revision token)
+void fleet_driver::begin_term(std::int64_t number, ports::revision token)
 {
     parts_ = std::make_unique<driver_parts>();
     auto& p = *parts_;
-    p.common = std::make_shared<term>();
-    auto& t = *p.common;
+    p.active_term = std::make_shared<term>();
+    auto& t = *p.active_term;
     t.ctx = ctx_;
-    t.spelling = &spelling_;
+    t.text_formats = &text_formats_;
     t.settings = settings_;
     t.lead = &lead_;
     t.token = token;
     t.fleet.settings = settings_.rules;
     t.fleet.term = number;
     t.fleet.term_start_revision = token;
-    t.wake = [&p]
+    t.request_plan = [&p]
     {
-        p.plan_soon();
+        p.schedule_plan();
     };
-    t.store_soon = [&p]
+    t.request_store_write = [&p]
     {
         p.writer->request();
     };
-    t.jobs_heard = [&p]
+    t.last_job_answer_at = [&p]
     {
         return p.jobs->last_heard();
     };
-    t.record_hosts = [&p]
+    t.update_runner_record = [&p]
     {
-        p.hosts->record();
+        p.hosts->update_record();
     };
     p.jobs = std::make_unique<job_reader>(t);
-    p.pending = std::make_unique<pending_watch>(t, *p.jobs);
+    p.pending_logger = std::make_unique<pending_watch>(t, *p.jobs);
     p.hosts = std::make_unique<host_reader>(t);
-    p.bridge = std::make_unique<lease_bridge>(t);
-    p.desk = std::make_unique<runner_desk>(t);
+    p.takeover_renewer = std::make_unique<takeover_lease_renewer>(t);
+    p.runners = std::make_unique<runner_controller>(t);
     p.writer = std::make_unique<progress_writer>(t);
-    p.machines = std::make_unique<machine_desk>(t);
-    p.waves = std::make_unique<wave_runner>(t, p.machines->table());
-    p.tidy = std::make_unique<tidier>(t);
-    p.watch =
-        std::make_unique<load_watch>(t, [&p](core::micros late_by) { p.desk->see_delay(late_by); });
-    t.on_job = [&p](const workflow::job& j, core::mono_time at)
+    p.machines = std::make_unique<machine_controller>(t);
+    p.waves = std::make_unique<wave_controller>(t, p.machines->table());
+    p.cleaner = std::make_unique<tidier>(t);
+    p.monitor = std::make_unique<load_monitor>(
+        t, [&p](core::micros late_by) { p.runners->record_loop_delay(late_by); });
+    t.on_job_accepted = [&p](const workflow::job& j, core::mono_time at)
     {
-        p.machines->note_job(j, at);
-        if (p.jobs_are_in)
+        p.machines->record_job(j, at);
+        if (p.jobs_loaded)
         {
-            p.desk->expect_work(j.pool);
+            p.runners->expect_work(j.pool);
         }
     };
     const auto read_jobs = [&p]
@@ -260,15 +269,16 @@
         p.jobs->start(
             [&p]
             {
-                p.jobs_are_in = true;
+                p.jobs_loaded = true;
                 p.machines->resume();
-                p.bridge->stop();
-                p.common->log(ports::log_level::info,
+                p.takeover_renewer->stop();
+                p.active_term->log(ports::log_level::info,
                     "jobs_read",
-                    {{"jobs", std::to_string(p.common->fleet.jobs.size())}});
-                p.desk->poll_all();
-                p.plan_soon();
-                // At once: leaders that follow each other fast would else leave none behind.
+                    {{"jobs", std::to_string(p.active_term->fleet.jobs.size())}});
+                p.runners->poll_all();
+                p.schedule_plan();
+                // Written at once: leaders that follow each other quickly would otherwise store no
+                // record at all.
                 p.store_pending();
             });
     };
@@ -276,28 +286,29 @@
     p.hosts->start(
         [&p]
         {
-            p.record_is_in = true;
-            p.common->log(ports::log_level::info,
+            p.runner_record_loaded = true;
+            p.active_term->log(ports::log_level::info,
                 "runners_read",
-                {{"prior", std::to_string(p.common->fleet.hosts.size())}});
-            if (!p.jobs_are_in)
+                {{"prior", std::to_string(p.active_term->fleet.hosts.size())}});
+            if (!p.jobs_loaded)
             {
-                p.bridge->start();
+                p.takeover_renewer->start();
             }
         });
     p.machines->set_pools(pools_);
     p.hosts->set_pools(pools_);
-    p.machines->start([&p] { p.waves->see_machines(); }, [&p] { return p.waves->has_open_wave(); });
+    p.machines->start(
+        [&p] { p.waves->apply_machine_list(); }, [&p] { return p.waves->has_open_wave(); });
     p.waves->set_waves(waves_);
     t.ctx.time.after(time_to_read(lead_.hand_overs()),
-        t.guarded([&p, began = t.now()] { p.judge_reading(began); }));
+        t.guarded([&p, term_started = t.now()] { p.hand_over_if_unread(term_started); }));
     p.tick();
     p.tick_pending();
-    p.tidy->start();
-    p.watch->start();
+    p.cleaner->start();
+    p.monitor->start();
 }
 
-void fleet_driver::end()
+void fleet_driver::end_term()
 {
     parts_.reset();
 }
@@ -321,8 +332,9 @@
     }
 }
 
-/// Past its lease, a node that stood still or was suspended has its fleet as it was, while a
-/// successor may have moved all of it: told as the present, it would mislead. The store tells then.
+/// A node that was paused past its lease still has the old state of its fleet, while a successor
+/// may have moved all of it: reported as present, that state would mislead. Callers get the stored
+/// state then.
 std::vector<std::string> fleet_driver::explain_job(const std::string& id) const
 {
     if (parts_ == nullptr || !lead_.holds())
@@ -330,7 +342,7 @@
         return {};
     }
     const auto unix_ms = core::to_unix_ms(ctx_.time.wall_now());
-    return coordinator::explain_job(parts_->common->fleet, id, ctx_.time.now(), unix_ms);
+    return coordinator::explain_job(parts_->active_term->fleet, id, ctx_.time.now(), unix_ms);
 }
 
 bool fleet_driver::is_running() const
--- a/libs/hosted/src/host_reader.cpp
+++ b/libs/hosted/src/host_reader.cpp
@@ -16,46 +16,51 @@
 
 using nlohmann::json;
 
-/// No lease is nearly as long; a longer time would overflow the clocks when it is added to now.
-constexpr std::uint64_t longest_rest_ms = std::uint64_t{24} * 3600 * 1000;
+/// Longest value that is accepted from a record. No lease is nearly as long, and a longer time
+/// would overflow the clock when it is added to the present time.
+constexpr std::uint64_t max_remaining_lease_ms = std::uint64_t{24} * 3600 * 1000;
 
 json write_row(const runner_record& it)
 {
     auto row = json::array({it.address, it.machine, it.pool});
-    if (it.rest)
+    if (it.remaining_lease)
     {
-        row.push_back(it.rest->count());
+        row.push_back(it.remaining_lease->count());
     }
     return row;
 }
 
 std::optional<runner_record> read_row(const json& row)
 {
-    constexpr std::size_t plain = 3;
-    constexpr std::size_t with_rest = 4;
-    const bool sized = row.is_array() && (row.size() == plain || row.size() == with_rest);
-    if (!sized || !row[0].is_string() || !row[1].is_string() || !row[2].is_string())
+    constexpr std::size_t without_lease = 3;
+    constexpr std::size_t with_lease = 4;
+    const bool right_size =
+        row.is_array() && (row.size() == without_lease || row.size() == with_lease);
+    if (!right_size || !row[0].is_string() || !row[1].is_string() || !row[2].is_string())
     {
         return {};
     }
     runner_record out{
         row[0].get<std::string>(), row[1].get<std::string>(), row[2].get<std::string>(), {}};
-    if (row.size() == with_rest)
+    if (row.size() == with_lease)
     {
-        if (!row[plain].is_number_unsigned() || row[plain].get<std::uint64_t>() > longest_rest_ms)
+        if (!row[without_lease].is_number_unsigned() ||
+            row[without_lease].get<std::uint64_t>() > max_remaining_lease_ms)
         {
             return {};
         }
-        out.rest = core::millis{row[plain].get<std::int64_t>()};
+        out.remaining_lease = core::millis{row[without_lease].get<std::int64_t>()};
     }
     return out;
 }
 
-/// \return whether the record tells a successor to wait for the runner until it is heard.
-bool is_plain_in(const runner_records& all, const std::string& id, const std::string& pool)
+/// \return whether the record names the runner in this pool without an end of its leases: a
+/// successor then waits until the runner answers or a whole lease has passed.
+bool is_recorded_without_end(
+    const runner_records& all, const std::string& id, const std::string& pool)
 {
     const auto found = all.find(id);
-    return found != all.end() && !found->second.rest && found->second.pool == pool;
+    return found != all.end() && !found->second.remaining_lease && found->second.pool == pool;
 }
 
 } // namespace
@@ -90,7 +95,7 @@
     return out;
 }
 
-host_reader::host_reader(term& t) : term_(t), list_(t, [this] { take_list(); })
+host_reader::host_reader(term& t) : term_(t), list_(t, [this] { apply_list(); })
 {
 }
 
@@ -104,26 +109,27 @@
 {
     term_.ctx.store.get(runners_key,
         ports::read_freshness::newest,
-        term_.guarded([this](const ports::item_read& read) { take_record(read); }));
+        term_.guarded([this](const ports::item_read& read) { apply_record(read); }));
 }
 
-void host_reader::take_record(const ports::item_read& read)
+void host_reader::apply_record(const ports::item_read& read)
 {
     if (read.status != kv_status::ok)
     {
-        term_.ctx.time.after(term_.settings.store_retry, term_.guarded([this] { read_record(); }));
+        term_.ctx.time.after(
+            term_.settings.store_retry_delay, term_.guarded([this] { read_record(); }));
         return;
     }
     if (read.item)
     {
-        take_former(*read.item);
+        apply_previous_record(*read.item);
     }
     std::exchange(done_, {})();
     list_.start();
-    watch_silence();
+    check_liveness();
 }
 
-void host_reader::take_former(const ports::stored_item& item)
+void host_reader::apply_previous_record(const ports::stored_item& item)
 {
     record_revision_ = item.modified;
     const auto found = read_runners(item.value);
@@ -139,7 +145,7 @@
     std::vector<coordinator::inherited_host> prior;
     for (const auto& [id, it] : recorded_)
     {
-        prior.push_back({{id, it.address, {}}, it.machine, it.pool, it.rest});
+        prior.push_back({{id, it.address, {}}, it.machine, it.pool, it.remaining_lease});
     }
     coordinator::add_prior_hosts(term_.fleet, prior, term_.now());
 }
@@ -149,46 +155,49 @@
     list_.set_pools(pools);
 }
 
-void host_reader::take_list()
+void host_reader::apply_list()
 {
     coordinator::task_events out;
     coordinator::see_hosts(term_.fleet, list_.usable(), term_.now(), out);
     term_.log(out);
-    judge_hosts();
+    update_host_liveness();
 }
 
-/// Silence shows by time alone, and so does that the list of runners may be believed again.
-void host_reader::watch_silence()
+/// Runs at liveness_check_interval, since no event reports that a host has become unresponsive. Nor
+/// does an event report that the list may name a runner again that was taken for ended: that holds
+/// once ended_runner_retention has passed.
+void host_reader::check_liveness()
 {
-    const auto believed_from = term_.now() - term_.fleet.settings.ended_runner_retention;
+    const auto reconsidered_before = term_.now() - term_.fleet.settings.ended_runner_retention;
     const auto& ended = term_.fleet.ended_runners;
-    const bool again = std::any_of(
-        ended.begin(), ended.end(), [&](const auto& it) { return it.second < believed_from; });
-    if (again && list_.has_entries())
+    const bool any_reconsidered = std::any_of(ended.begin(),
+        ended.end(),
+        [&](const auto& it) { return it.second < reconsidered_before; });
+    if (any_reconsidered && list_.has_entries())
     {
-        take_list();
+        apply_list();
     }
     else
     {
-        judge_hosts();
+        update_host_liveness();
     }
     term_.ctx.time.after(
-        term_.settings.hosts_judged_every, term_.guarded([this] { watch_silence(); }));
+        term_.settings.liveness_check_interval, term_.guarded([this] { check_liveness(); }));
 }
 
-void host_reader::judge_hosts()
+void host_reader::update_host_liveness()
 {
     coordinator::task_events out;
-    term_.lapse_hosts(out);
+    term_.expire_hosts(out);
     term_.log(out);
-    record();
-    term_.wake();
+    update_record();
+    term_.request_plan();
 }
 
-/// Runners that have ended, or never answered, are left out: a successor would wait for their
-/// leases in vain. Of a silent one it is told when its leases end, so that owners that follow each
-/// other quickly don't each wait for a whole lease anew.
-runner_records host_reader::wanted_records() const
+/// Runners that have ended or never answered are left out, since a successor would wait for their
+/// leases in vain. The entry of an unresponsive runner states when its leases end, so that
+/// coordinators that follow each other quickly do not each wait for a whole lease.
+runner_records host_reader::records_to_store() const
 {
     const auto& f = term_.fleet;
     const auto now = term_.now();
@@ -202,96 +211,100 @@
         runner_record row{h.ref.address, h.machine, h.pool, {}};
         if (!h.reachable && now - h.unresponsive_since >= f.settings.lease_end_record_delay)
         {
-            const auto told = told_.find(id);
-            row.rest = told != told_.end() ? told->second : coordinator::time_to_lapse(f, h, now);
+            const auto stored_remaining = stored_remaining_leases_.find(id);
+            row.remaining_lease = stored_remaining != stored_remaining_leases_.end()
+                                      ? stored_remaining->second
+                                      : coordinator::time_to_lapse(f, h, now);
         }
         out.emplace(id, std::move(row));
     }
     return out;
 }
 
-/// A runner that is in no record gets no work: a successor which does not know of it could not wait
-/// for its runs to end, and would start them a second time.
+/// A runner that is not recorded gets no work: a successor that does not know the runner could not
+/// wait for its runs to end, and would start their tasks a second time.
 void host_reader::mark_recorded()
 {
     for (auto& [id, h] : term_.fleet.hosts)
     {
-        h.recorded = is_plain_in(recorded_, id, h.pool) && !doubted_.contains(id);
+        h.recorded = is_recorded_without_end(recorded_, id, h.pool) && !unconfirmed_.contains(id);
     }
 }
 
-void host_reader::record()
+void host_reader::update_record()
 {
-    if (recording_)
+    if (write_in_flight_)
     {
         return;
     }
-    auto wanted = wanted_records();
-    if (wanted != recorded_ || unsure_)
+    auto wanted = records_to_store();
+    if (wanted != recorded_ || last_write_unknown_)
     {
         send_record(std::move(wanted));
     }
     mark_recorded();
 }
 
-void host_reader::doubt_all_but(const runner_records& wanted)
+void host_reader::mark_others_unconfirmed(const runner_records& wanted)
 {
-    const auto judge = [&](const std::string& id, const std::string& pool)
+    const auto mark = [&](const std::string& id, const std::string& pool)
     {
-        if (!is_plain_in(wanted, id, pool))
+        if (!is_recorded_without_end(wanted, id, pool))
         {
-            doubted_.insert(id);
+            unconfirmed_.insert(id);
         }
     };
     for (const auto& [id, h] : term_.fleet.hosts)
     {
-        judge(id, h.pool);
+        mark(id, h.pool);
     }
     for (const auto& [id, it] : recorded_)
     {
-        judge(id, it.pool); // also one that is left out now may be listed again
+        mark(id, it.pool); // a runner that is left out now may be listed again later
     }
 }
 
 void host_reader::send_record(runner_records wanted)
 {
-    recording_ = true;
-    std::erase_if(told_, [&](const auto& it) { return !wanted.contains(it.first); });
+    write_in_flight_ = true;
+    std::erase_if(
+        stored_remaining_leases_, [&](const auto& it) { return !wanted.contains(it.first); });
     for (const auto& [id, it] : wanted)
     {
-        if (it.rest)
+        if (it.remaining_lease)
         {
-            told_.emplace(id, *it.rest);
+            stored_remaining_leases_.emplace(id, *it.remaining_lease);
         }
         else
         {
-            told_.erase(id);
+            stored_remaining_leases_.erase(id);
         }
     }
-    unsure_ = true;
-    doubt_all_but(wanted);
+    last_write_unknown_ = true;
+    mark_others_unconfirmed(wanted);
     ports::store_transaction change;
     change.conditions = {{leader_key, term_.token}, {runners_key, record_revision_}};
     change.puts = {{runners_key, write_runners(wanted), 0}};
     term_.ctx.store.commit(std::move(change),
         term_.guarded([this, wanted = std::move(wanted)](const ports::commit_result& result)
-            { take_write(wanted, result); }));
+            { handle_write_answer(wanted, result); }));
 }
 
-void host_reader::take_write(const runner_records& wanted, const ports::commit_result& result)
+void host_reader::handle_write_answer(
+    const runner_records& wanted, const ports::commit_result& result)
 {
-    recording_ = false;
+    write_in_flight_ = false;
     if (result.status == kv_status::ok)
     {
         recorded_ = wanted;
-        unsure_ = false;
-        doubted_.clear();
+        last_write_unknown_ = false;
+        unconfirmed_.clear();
         record_revision_ = result.modified;
-        record();
-        term_.wake();
+        update_record();
+        term_.request_plan();
         return;
     }
-    if (term_.lost_key(result))
+    if (term_.lost_leadership(result))
     {
         return;
     }
@@ -299,7 +312,7 @@
     {
         if (it.key == runners_key)
         {
-            record_revision_ = it.modified; // an unanswered try of this node's own
+            record_revision_ = it.modified; // of an earlier write by this node that had no answer
         }
     }
 }
--- a/libs/hosted/src/job_reader.cpp
+++ b/libs/hosted/src/job_reader.cpp
@@ -50,7 +50,8 @@
             "progress_unread",
             {{"pages", std::to_string(state_pages_)}});
         // The pages before stay good: in this term only this owner writes progress, and later.
-        term_.ctx.time.after(term_.settings.store_retry, term_.guarded([this] { read_states(); }));
+        term_.ctx.time.after(
+            term_.settings.store_retry_delay, term_.guarded([this] { read_states(); }));
         return;
     }
     ++state_pages_;
@@ -73,8 +74,8 @@
 {
     follower_settings s;
     s.prefix = job_prefix;
-    s.pause = term_.settings.job_pause;
-    s.wait = term_.settings.job_wait;
+    s.pause = term_.settings.job_watch_interval;
+    s.wait = term_.settings.job_watch_max_wait;
     follower_events events;
     events.on_all = [this](const std::vector<ports::stored_item>& all)
     {
@@ -136,7 +137,7 @@
         { return it.key == handover_key && it.modified > term_.token; });
     if (over)
     {
-        term_.fenced_by("a successor's mark among the jobs");
+        term_.step_down_fenced("a successor's mark among the jobs");
     }
     return over;
 }
@@ -150,8 +151,8 @@
     }
     term_.log(out);
     note_arrivals();
-    term_.store_soon();
-    term_.wake();
+    term_.request_store_write();
+    term_.request_plan();
 }
 
 /// Also those before this term: the pattern of busy times is in them.
@@ -165,7 +166,7 @@
     for (const auto& it : arrivals_)
     {
         const auto age = std::max<std::int64_t>(wall - it.accepted_unix_ms, 0);
-        term_.on_job(it, now - core::millis{age});
+        term_.on_job_accepted(it, now - core::millis{age});
     }
     arrivals_.clear();
 }
@@ -178,7 +179,7 @@
     if (!j.inherited)
     {
         const auto wall = core::to_unix_ms(term_.ctx.time.wall_now());
-        term_.note_read(core::millis{std::max<std::int64_t>(wall - accepted_unix_ms, 0)});
+        term_.record_job_read(core::millis{std::max<std::int64_t>(wall - accepted_unix_ms, 0)});
     }
 }
 
--- a/libs/hosted/src/load_monitor.cpp
+++ b/libs/hosted/src/load_monitor.cpp
@@ -11,21 +11,22 @@
 namespace
 {
 
-constexpr core::millis report_every{1000};
-/// A delay that is shorter than this may be missed; twice as many timers would show 10 ms more.
-constexpr core::millis probe_every{20};
-/// Each costs two calls of the system and a turn of the loop.
-constexpr core::millis socket_probe_every{100};
+constexpr core::millis report_interval{1000};
+/// A delay that is shorter than this may go unnoticed; twice as many timers would reveal delays
+/// that are 10 ms shorter.
+constexpr core::millis probe_interval{20};
+/// A socket probe costs two system calls and an iteration of the loop.
+constexpr core::millis socket_probe_interval{100};
 
 core::micros processor_time(const context& c)
 {
     return c.processor_time ? c.processor_time() : core::micros{0};
 }
 
-void tell(const ports::telemetry& tel, const load_row& row)
+void publish(const ports::telemetry& tel, const load_row& row)
 {
     const auto value = static_cast<double>(row.value);
-    if (row.kind == load_kind::count)
+    if (row.kind == load_row_kind::counter)
     {
         tel.count("camphorhitch_coordinator_done_total", {{"what", row.name}}, value);
     }
@@ -37,98 +38,100 @@
 
 } // namespace
 
-load_watch::load_watch(term& t, std::function<void(core::micros)> on_delay)
-    : term_(t), on_delay_(std::move(on_delay)), pace_(t)
+load_monitor::load_monitor(term& t, std::function<void(core::micros)> on_delay)
+    : term_(t), on_delay_(std::move(on_delay)), lag_monitor_(t)
 {
 }
 
-load_watch::~load_watch()
+load_monitor::~load_monitor()
 {
     for (const auto& it : load_rows({}, {}))
     {
-        tell(term_.ctx.tel, it);
+        publish(term_.ctx.tel, it);
     }
 }
 
-void load_watch::start()
+void load_monitor::start()
 {
-    reported_ = term_.now();
-    pace_.start();
-    processor_ = processor_time(term_.ctx);
-    wait();
+    reported_at_ = term_.now();
+    lag_monitor_.start();
+    processor_at_report_ = processor_time(term_.ctx);
+    schedule_probe();
 }
 
-void load_watch::wait()
+void load_monitor::schedule_probe()
 {
-    due_ = term_.now() + probe_every;
-    term_.ctx.time.after(probe_every, term_.guarded([this] { probe(); }));
+    probe_due_ = term_.now() + probe_interval;
+    term_.ctx.time.after(probe_interval, term_.guarded([this] { probe(); }));
 }
 
-void load_watch::probe()
+void load_monitor::probe()
 {
     const auto now = term_.now();
-    term_.load.timer_delays.add(now, now - due_);
-    overdue_ += now - due_;
-    pace_.see_timer(now, now - due_);
+    term_.load.timer_delays.add(now, now - probe_due_);
+    overdue_ += now - probe_due_;
+    lag_monitor_.see_timer(now, now - probe_due_);
     probe_sockets(now);
-    on_delay_(std::max(now - due_, sent_ ? now - *sent_ : core::micros{0}));
-    if (now - reported_ >= report_every)
+    on_delay_(std::max(
+        now - probe_due_, socket_probe_sent_at_ ? now - *socket_probe_sent_at_ : core::micros{0}));
+    if (now - reported_at_ >= report_interval)
     {
         report(now);
     }
-    wait();
+    schedule_probe();
 }
 
-/// One at a time; while it waits, the delay so far counts.
-void load_watch::probe_sockets(core::mono_time now)
+/// Sends one socket probe at a time; while a probe waits, its delay so far is recorded.
+void load_monitor::probe_sockets(core::mono_time now)
 {
-    if (sent_)
+    if (socket_probe_sent_at_)
     {
-        term_.load.socket_delays.add(now, now - *sent_);
+        term_.load.socket_delays.add(now, now - *socket_probe_sent_at_);
         return;
     }
-    if (!term_.ctx.post_behind_descriptors || now - sockets_probed_ < socket_probe_every)
+    if (!term_.ctx.post_behind_descriptors || now - sockets_probed_at_ < socket_probe_interval)
     {
         return;
     }
-    sent_ = now;
-    sockets_probed_ = now;
+    socket_probe_sent_at_ = now;
+    sockets_probed_at_ = now;
     term_.ctx.post_behind_descriptors(term_.guarded(
         [this]
         {
             const auto at = term_.now();
-            const auto late_by = at - *std::exchange(sent_, std::nullopt);
+            const auto late_by = at - *std::exchange(socket_probe_sent_at_, std::nullopt);
             term_.load.socket_delays.add(at, late_by);
             on_delay_(late_by);
         }));
 }
 
-load_moment load_watch::measure(core::mono_time now)
+load_sample load_monitor::measure(core::mono_time now)
 {
-    load_moment m;
+    load_sample m;
     m.fleet =
         coordinator::measure_load(term_.fleet, now, core::to_unix_ms(term_.ctx.time.wall_now()));
-    m.span = std::chrono::duration_cast<core::millis>(now - reported_);
-    const auto largest = [this](const loop_delays& of)
+    m.span = std::chrono::duration_cast<core::millis>(now - reported_at_);
+    const auto max_delay = [this](const loop_delay_history& of)
     {
-        return std::chrono::ceil<core::millis>(of.largest_since(reported_));
+        return std::chrono::ceil<core::millis>(of.max_since(reported_at_));
     };
-    m.timer_late = largest(term_.load.timer_delays);
-    m.socket_late = largest(term_.load.socket_delays);
+    m.max_timer_delay = max_delay(term_.load.timer_delays);
+    m.max_socket_delay = max_delay(term_.load.socket_delays);
     m.overdue = std::chrono::round<core::millis>(std::exchange(overdue_, core::micros{0}));
     m.lease_age = term_.lead->take_lease_age();
-    m.intake_age = std::chrono::duration_cast<core::millis>(now - term_.jobs_heard());
+    m.intake_age = std::chrono::duration_cast<core::millis>(now - term_.last_job_answer_at());
     if (term_.ctx.processor_time)
     {
         const auto used = processor_time(term_.ctx);
-        m.processor = std::chrono::round<core::millis>(used - processor_);
-        processor_ = used;
+        m.processor_time_used = std::chrono::round<core::millis>(used - processor_at_report_);
+        processor_at_report_ = used;
     }
     return m;
 }
 
-/// Past the budget of lines: in a storm of events these figures are what is left to judge by.
-void load_watch::report(core::mono_time now)
+/// The report is not subject to the log rate limit: in an event storm these values are all that
+/// shows the state of the coordinator.
+void load_monitor::report(core::mono_time now)
 {
     const auto moment = measure(now);
     const auto rows = load_rows(term_.load, moment);
@@ -136,16 +139,16 @@
     for (const auto& it : rows)
     {
         fields.emplace_back(it.name, std::to_string(it.value));
-        tell(term_.ctx.tel, it);
+        publish(term_.ctx.tel, it);
     }
-    for (auto& it : time_fields(term_.load.times))
+    for (auto& it : duration_fields(term_.load.times))
     {
         fields.push_back(std::move(it));
     }
     term_.ctx.tel.log(ports::log_level::info, "coordinator_load", std::move(fields));
     term_.load.counts = {};
     term_.load.times = {};
-    reported_ = now;
+    reported_at_ = now;
 }
 
 } // namespace camphorhitch::hosted
--- a/libs/hosted/src/load_monitor.hpp
+++ b/libs/hosted/src/load_monitor.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Measures how late the loop is while this node coordinates, and reports its load once a second.
+/// Measures how late the event loop is while this node coordinates, and reports its load once a
+/// second.
 #pragma once
 
 #include "pace_watch.hpp"
@@ -10,35 +11,35 @@
 namespace camphorhitch::hosted
 {
 
-class load_watch
+class load_monitor
 {
 public:
-    /// \param on_delay is told how late timers ran and how long answers lay unread.
-    load_watch(term& t, std::function<void(core::micros)> on_delay);
-    load_watch(const load_watch&) = delete;
-    load_watch& operator=(const load_watch&) = delete;
+    /// \param on_delay called with each measured delay of timers and of reading ready descriptors
+    load_monitor(term& t, std::function<void(core::micros)> on_delay);
+    load_monitor(const load_monitor&) = delete;
+    load_monitor& operator=(const load_monitor&) = delete;
 
-    /// Sets the levels of the metrics to 0: another node coordinates.
-    ~load_watch();
+    /// Sets the gauges to 0, because another node coordinates.
+    ~load_monitor();
 
     void start();
 
 private:
-    void wait();
+    void schedule_probe();
     void probe();
     void probe_sockets(core::mono_time now);
     void report(core::mono_time now);
-    load_moment measure(core::mono_time now);
+    load_sample measure(core::mono_time now);
 
     term& term_;
     std::function<void(core::micros)> on_delay_;
-    core::mono_time due_;
-    std::optional<core::mono_time> sent_; ///< a probe among the descriptors waits for its turn
-    core::mono_time sockets_probed_;
-    core::mono_time reported_;
-    core::micros processor_{0}; ///< used until the latest report
-    core::micros overdue_{0};   ///< since then
-    pace_watch pace_;
+    core::mono_time probe_due_;
+    std::optional<core::mono_time> socket_probe_sent_at_; ///< while a probe waits to be run
+    core::mono_time sockets_probed_at_;
+    core::mono_time reported_at_;
+    core::micros processor_at_report_{0}; ///< processor time used until the latest report
+    core::micros overdue_{0};             ///< sum of the timers' delays since the latest report
+    pace_watch lag_monitor_;
 };
 
 } // namespace camphorhitch::hosted
--- a/libs/hosted/src/log_rate_limiter.cpp
+++ b/libs/hosted/src/log_rate_limiter.cpp
@@ -6,32 +6,32 @@
 namespace camphorhitch::hosted
 {
 
-std::int64_t take_left_out(line_budget& b, core::mono_time now)
+std::int64_t take_suppressed_count(log_rate_limiter& limiter, core::mono_time now)
 {
-    constexpr core::millis pause{1000};
-    if (b.left_out == 0 || now - b.told < pause)
+    constexpr core::millis report_interval{1000};
+    if (limiter.suppressed == 0 || now - limiter.last_reported_at < report_interval)
     {
         return 0;
     }
-    b.told = now;
-    return std::exchange(b.left_out, 0);
+    limiter.last_reported_at = now;
+    return std::exchange(limiter.suppressed, 0);
 }
 
-bool take_line(line_budget& b, core::mono_time now)
+bool allow_line(log_rate_limiter& limiter, core::mono_time now)
 {
-    const auto passed = std::chrono::duration_cast<core::millis>(now - b.refilled).count();
-    const auto more = passed * b.per_second / 1000;
+    const auto passed = std::chrono::duration_cast<core::millis>(now - limiter.refilled_at).count();
+    const auto more = passed * limiter.lines_per_second / 1000;
     if (more > 0)
     {
-        b.left = std::min(b.per_second, b.left + more);
-        b.refilled = now;
+        limiter.available = std::min(limiter.lines_per_second, limiter.available + more);
+        limiter.refilled_at = now;
     }
-    if (b.left > 0)
+    if (limiter.available > 0)
     {
-        --b.left;
+        --limiter.available;
         return true;
     }
-    ++b.left_out;
+    ++limiter.suppressed;
     return false;
 }
 
--- a/libs/hosted/src/log_rate_limiter.hpp
+++ b/libs/hosted/src/log_rate_limiter.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Bounds the log lines of a busy process: writing costs processor time that the work needs.
+/// Limits the log lines of a busy process: writing them costs processor time that the work needs.
 #pragma once
 
 #include "core/time.hpp"
@@ -9,21 +9,22 @@
 namespace camphorhitch::hosted
 {
 
-struct line_budget
+struct log_rate_limiter
 {
-    /// Lines a second on average, and at once after a quiet second. A placement of a busy second
-    /// (500 starts and ends) fits; a storm does not.
-    std::int64_t per_second = 1200;
-    std::int64_t left = 1200;
-    std::int64_t left_out = 0; ///< since the last line that told so
-    core::mono_time told;      ///< when that was
-    core::mono_time refilled;
+    /// Average rate, and the burst that is allowed after a second without lines. The placements of
+    /// a busy second (500 starts and ends) fit; an event storm does not.
+    std::int64_t lines_per_second = 1200;
+    std::int64_t available = 1200;    ///< lines that may be written now
+    std::int64_t suppressed = 0;      ///< lines suppressed since last_reported_at
+    core::mono_time last_reported_at; ///< when the number of suppressed lines was last logged
+    core::mono_time refilled_at;      ///< when `available` was last increased
 };
 
-/// \return how many lines were left out, once a second at most; 0: nothing to tell now.
-std::int64_t take_left_out(line_budget& b, core::mono_time now);
+/// \return how many lines were suppressed since the last report, at most once a second; 0: there is
+/// nothing to report now.
+std::int64_t take_suppressed_count(log_rate_limiter& limiter, core::mono_time now);
 
-/// \return whether a line may be written now.
-bool take_line(line_budget& b, core::mono_time now);
+/// \return whether a line may be written now; counts it as written or as suppressed.
+bool allow_line(log_rate_limiter& limiter, core::mono_time now);
 
 } // namespace camphorhitch::hosted
--- a/libs/hosted/src/machine_controller.cpp
+++ b/libs/hosted/src/machine_controller.cpp
@@ -12,25 +12,26 @@
 namespace
 {
 
-/// Plans follow each other within a tenth of a second, also on a node that is behind within this.
-constexpr core::millis longest_planning_gap{1000};
+/// A longer gap between two plans counts as a time without planning. Plans follow each other within
+/// a tenth of a second, and within this time on a node that is behind.
+constexpr core::millis max_planning_gap{1000};
 
 } // namespace
 
-machine_desk::machine_desk(term& t) : term_(t), planned_at_(t.now())
+machine_controller::machine_controller(term& t) : term_(t), last_planned_at_(t.now())
 {
     moves_.settings = t.settings.rebalance;
     demand_.settings = t.settings.demand;
 }
 
-void machine_desk::start(std::function<void()> on_list, std::function<bool()> is_pressing)
+void machine_controller::start(std::function<void()> on_list, std::function<bool()> has_open_wave)
 {
     on_list_ = std::move(on_list);
-    is_pressing_ = std::move(is_pressing);
-    read();
+    has_open_wave_ = std::move(has_open_wave);
+    read_list();
 }
 
-void machine_desk::set_pools(const std::vector<pool_settings>& pools)
+void machine_controller::set_pools(const std::vector<pool_settings>& pools)
 {
     pools_.clear();
     for (const auto& it : pools)
@@ -39,12 +40,12 @@
     }
 }
 
-void machine_desk::note_job(const workflow::job& j, core::mono_time at)
+void machine_controller::record_job(const workflow::job& j, core::mono_time at)
 {
     const auto accepted = term_.fleet.jobs.at(j.id)->accepted_revision;
-    if (accepted <= known_through_)
+    if (accepted <= inherited_through_)
     {
-        return; // the owner before has counted it
+        return; // the previous coordinator has counted this job
     }
     counted_through_ = std::max(counted_through_, accepted);
     double work = 0;
@@ -62,7 +63,7 @@
     coordinator::note_arrival(demand_, j.pool, work, at);
 }
 
-std::string machine_desk::demand_record() const
+std::string machine_controller::demand_record() const
 {
     return write_demand(demand_,
         term_.fleet.run_time_estimates,
@@ -71,36 +72,36 @@
         core::to_unix_ms(term_.ctx.time.wall_now()));
 }
 
-void machine_desk::set_demand(const ports::stored_item& record)
+void machine_controller::restore_demand(const ports::stored_item& record)
 {
-    known_through_ = read_demand(record.value,
+    inherited_through_ = read_demand(record.value,
         record.modified,
         demand_,
         term_.fleet.run_time_estimates,
         term_.now(),
         core::to_unix_ms(term_.ctx.time.wall_now()));
-    counted_through_ = known_through_;
+    counted_through_ = inherited_through_;
     term_.log(ports::log_level::info,
         "demand_read",
         {{"revision", std::to_string(record.modified)},
-            {"through", std::to_string(known_through_)},
+            {"through", std::to_string(inherited_through_)},
             {"pools", std::to_string(demand_.pools.size())},
             {"images", std::to_string(term_.fleet.run_time_estimates.images.size())}});
 }
 
-void machine_desk::read()
+void machine_controller::read_list()
 {
-    const auto asked = term_.now();
-    term_.ctx.machines.list(
-        term_.guarded([this, asked](const ports::machine_list& list) { take(asked, list); }));
+    const auto sent_at = term_.now();
+    term_.ctx.machines.list(term_.guarded(
+        [this, sent_at](const ports::machine_list& list) { handle_list(sent_at, list); }));
 }
 
-void machine_desk::take(core::mono_time asked, const ports::machine_list& list)
+void machine_controller::handle_list(core::mono_time sent_at, const ports::machine_list& list)
 {
     if (list.known)
     {
         table_.known = true;
-        table_.read_at = asked;
+        table_.read_at = sent_at;
         table_.machines.clear();
         for (const auto& it : list.machines)
         {
@@ -112,65 +113,67 @@
         term_.log(out);
         coordinator::see_moves(moves_, table_, term_.settings.waves.list_lag);
         on_list_();
-        term_.wake();
+        term_.request_plan();
     }
-    read_later(asked);
+    schedule_read(sent_at);
 }
 
-/// Whether the list is wanted often may change at any time.
-void machine_desk::read_later(core::mono_time last)
+/// Checks at machine_list_interval whether a read is due, since needs_frequent_reads() may change
+/// at any time.
+void machine_controller::schedule_read(core::mono_time last)
 {
-    term_.ctx.time.after(term_.settings.machines_every,
+    term_.ctx.time.after(term_.settings.machine_list_interval,
         term_.guarded(
             [this, last]
             {
-                const bool due = term_.now() - last >= term_.settings.machines_idle;
-                if (due || is_wanted_often())
+                const bool due = term_.now() - last >= term_.settings.idle_machine_list_interval;
+                if (due || needs_frequent_reads())
                 {
-                    read();
+                    read_list();
                 }
                 else
                 {
-                    read_later(last);
+                    schedule_read(last);
                 }
             }));
 }
 
-bool machine_desk::is_wanted_often() const
+bool machine_controller::needs_frequent_reads() const
 {
-    return is_pressing_() || !moves_.moves.empty() || coordinator::awaits_list(term_.fleet) ||
+    return has_open_wave_() || !moves_.moves.empty() || coordinator::awaits_list(term_.fleet) ||
            !term_.fleet.uncertain_losses.empty() ||
            !coordinator::find_unexamined(term_.fleet, term_.now()).pools.empty();
 }
 
-void machine_desk::resume()
+void machine_controller::resume()
 {
     coordinator::resume_demand(demand_, term_.now());
     coordinator::resume_moves(moves_, term_.now());
 }
 
-/// An owner without the store plans nothing, however long; its first plan then comes late.
-void machine_desk::note_plan()
+/// A coordinator that cannot reach the store plans nothing, however long that takes; its next plan
+/// then follows after a gap.
+void machine_controller::record_plan()
 {
     const auto now = term_.now();
-    if (now - planned_at_ > longest_planning_gap)
+    if (now - last_planned_at_ > max_planning_gap)
     {
         resume();
     }
-    planned_at_ = now;
+    last_planned_at_ = now;
 }
 
-void machine_desk::plan(const std::set<std::string>& held)
+void machine_controller::plan(const std::set<std::string>& held_machines)
 {
-    note_plan();
+    record_plan();
     coordinator::task_events out;
     coordinator::update_demand(demand_, term_.now());
-    if (!term_.settings.moves)
+    if (!term_.settings.moves_machines)
     {
         return;
     }
     const auto orders = coordinator::plan_moves(
-        term_.fleet, moves_, demand_, table_, pools_, held, term_.now(), out);
+        term_.fleet, moves_, demand_, table_, pools_, held_machines, term_.now(), out);
     table_.short_pools = coordinator::pools_without_spare(moves_);
     table_.moving.clear();
     for (const auto& [machine, move] : moves_.moves)
@@ -180,15 +183,15 @@
     term_.log(out);
     for (const auto& it : orders)
     {
-        order(it);
+        send_move(it);
     }
 }
 
-void machine_desk::order(const coordinator::move_action& a)
+void machine_controller::send_move(const coordinator::move_action& a)
 {
     if (!term_.lead->holds())
     {
-        // Not sent: it is ordered again once a renewal is answered.
+        // The order is not sent; the move is ordered again once a renewal of the lease is answered.
         coordinator::task_events out;
         coordinator::move_answered(
             term_.fleet, moves_, a.machine, ports::machine_verdict::unknown, term_.now(), out);
@@ -213,9 +216,9 @@
                 term_.log(out);
                 if (verdict == ports::machine_verdict::fenced)
                 {
-                    term_.fenced_by("the machines' service");
+                    term_.step_down_fenced("the machines' service");
                 }
-                term_.wake();
+                term_.request_plan();
             }));
 }
 
--- a/libs/hosted/src/machine_controller.hpp
+++ b/libs/hosted/src/machine_controller.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Keeps up with the platform's list of machines, and orders the moves between pools.
+/// Follows the platform's list of machines and orders moves of machines between pools.
 #pragma once
 
 #include "coordinator/rebalance.hpp"
@@ -8,32 +8,35 @@
 namespace camphorhitch::hosted
 {
 
-class machine_desk
+class machine_controller
 {
 public:
-    explicit machine_desk(term& t);
+    explicit machine_controller(term& t);
 
-    /// \param on_list called after each reading
-    /// \param is_pressing whether the list is wanted often
-    void start(std::function<void()> on_list, std::function<bool()> is_pressing);
+    /// Reads the list, and again at the intervals of the settings.
+    /// \param on_list called after each successful read
+    /// \param has_open_wave whether a wave is open, so that the list is to be read frequently
+    void start(std::function<void()> on_list, std::function<bool()> has_open_wave);
 
     void set_pools(const std::vector<pool_settings>& pools);
 
-    /// A job was accepted \p at; in the order of acceptance.
-    void note_job(const workflow::job& j, core::mono_time at);
+    /// Counts the demand of a job that was accepted \p at. To be called in the order of acceptance.
+    void record_job(const workflow::job& j, core::mono_time at);
 
-    /// Nobody decided on hosts until now, and callers may have been kept out: demand is taken as it
-    /// was then. A new owner calls it once it knows the jobs that came meanwhile.
+    /// Continues after a time without a coordinator that plans. Callers may have been turned away
+    /// in that time, so the demand counts as unchanged since its begin. A new coordinator calls
+    /// this once it has read the jobs that arrived in between.
     void resume();
 
-    /// What a successor is to know of the demand.
+    /// \return the record of the demand and of the run time estimates for a successor.
     std::string demand_record() const;
 
-    /// Takes in what the owner before has learnt; a damaged record changes nothing.
-    void set_demand(const ports::stored_item& record);
+    /// Applies the previous coordinator's record; a damaged record changes nothing.
+    void restore_demand(const ports::stored_item& record);
 
-    /// Decides and orders moves. \p held: machines that a wave has closed or taken.
-    void plan(const std::set<std::string>& held);
+    /// Plans and orders moves.
+    /// \param held_machines machines that a wave has closed or taken down
+    void plan(const std::set<std::string>& held_machines);
 
     coordinator::machine_table& table()
     {
@@ -41,23 +44,23 @@
     }
 
 private:
-    void read();
-    void read_later(core::mono_time last);
-    bool is_wanted_often() const;
-    void take(core::mono_time asked, const ports::machine_list& list);
-    void note_plan();
-    void order(const coordinator::move_action& a);
+    void read_list();
+    void schedule_read(core::mono_time last);
+    bool needs_frequent_reads() const;
+    void handle_list(core::mono_time sent_at, const ports::machine_list& list);
+    void record_plan();
+    void send_move(const coordinator::move_action& a);
 
     term& term_;
     coordinator::machine_table table_;
     coordinator::rebalancer moves_;
     coordinator::demand demand_;
-    core::mono_time planned_at_;          ///< when hosts were last planned
-    ports::revision known_through_ = 0;   ///< jobs up to here were in the record taken over
-    ports::revision counted_through_ = 0; ///< the newest job whose arrival is counted
+    core::mono_time last_planned_at_;
+    ports::revision inherited_through_ = 0; ///< the inherited record covers jobs up to here
+    ports::revision counted_through_ = 0;   ///< acceptance of the newest job that is counted
     std::vector<coordinator::pool_info> pools_;
     std::function<void()> on_list_;
-    std::function<bool()> is_pressing_;
+    std::function<bool()> has_open_wave_;
 };
 
 } // namespace camphorhitch::hosted
--- a/libs/hosted/src/pace_watch.cpp
+++ b/libs/hosted/src/pace_watch.cpp
@@ -22,7 +22,7 @@
 
 void pace_watch::see_timer(core::mono_time now, core::micros late_by)
 {
-    if (!term_.ctx.processor_time || !term_.settings.hands_over)
+    if (!term_.ctx.processor_time || !term_.settings.hands_over_when_behind)
     {
         return;
     }
--- a/libs/hosted/src/progress_writer.cpp
+++ b/libs/hosted/src/progress_writer.cpp
@@ -31,7 +31,7 @@
     if (!requested_ && batches_out_ == 0)
     {
         requested_ = true;
-        term_.ctx.time.after(term_.settings.store_delay, term_.guarded([this] { begin(); }));
+        term_.ctx.time.after(term_.settings.store_write_delay, term_.guarded([this] { begin(); }));
     }
 }
 
@@ -56,7 +56,7 @@
     }
     auto dirty = std::exchange(term_.fleet.dirty_jobs, {});
     ends_.clear();
-    term_.load.ends.begin_store();
+    term_.load.ends.begin_store_write();
     for (const auto& [id, h] : term_.fleet.hosts)
     {
         if (h.last_applied_end > h.last_stored_end)
@@ -154,7 +154,7 @@
     if (j.losses_stored != j.losses_written)
     {
         j.losses_stored = j.losses_written;
-        term_.wake(); // tasks waited for it
+        term_.request_plan(); // tasks waited for it
     }
     if (workflow::is_final(j.state) && !j.dirty)
     {
@@ -166,7 +166,7 @@
 
 void progress_writer::take_conflict(const batch& b, const ports::commit_result& result)
 {
-    if (term_.lost_key(result))
+    if (term_.lost_leadership(result))
     {
         batch_over(false, b.jobs);
         return;
@@ -211,7 +211,7 @@
 {
     if (all_stored_)
     {
-        term_.note_stored();
+        term_.record_ends_stored();
         for (const auto& [id, n] : ends_)
         {
             if (const auto it = term_.fleet.hosts.find(id); it != term_.fleet.hosts.end())
@@ -223,7 +223,7 @@
         return;
     }
     requested_ = true;
-    term_.ctx.time.after(term_.settings.store_retry, term_.guarded([this] { begin(); }));
+    term_.ctx.time.after(term_.settings.store_retry_delay, term_.guarded([this] { begin(); }));
 }
 
 } // namespace camphorhitch::hosted
--- a/libs/hosted/src/relay_registry.cpp
+++ b/libs/hosted/src/relay_registry.cpp
@@ -41,7 +41,7 @@
     }
 }
 
-double best_share_but(const std::vector<ports::relay_endpoint>& all, const std::string& member)
+double max_other_share(const std::vector<ports::relay_endpoint>& all, const std::string& member)
 {
     double best = 0;
     for (const auto& it : all)
@@ -57,26 +57,26 @@
     registry_settings settings;
     relay_registry::listener on_change;
     ports::relay_endpoint own;
-    bool offered = false;
+    bool advertised = false;
     ports::lease_id lease = 0;
-    int renewals = 0; ///< since the key was written
+    int renewals = 0; ///< number of renewals since the key was last written
     ports::timer_id timer = 0;
     std::unique_ptr<prefix_follower> follower;
-    std::map<std::string, ports::relay_endpoint> seen; ///< by key
+    std::map<std::string, ports::relay_endpoint> endpoints; ///< registered relays, by key
 
     void schedule(core::millis delay, void (registry_state::*next)());
-    void register_own();
-    void take_lease(const ports::kv_lease& got);
-    void write_own();
-    void take_write(const ports::commit_result& result);
+    void register_relay();
+    void handle_lease(const ports::kv_lease& got);
+    void write_entry();
+    void handle_write(const ports::commit_result& result);
     void renew();
-    void take_renewal(const ports::kv_lease& got);
-    void see(const ports::stored_item& it);
-    bool take_change(const ports::stored_change& c);
-    void tell();
+    void handle_renewal(const ports::kv_lease& got);
+    void apply_entry(const ports::stored_item& it);
+    bool apply_change(const ports::stored_change& c);
+    void notify();
     void follow();
 
-    /// \return \p fn as a callback that outlives this state.
+    /// \return a callback that calls \p fn, and does nothing once this state is destroyed.
     template <class Fn>
     auto guarded(Fn fn)
     {
@@ -96,72 +96,73 @@
     timer = ctx.time.after(delay, guarded([next](registry_state& self) { (self.*next)(); }));
 }
 
-void registry_state::register_own()
+void registry_state::register_relay()
 {
-    if (!offered)
+    if (!advertised)
     {
         return;
     }
     lease = 0;
     ctx.store.grant_lease(settings.lease,
-        guarded([](registry_state& self, const ports::kv_lease& got) { self.take_lease(got); }));
+        guarded([](registry_state& self, const ports::kv_lease& got) { self.handle_lease(got); }));
 }
 
-void registry_state::take_lease(const ports::kv_lease& got)
+void registry_state::handle_lease(const ports::kv_lease& got)
 {
-    if (!offered || got.status != kv_status::ok)
+    if (!advertised || got.status != kv_status::ok)
     {
-        schedule(settings.retry, &registry_state::register_own);
+        schedule(settings.retry_delay, &registry_state::register_relay);
         return;
     }
     lease = got.id;
-    write_own();
+    write_entry();
 }
 
-void registry_state::write_own()
+void registry_state::write_entry()
 {
     renewals = 0;
     ports::store_transaction t;
     t.puts = {{relay_key(own.member), write_relay(own), lease}};
     ctx.store.commit(std::move(t),
         guarded([](registry_state& self, const ports::commit_result& result)
-            { self.take_write(result); }));
+            { self.handle_write(result); }));
 }
 
-void registry_state::take_write(const ports::commit_result& result)
+void registry_state::handle_write(const ports::commit_result& result)
 {
     const bool ok = result.status == kv_status::ok;
-    schedule(ok ? settings.renew_every : settings.retry,
-        ok ? &registry_state::renew : &registry_state::register_own);
+    schedule(ok ? settings.renewal_interval : settings.retry_delay,
+        ok ? &registry_state::renew : &registry_state::register_relay);
 }
 
 void registry_state::renew()
 {
-    if (!offered)
+    if (!advertised)
     {
         return;
     }
     ctx.store.keep_alive(lease,
-        guarded([](registry_state& self, const ports::kv_lease& got) { self.take_renewal(got); }));
+        guarded(
+            [](registry_state& self, const ports::kv_lease& got) { self.handle_renewal(got); }));
 }
 
-void registry_state::take_renewal(const ports::kv_lease& got)
+void registry_state::handle_renewal(const ports::kv_lease& got)
 {
     if (got.status == kv_status::ok && got.ttl.count() == 0)
     {
-        register_own(); // the lease has lapsed, and the key with it
+        register_relay(); // the lease has expired and the store has removed the key
         return;
     }
-    if (++renewals >= settings.renewals_a_write && offered)
+    if (++renewals >= settings.renewals_per_write && advertised)
     {
-        write_own();
+        write_entry();
         return;
     }
     const bool ok = got.status == kv_status::ok;
-    schedule(ok ? settings.renew_every : settings.retry, &registry_state::renew);
+    schedule(ok ? settings.renewal_interval : settings.retry_delay, &registry_state::renew);
 }
 
-void registry_state::see(const ports::stored_item& it)
+void registry_state::apply_entry(const ports::stored_item& it)
 {
     const auto read = read_relay(it.key.substr(relay_prefix.size()), it.value);
     if (!core::is_ok(read))
@@ -171,28 +172,29 @@
             {{"key", it.key}, {"reason", core::failure(read).message}});
         return;
     }
-    seen[it.key] = core::value(read);
+    endpoints[it.key] = core::value(read);
 }
 
-/// \return whether it changed what is known: a node writes its key again and again as it is.
-bool registry_state::take_change(const ports::stored_change& c)
+/// \return whether the change modified the list: each node rewrites its key regularly, mostly
+/// without a change.
+bool registry_state::apply_change(const ports::stored_change& c)
 {
-    const auto found = seen.find(c.item.key);
-    const auto before = found == seen.end() ? std::nullopt : std::optional(found->second);
-    seen.erase(c.item.key);
+    const auto found = endpoints.find(c.item.key);
+    const auto before = found == endpoints.end() ? std::nullopt : std::optional(found->second);
+    endpoints.erase(c.item.key);
     if (!c.removed)
     {
-        see(c.item);
+        apply_entry(c.item);
     }
-    const auto now = seen.find(c.item.key);
-    return before != (now == seen.end() ? std::nullopt : std::optional(now->second));
+    const auto now = endpoints.find(c.item.key);
+    return before != (now == endpoints.end() ? std::nullopt : std::optional(now->second));
 }
 
-void registry_state::tell()
+void registry_state::notify()
 {
     std::vector<ports::relay_endpoint> all;
-    all.reserve(seen.size());
-    for (const auto& [key, it] : seen)
+    all.reserve(endpoints.size());
+    for (const auto& [key, it] : endpoints)
     {
         all.push_back(it);
     }
@@ -203,27 +205,27 @@
 {
     follower_settings s;
     s.prefix = relay_prefix;
-    s.pause = settings.follow_pause;
+    s.pause = settings.min_follow_interval;
     follower_events events;
     events.on_all = [this](const std::vector<ports::stored_item>& all)
     {
-        seen.clear();
+        endpoints.clear();
         for (const auto& it : all)
         {
-            see(it);
+            apply_entry(it);
         }
-        tell();
+        notify();
     };
     events.on_changes = [this](const std::vector<ports::stored_change>& all)
     {
         bool changed = false;
         for (const auto& it : all)
         {
-            changed = take_change(it) || changed;
+            changed = apply_change(it) || changed;
         }
         if (changed)
         {
-            tell();
+            notify();
         }
     };
     follower = std::make_unique<prefix_follower>(ctx, s, std::move(events));
@@ -244,17 +246,17 @@
     state_->follower.reset();
 }
 
-void relay_registry::offer(ports::relay_endpoint own)
+void relay_registry::advertise(ports::relay_endpoint own)
 {
     state_->own = std::move(own);
-    state_->offered = true;
-    state_->register_own();
+    state_->advertised = true;
+    state_->register_relay();
 }
 
 void relay_registry::withdraw()
 {
     auto& it = *state_;
-    it.offered = false;
+    it.advertised = false;
     it.ctx.time.cancel(it.timer);
     if (it.lease != 0)
     {
@@ -270,7 +272,7 @@
 void relay_registry::unfollow()
 {
     state_->follower.reset();
-    state_->seen.clear();
+    state_->endpoints.clear();
 }
 
 } // namespace camphorhitch::hosted
--- a/libs/hosted/src/repeated_order.cpp
+++ b/libs/hosted/src/repeated_order.cpp
@@ -12,91 +12,91 @@
 
 using ports::runner_verdict;
 
-constexpr int most_tries = 3;
+constexpr int max_sends = 3;
 
 struct repeated_order : std::enable_shared_from_this<repeated_order>
 {
-    std::weak_ptr<term> owner; ///< its end ends the repeats
+    std::weak_ptr<term> sending_term; ///< no repeat is sent after its end
     order_sender send;
     std::function<void(ports::runner_answer)> done;
-    int tries = 0;
-    int out = 0;
-    bool told = false;
-    bool unknown = false; ///< a try ended so: it may have been carried out
+    int sends = 0;
+    int in_flight = 0;
+    bool reported = false;
+    bool any_unknown = false; ///< a send had no answer: it may have been carried out
     ports::runner_answer last;
 
-    void try_once();
-    void repeat_later();
-    void take(const ports::runner_answer& answer);
-    void tell(const ports::runner_answer& answer);
+    void send_once();
+    void schedule_repeat();
+    void handle_answer(const ports::runner_answer& answer);
+    void report(const ports::runner_answer& answer);
 };
 
-bool settles(runner_verdict v)
+bool is_conclusive(runner_verdict v)
 {
     return v == runner_verdict::done || v == runner_verdict::fenced ||
            v == runner_verdict::other_life;
 }
 
-void repeated_order::try_once()
+void repeated_order::send_once()
 {
-    ++tries;
-    ++out;
-    if (tries < most_tries)
+    ++sends;
+    ++in_flight;
+    if (sends < max_sends)
     {
-        repeat_later();
+        schedule_repeat();
     }
-    send([self = shared_from_this()](const ports::runner_answer& it) { self->take(it); });
+    send([self = shared_from_this()](const ports::runner_answer& it) { self->handle_answer(it); });
 }
 
-void repeated_order::repeat_later()
+void repeated_order::schedule_repeat()
 {
-    const auto t = owner.lock();
-    if (t == nullptr || !t->settings.repeats_calls)
+    const auto t = sending_term.lock();
+    if (t == nullptr || !t->settings.repeats_overdue_calls)
     {
         return;
     }
-    const auto due = t->now() + answer_is_near;
-    t->ctx.time.after(answer_is_near,
+    const auto due = t->now() + answer_overdue_after;
+    t->ctx.time.after(answer_overdue_after,
         t->guarded(
             [self = shared_from_this(), &t = *t, due]
             {
-                if (self->told || !t.lead->holds())
+                if (self->reported || !t.lead->holds())
                 {
                     return;
                 }
-                if (t.now() - due > timer_is_late)
+                if (t.now() - due > max_timer_delay)
                 {
-                    self->repeat_later();
+                    self->schedule_repeat();
                     return;
                 }
-                self->try_once();
+                self->send_once();
             }));
 }
 
-void repeated_order::take(const ports::runner_answer& answer)
+void repeated_order::handle_answer(const ports::runner_answer& answer)
 {
-    --out;
-    if (told)
+    --in_flight;
+    if (reported)
     {
         return;
     }
-    if (settles(answer.verdict))
+    if (is_conclusive(answer.verdict))
     {
-        tell(answer);
+        report(answer);
         return;
     }
-    unknown = unknown || answer.verdict == runner_verdict::unknown;
+    any_unknown = any_unknown || answer.verdict == runner_verdict::unknown;
     last = answer;
-    if (out > 0)
+    if (in_flight > 0)
     {
         return;
     }
-    tell(unknown ? ports::runner_answer{runner_verdict::unknown, answer.clock_ms} : last);
+    report(any_unknown ? ports::runner_answer{runner_verdict::unknown, answer.clock_ms} : last);
 }
 
-void repeated_order::tell(const ports::runner_answer& answer)
+void repeated_order::report(const ports::runner_answer& answer)
 {
-    told = true;
+    reported = true;
     done(answer);
 }
 
@@ -107,10 +107,10 @@
     std::function<void(ports::runner_answer)> done)
 {
     const auto it = std::make_shared<repeated_order>();
-    it->owner = t;
+    it->sending_term = t;
     it->send = std::move(send);
     it->done = std::move(done);
-    it->try_once();
+    it->send_once();
 }
 
 } // namespace camphorhitch::hosted
--- a/libs/hosted/src/repeated_order.hpp
+++ b/libs/hosted/src/repeated_order.hpp
@@ -1,10 +1,11 @@
 /// \file
-/// Sends an order to a runner again while its answer is overdue.
+/// Repeats an order to a runner while its answer is overdue.
 ///
-/// Answers to orders get lost, and orders are carried out seconds late. Waited for to its timeout,
-/// a lost answer leaves its task unsettled for seconds, and the caller behind it is late. Starts
-/// and stops are idempotent: a runner that has the run, or has ended it, does nothing more for the
-/// same number. So a repeat on another connection, whose answer most likely comes, settles both.
+/// Answers to orders may be lost, and orders may be carried out seconds late. If the coordinator
+/// waited for a lost answer until the call's timeout, the state of the task would be unknown for
+/// seconds and its caller would be answered late. Starts and stops are idempotent: a runner that
+/// has the run, or has ended it, ignores a further order with the same run number. So a repeat on
+/// another connection, which most likely is answered, settles both sends.
 #pragma once
 
 #include "term.hpp"
@@ -15,19 +16,23 @@
 namespace camphorhitch::hosted
 {
 
-/// A runner that is well answers an order within some 10 ms, a slow one within this.
-inline constexpr core::millis answer_is_near{250};
-/// A timer that fires so late shows that this node is behind: the answer may lie unread here.
-inline constexpr core::millis timer_is_late{50};
+/// Time after which an answer is overdue. A healthy runner answers an order within some 10 ms, a
+/// slow one within this time.
+inline constexpr core::millis answer_overdue_after{250};
+/// A timer that fires later than this shows that this node is behind: the answer may have arrived
+/// and be unread.
+inline constexpr core::millis max_timer_delay{50};
 
-/// Sends one order once, and hands its answer over.
+/// Sends one order once, and calls its argument with the answer.
 using order_sender = std::function<void(std::function<void(ports::runner_answer)>)>;
 
-/// Sends the order, and up to two times more while no try was answered in time. A try that says
-/// "done", or that another owner or another life stands there, counts at once. A refusal proves
-/// that its own try did nothing, so it counts only when no other try is left unanswered.
-/// \param t its end ends the repeats; \p done must bear an answer that comes later
-/// \param done gets the one answer
+/// Sends the order, and repeats it up to two times while no send has been answered in time. An
+/// answer that the order is done, that the runner has seen a newer fencing token, or that another
+/// incarnation of the runner is at the address is conclusive and reported at once. A refusal proves
+/// only that its own send did nothing, so it is reported only when no other send is unanswered.
+/// \param t term that sends; no repeat is sent after its end. \p done must accept an answer that
+/// arrives after that
+/// \param done called exactly once, with the resulting answer
 void send_repeated(const std::shared_ptr<term>& t,
     order_sender send,
     std::function<void(ports::runner_answer)> done);
--- a/libs/hosted/src/runner_controller.cpp
+++ b/libs/hosted/src/runner_controller.cpp
@@ -13,58 +13,58 @@
 
 using ports::runner_verdict;
 
-runner_desk::runner_desk(term& t) : term_(t)
+runner_controller::runner_controller(term& t) : term_(t)
 {
 }
 
-void runner_desk::see_delay(core::micros late_by)
+void runner_controller::record_loop_delay(core::micros late_by)
 {
     coordinator::see_delay(window_, window_settings_, late_by);
 }
 
-int runner_desk::room() const
+int runner_controller::available_orders() const
 {
-    return coordinator::room_for_orders(window_, window_settings_, orders_awaited());
+    return coordinator::room_for_orders(window_, window_settings_, orders_not_overdue());
 }
 
-std::uint64_t runner_desk::note_sent()
+std::uint64_t runner_controller::record_sent()
 {
-    out_.emplace(++last_order_, term_.now());
-    term_.load.orders_out = static_cast<std::int64_t>(out_.size());
+    in_flight_.emplace(++last_order_, term_.now());
+    term_.load.orders_in_flight = static_cast<std::int64_t>(in_flight_.size());
     return last_order_;
 }
 
-void runner_desk::note_back(std::uint64_t order)
+void runner_controller::record_answered(std::uint64_t order)
 {
-    out_.erase(order);
-    term_.load.orders_out = static_cast<std::int64_t>(out_.size());
-    if (std::exchange(more_waits_, false))
+    in_flight_.erase(order);
+    term_.load.orders_in_flight = static_cast<std::int64_t>(in_flight_.size());
+    if (std::exchange(plan_was_cut_, false))
     {
-        term_.wake();
+        term_.request_plan();
     }
 }
 
-/// Were orders to silent runners counted until their time-out, a few of these would hold up all
-/// work.
-std::int64_t runner_desk::orders_awaited() const
+/// Overdue orders do not count: if orders to unresponsive runners counted until their timeout, a
+/// few such runners would hold up all work.
+std::int64_t runner_controller::orders_not_overdue() const
 {
-    const auto since = term_.now() - answer_is_near;
-    const auto end =
-        std::find_if(out_.rbegin(), out_.rend(), [&](const auto& it) { return it.second < since; });
-    return std::distance(out_.rbegin(), end);
+    const auto since = term_.now() - answer_overdue_after;
+    const auto end = std::find_if(
+        in_flight_.rbegin(), in_flight_.rend(), [&](const auto& it) { return it.second < since; });
+    return std::distance(in_flight_.rbegin(), end);
 }
 
-void runner_desk::take(
-    bool still_owner, const std::string& host, const coordinator::task_events& out)
+void runner_controller::finish_answer(
+    bool still_leads, const std::string& host, const coordinator::task_events& out)
 {
     term_.log(out);
-    if (!still_owner)
+    if (!still_leads)
     {
-        term_.fenced_by("runner " + host);
+        term_.step_down_fenced("runner " + host);
     }
 }
 
-void runner_desk::send(const coordinator::plan& p)
+void runner_controller::send(const coordinator::plan& p)
 {
     for (const auto& it : p.stops)
     {
@@ -76,40 +76,43 @@
     }
     for (const auto& it : p.asks)
     {
-        ask(it);
+        request_advice(it);
     }
-    more_waits_ = p.cut;
-    if (p.cut && room() > 0)
+    plan_was_cut_ = p.cut;
+    if (p.cut && available_orders() > 0)
     {
-        // The next slice in a turn of its own: renewals and polls come first.
-        term_.wake();
+        // The next orders are planned in a later iteration of the loop: renewals and polls go
+        // first.
+        term_.request_plan();
     }
     else if (p.cut)
     {
-        // Orders that are not answered by then count no more.
-        term_.ctx.time.after(answer_is_near, term_.guarded([this] { term_.wake(); }));
+        // Orders that are not answered by then no longer count against the window.
+        term_.ctx.time.after(answer_overdue_after, term_.guarded([this] { term_.request_plan(); }));
     }
-    window_.was_in_the_way = window_.was_in_the_way || (p.cut && orders_awaited() >= window_.size);
+    window_.was_in_the_way =
+        window_.was_in_the_way || (p.cut && orders_not_overdue() >= window_.size);
 }
 
-void runner_desk::take_start(const coordinator::start_action& a, const ports::runner_answer& answer)
+void runner_controller::handle_start_answer(
+    const coordinator::start_action& a, const ports::runner_answer& answer)
 {
     coordinator::task_events out;
-    const bool owner = coordinator::start_answered(
+    const bool still_leads = coordinator::start_answered(
         term_.fleet, a.host.id, a.task, a.run, answer, term_.now(), out);
-    take(owner, a.host.id, out);
+    finish_answer(still_leads, a.host.id, out);
     if (answer.verdict != runner_verdict::done)
     {
-        term_.wake();
+        term_.request_plan();
     }
 }
 
-void runner_desk::start(const coordinator::start_action& a)
+void runner_controller::start(const coordinator::start_action& a)
 {
     if (!term_.lead->holds())
     {
-        // Asked for each order: the ones before it may have taken longer than the lease had left.
-        take_start(a, {runner_verdict::not_sent, -1});
+        // Checked for each order: sending the orders before it may have outlasted the lease.
+        handle_start_answer(a, {runner_verdict::not_sent, -1});
         return;
     }
     auto& h = term_.fleet.hosts.at(a.host.id);
@@ -123,26 +126,26 @@
     order.lease_until_ms = coordinator::lease_end_for(term_.fleet, h, term_.now());
     coordinator::note_lease(h, order.lease_until_ms);
     const auto sent = term_.now();
-    const auto order_id = note_sent();
-    term_.note_start(a.task, a.run, sent);
-    wake_up(a.host.id);
+    const auto order_id = record_sent();
+    term_.record_start(a.task, a.run, sent);
+    poll_if_delayed(a.host.id);
     send_repeated(
         term_.shared_from_this(),
-        [this, to = a.host, order](auto take)
-        { term_.ctx.runners.start(to, order, std::move(take)); },
+        [this, to = a.host, order](auto on_answer)
+        { term_.ctx.runners.start(to, order, std::move(on_answer)); },
         term_.guarded(
             [this, a, sent, order_id](const ports::runner_answer& answer)
             {
-                term_.load.note_start_answer(answer, term_.now() - sent);
+                term_.load.record_start_answer(answer, term_.now() - sent);
                 term_.ctx.tel.observe("camphorhitch_start_order_seconds",
                     {},
                     std::chrono::duration<double>(term_.now() - sent).count());
-                note_back(order_id);
-                take_start(a, answer);
+                record_answered(order_id);
+                handle_start_answer(a, answer);
             }));
 }
 
-void runner_desk::send_paces(const std::vector<coordinator::pace_action>& all)
+void runner_controller::send_throttles(const std::vector<coordinator::pace_action>& all)
 {
     for (const auto& it : all)
     {
@@ -153,67 +156,70 @@
             term_.guarded(
                 [this, it](const ports::runner_answer& answer)
                 {
-                    // A lost pace is mended by the next figures; only a newer owner matters.
-                    take(answer.verdict != runner_verdict::fenced, it.host.id, {});
+                    // A lost order is made up for by the one that follows the next load report, so
+                    // the answer matters only if it reveals a newer coordinator.
+                    finish_answer(answer.verdict != runner_verdict::fenced, it.host.id, {});
                 }));
     }
 }
 
-void runner_desk::ask(const coordinator::ask_action& a)
+void runner_controller::request_advice(const coordinator::ask_action& a)
 {
-    const auto answered = [this, a](const ports::advice_answer& answer)
+    const auto handle_advice = [this, a](const ports::advice_answer& answer)
     {
         coordinator::task_events out;
         coordinator::advice_answered(term_.fleet, a, answer, term_.now(), out);
         term_.log(out);
-        term_.wake();
+        term_.request_plan();
     };
     if (!term_.ctx.advice.ask)
     {
-        answered({});
+        handle_advice({});
         return;
     }
-    term_.ctx.advice.ask(coordinator::write_step_name(a.step), a.runners, term_.guarded(answered));
+    term_.ctx.advice.ask(
+        coordinator::write_step_name(a.step), a.runners, term_.guarded(handle_advice));
 }
 
-void runner_desk::take_stop(const coordinator::stop_action& a, const ports::runner_answer& answer)
+void runner_controller::handle_stop_answer(
+    const coordinator::stop_action& a, const ports::runner_answer& answer)
 {
     coordinator::task_events out;
-    const bool owner =
+    const bool still_leads =
         coordinator::stop_answered(term_.fleet, a.host.id, a.task, a.run, answer, term_.now(), out);
-    take(owner, a.host.id, out);
-    term_.wake();
+    finish_answer(still_leads, a.host.id, out);
+    term_.request_plan();
 }
 
-void runner_desk::stop(const coordinator::stop_action& a)
+void runner_controller::stop(const coordinator::stop_action& a)
 {
     if (!term_.lead->holds())
     {
-        take_stop(a, {runner_verdict::not_sent, -1});
+        handle_stop_answer(a, {runner_verdict::not_sent, -1});
         return;
     }
     ports::stop_order order{workflow::write_task_name(a.task), a.run, term_.token};
-    const auto order_id = note_sent();
+    const auto order_id = record_sent();
     send_repeated(
         term_.shared_from_this(),
-        [this, to = a.host, order](auto take)
-        { term_.ctx.runners.stop(to, order, std::move(take)); },
+        [this, to = a.host, order](auto on_answer)
+        { term_.ctx.runners.stop(to, order, std::move(on_answer)); },
         term_.guarded(
             [this, a, order_id](const ports::runner_answer& answer)
             {
-                note_back(order_id);
-                take_stop(a, answer);
+                record_answered(order_id);
+                handle_stop_answer(a, answer);
             }));
 }
 
-void runner_desk::stop_strays()
+void runner_controller::stop_orphaned_runs()
 {
     if (!term_.lead->holds())
     {
-        return; // they stay listed
+        return; // the orphaned runs stay listed
     }
-    const auto strays = std::exchange(term_.fleet.orphaned_runs, {});
-    for (const auto& it : strays)
+    const auto orphaned = std::exchange(term_.fleet.orphaned_runs, {});
+    for (const auto& it : orphaned)
     {
         const auto host = term_.fleet.hosts.find(it.host);
         if (host == term_.fleet.hosts.end())
@@ -221,7 +227,7 @@
             continue;
         }
         const auto name = it.host + '/' + it.task + '/' + std::to_string(it.number);
-        if (!strays_out_.insert(name).second)
+        if (!orphan_stops_in_flight_.insert(name).second)
         {
             continue;
         }
@@ -231,8 +237,8 @@
             term_.guarded(
                 [this, it, name](const ports::runner_answer& answer)
                 {
-                    strays_out_.erase(name);
-                    take(answer.verdict != runner_verdict::fenced, it.host, {});
+                    orphan_stops_in_flight_.erase(name);
+                    finish_answer(answer.verdict != runner_verdict::fenced, it.host, {});
                 }));
     }
 }
--- a/libs/hosted/src/runner_controller.hpp
+++ b/libs/hosted/src/runner_controller.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Talks to the runners: polls each of them, sends starts and stops, takes the answers in.
+/// Communicates with the runners: polls each of them, sends starts and stops, applies the answers.
 #pragma once
 
 #include "coordinator/order_window.hpp"
@@ -13,70 +13,75 @@
 namespace camphorhitch::hosted
 {
 
-class runner_desk
+class runner_controller
 {
 public:
-    explicit runner_desk(term& t);
+    explicit runner_controller(term& t);
 
-    /// Takes in by how much the loop was late.
-    void see_delay(core::micros late_by);
+    /// Records by how much the event loop was late; the order window adapts to it.
+    void record_loop_delay(core::micros late_by);
 
-    /// Polls each host that has to be polled and is not.
+    /// Starts polling each host that needs polls and is not polled yet.
     void poll_all();
 
-    /// A job of the pool has come: its hosts are polled, if they were not.
+    /// Starts polling the pool's hosts, because a job of the pool has been accepted.
     void expect_work(const std::string& pool);
 
-    /// \return the orders that may be planned now.
-    int room() const;
+    /// \return how many orders may be planned now.
+    int available_orders() const;
 
     /// Sends the plan's orders.
     void send(const coordinator::plan& p);
 
-    void send_paces(const std::vector<coordinator::pace_action>& all);
+    /// Sends throttle orders for best-effort runs.
+    void send_throttles(const std::vector<coordinator::pace_action>& all);
 
-    /// Stops runs that belong to no open job.
-    void stop_strays();
+    /// Sends stops for the runs that belong to no open job.
+    void stop_orphaned_runs();
 
 private:
     void poll(const std::string& host);
-    /// \return the pause after a poll that brought ends.
-    core::millis poll_gap() const;
-    void take_poll(const std::string& host, core::mono_time begun, const ports::poll_answer& a);
-    void poll_later(const std::string& host, core::millis delay);
-    bool idle_hosts_rest() const;
+    /// \return the delay after a poll that reported ends.
+    core::millis poll_delay() const;
+    void handle_poll_answer(
+        const std::string& host, core::mono_time sent_at, const ports::poll_answer& a);
+    void schedule_poll(const std::string& host, core::millis delay);
+    bool delays_idle_polls() const;
     bool needs_polls(const coordinator::host_entry& h) const;
-    void see_jobs();
-    void rest(const std::string& host, core::millis gap);
-    void wake_up(const std::string& host);
-    /// \return whether the poll that was sent then is the host's, and unanswered.
-    bool is_open(const std::string& host, core::mono_time begun) const;
-    void renew_later(const std::string& host, core::mono_time begun, core::millis delay);
-    void renew(const std::string& host, core::mono_time begun, core::mono_time due);
+    void update_pools_with_jobs();
+    /// Polls the host after the delay, or once work is ordered there.
+    void delay_idle_poll(const std::string& host, core::millis delay);
+    void poll_if_delayed(const std::string& host);
+    /// \return whether the host's poll that was sent at that time is unanswered.
+    bool is_open(const std::string& host, core::mono_time sent_at) const;
+    void schedule_renewal(const std::string& host, core::mono_time sent_at, core::millis delay);
+    void renew(const std::string& host, core::mono_time sent_at, core::mono_time due);
     void start(const coordinator::start_action& a);
     void stop(const coordinator::stop_action& a);
-    void take_start(const coordinator::start_action& a, const ports::runner_answer& answer);
-    void take_stop(const coordinator::stop_action& a, const ports::runner_answer& answer);
-    std::uint64_t note_sent();
-    void note_back(std::uint64_t order);
-    /// \return orders that are out and may still be answered soon.
-    std::int64_t orders_awaited() const;
-    bool asks_again(const std::string& host, core::mono_time begun, ports::runner_verdict v);
-    void ask(const coordinator::ask_action& a);
-    void take(bool still_owner, const std::string& host, const coordinator::task_events& out);
+    void handle_start_answer(
+        const coordinator::start_action& a, const ports::runner_answer& answer);
+    void handle_stop_answer(const coordinator::stop_action& a, const ports::runner_answer& answer);
+    std::uint64_t record_sent();
+    void record_answered(std::uint64_t order);
+    /// \return the number of orders in flight whose answers are not overdue.
+    std::int64_t orders_not_overdue() const;
+    bool polls_again(const std::string& host, core::mono_time sent_at, ports::runner_verdict v);
+    void request_advice(const coordinator::ask_action& a);
+    void finish_answer(
+        bool still_leads, const std::string& host, const coordinator::task_events& out);
 
     term& term_;
     coordinator::window_settings window_settings_;
     coordinator::order_window window_;
-    bool more_waits_ = false;                      ///< the latest plan was cut
-    std::map<std::uint64_t, core::mono_time> out_; ///< when unanswered orders were sent
+    bool plan_was_cut_ = false; ///< the latest plan left out orders that did not fit the window
+    std::map<std::uint64_t, core::mono_time> in_flight_; ///< by order: when it was sent
     std::uint64_t last_order_ = 0;
-    std::set<std::string> asked_again_; ///< hosts whose silence may be this node's own delay
-    std::map<std::string, core::mono_time> polls_out_; ///< when each poll under way was sent
-    std::set<std::string> polling_;         ///< a poll is out, or a timer for the next one runs
-    std::set<std::string> resting_;         ///< of these: no poll is out, nothing runs there
-    std::set<std::string> pools_with_jobs_; ///< with open ones; known while idle hosts rest
-    std::set<std::string> strays_out_;
+    std::set<std::string> polled_again_; ///< hosts whose lack of an answer may be own delay
+    std::map<std::string, core::mono_time> polls_in_flight_; ///< by host: when the poll was sent
+    std::set<std::string> polling_;         ///< hosts with a poll in flight or a timer for the next
+    std::set<std::string> delayed_idle_;    ///< of polling_: idle hosts that wait for the timer
+    std::set<std::string> pools_with_jobs_; ///< with open jobs; known while idle polls are delayed
+    std::set<std::string> orphan_stops_in_flight_; ///< "host/task/run"
 };
 
 } // namespace camphorhitch::hosted
--- a/libs/hosted/src/runner_controller_polls.cpp
+++ b/libs/hosted/src/runner_controller_polls.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// When each runner is polled, and what a poll's answer leads to.
+/// Schedules the polls of each runner and handles their answers.
 #include "cadence.hpp"
 #include "coordinator/answers.hpp"
 #include "coordinator/intake.hpp"
@@ -16,31 +16,34 @@
 namespace
 {
 
-/// Most of what a call has beyond its wait (700 ms) before it is given up; a loop that was less
-/// late can't have let it run out alone.
-constexpr core::millis own_delay{200};
-/// Between renewals beside a poll that is overdue: four within what is left of a lease then.
-constexpr core::millis renew_again{250};
-/// That such a renewal grants: several of them. A whole lease would keep the tasks of a runner that
-/// is gone waiting for 1.4 s more, until the poll has timed out and a lease has passed since.
+/// Least delay of this node's loop that may explain a call without an answer. A call times out 700
+/// ms after its wait; a loop that was less late than this can't alone have made it time out.
+constexpr core::millis min_own_delay{200};
+/// Interval of the renewals that are sent beside an overdue poll: four of them fit into what is
+/// left of a lease by then.
+constexpr core::millis renewal_interval{250};
+/// Lease that such a renewal grants: it outlasts several renewal intervals. Granting a whole lease
+/// would delay the tasks of a lost runner by a further 1.4 s, until the poll has timed out and a
+/// whole lease has passed since the last renewal.
 constexpr core::millis renewal_lease{1200};
 
 } // namespace
 
-bool runner_desk::idle_hosts_rest() const
+bool runner_controller::delays_idle_polls() const
 {
-    return idle_poll_gap(term_.settings, term_.fleet.hosts.size()).count() > 0;
+    return idle_poll_delay(term_.settings, term_.fleet.hosts.size()).count() > 0;
 }
 
-/// A host on which nothing runs, of a pool for which no job is open, has nothing to tell and needs
-/// no lease. Where there are so many that idle ones rest it is asked again once there is a job.
-bool runner_desk::needs_polls(const coordinator::host_entry& h) const
+/// A host that runs nothing, in a pool without an open job, has nothing to report and needs no
+/// lease. In a fleet so large that polls of idle hosts are delayed, such a host is not polled until
+/// its pool has a job.
+bool runner_controller::needs_polls(const coordinator::host_entry& h) const
 {
-    return !idle_hosts_rest() || !h.runs.empty() || h.inherited || h.orphaned_runs > 0 ||
+    return !delays_idle_polls() || !h.runs.empty() || h.inherited || h.orphaned_runs > 0 ||
            !h.reachable || h.clock_ms < 0 || pools_with_jobs_.contains(h.pool);
 }
 
-void runner_desk::see_jobs()
+void runner_controller::update_pools_with_jobs()
 {
     pools_with_jobs_.clear();
     for (const auto& id : term_.fleet.open_jobs)
@@ -49,19 +52,19 @@
     }
 }
 
-void runner_desk::expect_work(const std::string& pool)
+void runner_controller::expect_work(const std::string& pool)
 {
-    if (idle_hosts_rest() && !pools_with_jobs_.contains(pool))
+    if (delays_idle_polls() && !pools_with_jobs_.contains(pool))
     {
         poll_all();
     }
 }
 
-void runner_desk::poll_all()
+void runner_controller::poll_all()
 {
-    if (idle_hosts_rest())
+    if (delays_idle_polls())
     {
-        see_jobs();
+        update_pools_with_jobs();
     }
     for (const auto& [id, h] : term_.fleet.hosts)
     {
@@ -73,27 +76,26 @@
     }
 }
 
-void runner_desk::poll_later(const std::string& host, core::millis delay)
+void runner_controller::schedule_poll(const std::string& host, core::millis delay)
 {
     term_.ctx.time.after(delay, term_.guarded([this, host] { poll(host); }));
 }
 
-/// Until the gap has passed, or work is ordered there.
-void runner_desk::rest(const std::string& host, core::millis gap)
+void runner_controller::delay_idle_poll(const std::string& host, core::millis delay)
 {
-    resting_.insert(host);
-    term_.ctx.time.after(gap, term_.guarded([this, host] { wake_up(host); }));
+    delayed_idle_.insert(host);
+    term_.ctx.time.after(delay, term_.guarded([this, host] { poll_if_delayed(host); }));
 }
 
-void runner_desk::wake_up(const std::string& host)
+void runner_controller::poll_if_delayed(const std::string& host)
 {
-    if (resting_.erase(host) > 0)
+    if (delayed_idle_.erase(host) > 0)
     {
         poll(host);
     }
 }
 
-void runner_desk::poll(const std::string& host)
+void runner_controller::poll(const std::string& host)
 {
     const auto found = term_.fleet.hosts.find(host);
     if (found == term_.fleet.hosts.end() || !term_.lead->holds() || !needs_polls(found->second))
@@ -103,64 +105,68 @@
     }
     auto& h = found->second;
     auto order = term_.grant_lease(h, coordinator::lease_end_for(term_.fleet, h, term_.now()));
-    // The first answer tells the runner's clock, without which no lease can be named, and what a
-    // former owner's runner holds, for which others wait.
-    // One that this owner has not heard for a lease's time gets no task before it answers.
-    const bool unheard = term_.now() - h.last_answer_at >= term_.fleet.settings.runner_lease;
-    const bool at_once =
-        h.clock_ms < 0 || !h.reachable || h.inherited || unheard || asked_again_.contains(host);
+    // The runner answers at once where the answer is urgent. The first answer of a runner reveals
+    // its clock, without which no lease can be expressed, and the runs of an inherited runner, for
+    // which tasks of its pool wait. A runner that has not answered for the duration of a lease gets
+    // no task until it answers.
+    const bool not_heard_recently =
+        term_.now() - h.last_answer_at >= term_.fleet.settings.runner_lease;
+    const bool at_once = h.clock_ms < 0 || !h.reachable || h.inherited || not_heard_recently ||
+                         polled_again_.contains(host);
     order.wait =
-        at_once ? core::millis{0} : poll_wait_for(term_.settings, term_.fleet.hosts.size());
-    const auto begun = term_.now();
-    h.polled_at = begun;
-    polls_out_[host] = begun;
-    renew_later(host, begun, order.wait + answer_is_near);
+        at_once ? core::millis{0} : scaled_poll_wait(term_.settings, term_.fleet.hosts.size());
+    const auto sent_at = term_.now();
+    h.polled_at = sent_at;
+    polls_in_flight_[host] = sent_at;
+    schedule_renewal(host, sent_at, order.wait + answer_overdue_after);
     term_.ctx.runners.poll(h.ref,
         order,
         term_.guarded(
-            [this, host, begun](const ports::poll_answer& a)
+            [this, host, sent_at](const ports::poll_answer& a)
             {
-                if (is_open(host, begun))
+                if (is_open(host, sent_at))
                 {
-                    take_poll(host, begun, a);
+                    handle_poll_answer(host, sent_at, a);
                 }
-                // Else the answer to a renewal beside it was taken for it.
+                // Otherwise the answer to a renewal beside this poll has been used in its place.
             }));
 }
 
-bool runner_desk::is_open(const std::string& host, core::mono_time begun) const
+bool runner_controller::is_open(const std::string& host, core::mono_time sent_at) const
 {
-    const auto out = polls_out_.find(host);
-    return out != polls_out_.end() && out->second == begun;
+    const auto out = polls_in_flight_.find(host);
+    return out != polls_in_flight_.end() && out->second == sent_at;
 }
 
-void runner_desk::renew_later(const std::string& host, core::mono_time begun, core::millis delay)
+void runner_controller::schedule_renewal(
+    const std::string& host, core::mono_time sent_at, core::millis delay)
 {
-    if (!term_.settings.repeats_calls)
+    if (!term_.settings.repeats_overdue_calls)
     {
         return;
     }
     const auto due = term_.now() + delay;
     term_.ctx.time.after(
-        delay, term_.guarded([this, host, begun, due] { renew(host, begun, due); }));
+        delay, term_.guarded([this, host, sent_at, due] { renew(host, sent_at, due); }));
 }
 
-/// A poll without an answer until its time-out would take most of a lease with it: one lost answer,
-/// or one relay that stands still, ended the leases of runners that are well, and the ends that it
-/// would have told were learnt a second late. So once the answer is overdue the runner is asked
-/// beside it, again and again, and the first answer counts. A node that is late itself waits: the
-/// answer may lie unread here, and more calls would make it later.
-void runner_desk::renew(const std::string& host, core::mono_time begun, core::mono_time due)
+/// A poll that stays unanswered until its timeout uses up most of a lease: one lost answer, or one
+/// stalled relay, would end the leases of healthy runners, and the run ends that the answer holds
+/// would become known a second late. So once the answer is overdue, further polls that renew the
+/// lease are sent to the runner at renewal_interval beside the open one, and the first answer
+/// counts. A node that is late itself sends none: the answer may have arrived and be unread, and
+/// more calls would delay it further.
+void runner_controller::renew(const std::string& host, core::mono_time sent_at, core::mono_time due)
 {
     const auto found = term_.fleet.hosts.find(host);
-    if (!is_open(host, begun) || found == term_.fleet.hosts.end() || !term_.lead->holds())
+    if (!is_open(host, sent_at) || found == term_.fleet.hosts.end() || !term_.lead->holds())
     {
         return;
     }
-    renew_later(host, begun, renew_again);
+    schedule_renewal(host, sent_at, renewal_interval);
     auto& h = found->second;
     const auto whole = coordinator::lease_end_for(term_.fleet, h, term_.now());
-    if ((whole == 0 && !h.inherited) || term_.now() - due > timer_is_late)
+    if ((whole == 0 && !h.inherited) || term_.now() - due > max_timer_delay)
     {
         return;
     }
@@ -171,63 +177,66 @@
     term_.ctx.runners.poll(h.ref,
         order,
         term_.guarded(
-            [this, host, begun, asked](const ports::poll_answer& a)
+            [this, host, sent_at, asked](const ports::poll_answer& a)
             {
                 const bool unanswered = a.call.verdict == runner_verdict::unknown ||
                                         a.call.verdict == runner_verdict::not_sent;
-                if (is_open(host, begun) && !unanswered)
+                if (is_open(host, sent_at) && !unanswered)
                 {
-                    take_poll(host, asked, a);
+                    handle_poll_answer(host, asked, a);
                 }
-                // Whether the runner is silent is judged by the poll.
+                // Only the poll itself decides whether the runner is unresponsive.
             }));
 }
 
-core::millis runner_desk::poll_gap() const
+core::millis runner_controller::poll_delay() const
 {
     const auto& s = term_.settings;
     return std::max(
-        window_.gap, time_between_polls(term_.fleet.hosts.size(), s.most_polls_per_second));
+        window_.gap, poll_interval_for(term_.fleet.hosts.size(), s.max_polls_per_second));
 }
 
-/// An answer may have lain unread here until the call's time-out. Taken for silence, the runner
-/// would be granted no lease, and its runs would end though it is well. So an owner that was late
-/// itself asks once more; what proves that a lease has ended stays the time alone.
-bool runner_desk::asks_again(const std::string& host, core::mono_time begun, runner_verdict v)
+/// An answer may have been unread on this node until the call's timeout. If the runner were taken
+/// for unresponsive, it would be granted no lease and its runs would end although it is healthy. So
+/// a coordinator that was late itself polls once more. This does not affect when a lease counts as
+/// ended, which depends on time alone.
+bool runner_controller::polls_again(
+    const std::string& host, core::mono_time sent_at, runner_verdict v)
 {
     const auto found = term_.fleet.hosts.find(host);
-    const auto late_by = std::max(term_.load.timer_delays.largest_since(begun),
-        term_.load.socket_delays.largest_since(begun));
+    const auto late_by = std::max(
+        term_.load.timer_delays.max_since(sent_at), term_.load.socket_delays.max_since(sent_at));
     const bool may = found != term_.fleet.hosts.end() && found->second.reachable &&
-                     v == runner_verdict::unknown && late_by > own_delay;
-    if (!may || !asked_again_.insert(host).second)
+                     v == runner_verdict::unknown && late_by > min_own_delay;
+    if (!may || !polled_again_.insert(host).second)
     {
-        asked_again_.erase(host);
+        polled_again_.erase(host);
         return false;
     }
     term_.log(ports::log_level::info, "asked_again", {{"host", host}});
     return true;
 }
 
-void runner_desk::take_poll(
-    const std::string& host, core::mono_time begun, const ports::poll_answer& a)
+void runner_controller::handle_poll_answer(
+    const std::string& host, core::mono_time sent_at, const ports::poll_answer& a)
 {
     const auto found = term_.fleet.hosts.find(host);
-    polls_out_.erase(host);
-    const bool heard_since =
-        found != term_.fleet.hosts.end() && found->second.last_answer_at > begun &&
+    polls_in_flight_.erase(host);
+    const bool answered_since =
+        found != term_.fleet.hosts.end() && found->second.last_answer_at > sent_at &&
         (a.call.verdict == runner_verdict::unknown || a.call.verdict == runner_verdict::not_sent);
-    if (heard_since || asks_again(host, begun, a.call.verdict))
+    if (answered_since || polls_again(host, sent_at, a.call.verdict))
     {
         poll(host);
         return;
     }
-    const bool first = found != term_.fleet.hosts.end() && found->second.lease_until_ms == 0;
-    const bool silent = found != term_.fleet.hosts.end() && !found->second.reachable;
-    const auto seen = found == term_.fleet.hosts.end() ? 0 : found->second.last_applied_end;
-    term_.load.note_poll(a, seen, term_.now());
+    const bool first_lease = found != term_.fleet.hosts.end() && found->second.lease_until_ms == 0;
+    const bool was_unresponsive = found != term_.fleet.hosts.end() && !found->second.reachable;
+    const auto last_applied = found == term_.fleet.hosts.end() ? 0 : found->second.last_applied_end;
+    term_.load.record_poll(a, last_applied, term_.now());
     coordinator::task_events out;
-    take(coordinator::poll_answered(term_.fleet, host, begun, a, term_.now(), out), host, out);
+    finish_answer(
+        coordinator::poll_answered(term_.fleet, host, sent_at, a, term_.now(), out), host, out);
     if (!term_.fleet.hosts.contains(host))
     {
         polling_.erase(host);
@@ -235,29 +244,29 @@
     }
     if (a.call.verdict != runner_verdict::done)
     {
-        poll_later(host, term_.settings.poll_retry);
+        schedule_poll(host, term_.settings.poll_retry_delay);
         return;
     }
-    if (silent)
+    if (was_unresponsive)
     {
-        term_.record_hosts();
+        term_.update_runner_record();
     }
-    stop_strays();
-    const bool news = !a.ended.empty();
-    const auto idle_gap = idle_poll_gap(term_.settings, term_.fleet.hosts.size());
-    if (found->second.runs.empty() && !first && idle_gap.count() > 0)
+    stop_orphaned_runs();
+    const bool has_ends = !a.ended.empty();
+    const auto idle_delay = idle_poll_delay(term_.settings, term_.fleet.hosts.size());
+    if (found->second.runs.empty() && !first_lease && idle_delay.count() > 0)
     {
-        rest(host, idle_gap);
+        delay_idle_poll(host, idle_delay);
     }
     else
     {
-        poll_later(host, first || !news ? core::millis{0} : poll_gap());
+        schedule_poll(host, first_lease || !has_ends ? core::millis{0} : poll_delay());
     }
-    if (news)
+    if (has_ends)
     {
-        term_.store_soon();
+        term_.request_store_write();
     }
-    term_.wake();
+    term_.request_plan();
 }
 
 } // namespace camphorhitch::hosted
--- a/libs/hosted/src/runner_list.cpp
+++ b/libs/hosted/src/runner_list.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-void tell_unusable_entries(const ports::telemetry& tel, std::int64_t entries)
+void set_unusable_gauge(const ports::telemetry& tel, std::int64_t entries)
 {
     tel.gauge("camphorhitch_runner_entries_unusable", {}, static_cast<double>(entries));
 }
@@ -23,23 +23,23 @@
 
 runner_list::~runner_list()
 {
-    tell_unusable_entries(term_.ctx.tel, 0);
+    set_unusable_gauge(term_.ctx.tel, 0);
 }
 
 void runner_list::start()
 {
     follower_settings s;
-    s.prefix = term_.spelling->runner_prefix;
-    s.pause = term_.settings.hosts_pause;
-    s.wait = term_.settings.hosts_wait;
+    s.prefix = term_.text_formats->runner_prefix;
+    s.pause = term_.settings.runner_list_interval;
+    s.wait = term_.settings.runner_list_max_wait;
     follower_events events;
     events.on_all = [this](std::vector<ports::stored_item> all)
     {
-        take_all(std::move(all));
+        apply_all(std::move(all));
     };
     events.on_changes = [this](std::vector<ports::stored_change> all)
     {
-        take_changes(std::move(all));
+        apply_changes(std::move(all));
     };
     follower_ = std::make_unique<prefix_follower>(term_.ctx, s, std::move(events));
     follower_->start();
@@ -60,7 +60,7 @@
     {
         it.runner = read(it.item);
     }
-    tell_unusable();
+    update_unusable_gauge();
     on_change_();
 }
 
@@ -77,7 +77,7 @@
     return out;
 }
 
-void runner_list::take_all(std::vector<ports::stored_item> all)
+void runner_list::apply_all(std::vector<ports::stored_item> all)
 {
     entries_.clear();
     for (auto& it : all)
@@ -86,26 +86,26 @@
         auto key = it.key;
         entries_.insert_or_assign(std::move(key), entry{std::move(it), std::move(runner)});
     }
-    tell_unusable();
+    update_unusable_gauge();
     on_change_();
 }
 
-void runner_list::take_changes(std::vector<ports::stored_change> all)
+void runner_list::apply_changes(std::vector<ports::stored_change> all)
 {
     bool changed = false;
     for (auto& it : all)
     {
-        changed = take_change(std::move(it)) || changed;
+        changed = apply_change(std::move(it)) || changed;
     }
-    tell_unusable();
+    update_unusable_gauge();
     if (changed)
     {
         on_change_();
     }
 }
 
-/// \return whether a runner comes, goes, or is described otherwise.
-bool runner_list::take_change(ports::stored_change c)
+/// \return whether a usable runner was added or removed, or its description changed.
+bool runner_list::apply_change(ports::stored_change c)
 {
     const auto found = entries_.find(c.item.key);
     auto before = found == entries_.end() ? listing{} : std::move(found->second.runner);
@@ -121,12 +121,12 @@
     return changed;
 }
 
-/// What is left out here is not listed: a runner that is known keeps its runs and its leases, which
-/// only its own answers or their lapse end, and gets no new work.
+/// An entry that is not usable counts as not listed. A runner that is already known then keeps its
+/// runs and its leases, which end only by its own answers or by expiry, and gets no new work.
 runner_list::listing runner_list::read(const ports::stored_item& it)
 {
-    auto runner =
-        term_.spelling->read_runner(it.key.substr(term_.spelling->runner_prefix.size()), it.value);
+    auto runner = term_.text_formats->read_runner(
+        it.key.substr(term_.text_formats->runner_prefix.size()), it.value);
     if (core::is_ok(runner) && !pools_.empty() && !pools_.contains(core::value(runner).pool))
     {
         runner = core::error{
@@ -147,9 +147,9 @@
     return {};
 }
 
-void runner_list::tell_unusable() const
+void runner_list::update_unusable_gauge() const
 {
-    tell_unusable_entries(term_.ctx.tel,
+    set_unusable_gauge(term_.ctx.tel,
         std::count_if(entries_.begin(),
             entries_.end(),
             [](const auto& it) { return !it.second.runner.has_value(); }));
--- a/libs/hosted/src/runner_list.hpp
+++ b/libs/hosted/src/runner_list.hpp
@@ -1,9 +1,9 @@
 /// \file
-/// Keeps up with the runners that the platform lists.
+/// Follows the platform's list of runners.
 ///
-/// A watch, not a repeated reading: a runner that joins a pool that lacks hosts is known at once,
-/// and what has not changed costs nothing to read. Runners write their entries again every second
-/// or so with nothing new in them; such a write is told to nobody.
+/// The list is watched rather than read repeatedly: a runner that joins a pool that lacks hosts is
+/// known at once, and unchanged entries cost no reads. Runners rewrite their entries about every
+/// second without a change; such a write is not reported.
 #pragma once
 
 #include "damage_notes.hpp"
@@ -24,19 +24,19 @@
 class runner_list
 {
 public:
-    /// \param on_change the usable runners are others than before
+    /// \param on_change called whenever the usable runners or their descriptions have changed
     runner_list(term& t, std::function<void()> on_change);
     runner_list(const runner_list&) = delete;
     runner_list& operator=(const runner_list&) = delete;
 
-    /// Sets the measure of unusable entries to 0: left standing, it would hold an alert for a list
-    /// that this node follows no more.
+    /// Sets the gauge of unusable entries to 0: left as it is, it would keep an alert raised for a
+    /// list that this node no longer follows.
     ~runner_list();
 
     void start();
 
-    /// The pools of the configuration in force; an entry of another names no runner to use. None:
-    /// not known yet, all are taken.
+    /// Sets the pools of the configuration in force. An entry of a runner in any other pool is not
+    /// usable. While no pool is set, the pools are not known and all entries are accepted.
     void set_pools(const std::vector<pool_settings>& pools);
 
     bool has_entries() const
@@ -44,7 +44,7 @@
         return !entries_.empty();
     }
 
-    /// \return the runners that entries name which can be read.
+    /// \return the runners whose entries are readable and name a pool in force.
     std::vector<coordinator::host_listing> usable() const;
 
 private:
@@ -53,14 +53,14 @@
     struct entry
     {
         ports::stored_item item;
-        listing runner; ///< nothing: the entry can't be used
+        listing runner; ///< empty: the entry is not usable
     };
 
-    void take_all(std::vector<ports::stored_item> all);
-    void take_changes(std::vector<ports::stored_change> all);
-    bool take_change(ports::stored_change c);
+    void apply_all(std::vector<ports::stored_item> all);
+    void apply_changes(std::vector<ports::stored_change> all);
+    bool apply_change(ports::stored_change c);
     listing read(const ports::stored_item& it);
-    void tell_unusable() const;
+    void update_unusable_gauge() const;
 
     term& term_;
     std::function<void()> on_change_;
--- a/libs/hosted/src/takeover_lease_renewer.cpp
+++ b/libs/hosted/src/takeover_lease_renewer.cpp
@@ -6,21 +6,21 @@
 namespace camphorhitch::hosted
 {
 
-lease_bridge::lease_bridge(term& t) : term_(t)
+takeover_lease_renewer::takeover_lease_renewer(term& t) : term_(t)
 {
 }
 
-void lease_bridge::start()
+void takeover_lease_renewer::start()
 {
     renew_all();
 }
 
-void lease_bridge::stop()
+void takeover_lease_renewer::stop()
 {
     stopped_ = true;
 }
 
-void lease_bridge::renew_all()
+void takeover_lease_renewer::renew_all()
 {
     if (stopped_)
     {
@@ -28,15 +28,16 @@
     }
     for (const auto& [id, h] : term_.fleet.hosts)
     {
-        if (h.inherited && h.recorded && !under_way_.contains(id))
+        if (h.inherited && h.recorded && !in_flight_.contains(id))
         {
             renew(id);
         }
     }
-    term_.ctx.time.after(term_.settings.bridge_every, term_.guarded([this] { renew_all(); }));
+    term_.ctx.time.after(
+        term_.settings.takeover_renewal_interval, term_.guarded([this] { renew_all(); }));
 }
 
-void lease_bridge::renew(const std::string& host)
+void takeover_lease_renewer::renew(const std::string& host)
 {
     const auto found = term_.fleet.hosts.find(host);
     if (stopped_ || found == term_.fleet.hosts.end() || !term_.lead->holds())
@@ -47,30 +48,32 @@
     const auto order =
         term_.grant_lease(h, coordinator::lease_end_for(term_.fleet, h, term_.now()));
     h.polled_at = term_.now();
-    under_way_.insert(host);
-    term_.ctx.runners.poll(
-        h.ref, order, term_.guarded([this, host](const ports::poll_answer& a) { take(host, a); }));
+    in_flight_.insert(host);
+    term_.ctx.runners.poll(h.ref,
+        order,
+        term_.guarded([this, host](const ports::poll_answer& a) { handle_answer(host, a); }));
 }
 
-void lease_bridge::take(const std::string& host, const ports::poll_answer& a)
+void takeover_lease_renewer::handle_answer(const std::string& host, const ports::poll_answer& a)
 {
-    under_way_.erase(host);
-    const bool first = is_silent(host);
+    in_flight_.erase(host);
+    const bool first = is_unresponsive(host);
     coordinator::task_events out;
-    const bool owner = coordinator::contact_answered(term_.fleet, host, a.call, term_.now(), out);
+    const bool still_leads =
+        coordinator::contact_answered(term_.fleet, host, a.call, term_.now(), out);
     term_.log(out);
-    if (!owner)
+    if (!still_leads)
     {
-        term_.fenced_by("runner " + host);
+        term_.step_down_fenced("runner " + host);
         return;
     }
-    if (first && !is_silent(host))
+    if (first && !is_unresponsive(host))
     {
-        renew(host); // its clock is known now, without which no lease can be named
+        renew(host); // a lease can be expressed now that the runner's clock is known
     }
 }
 
-bool lease_bridge::is_silent(const std::string& host) const
+bool takeover_lease_renewer::is_unresponsive(const std::string& host) const
 {
     const auto found = term_.fleet.hosts.find(host);
     return found == term_.fleet.hosts.end() || !found->second.reachable;
--- a/libs/hosted/src/takeover_lease_renewer.hpp
+++ b/libs/hosted/src/takeover_lease_renewer.hpp
@@ -1,10 +1,11 @@
 /// \file
-/// Keeps the leases of runners alive while a new coordinator still reads the jobs.
+/// Renews the leases of inherited runners while a new coordinator still reads the jobs.
 ///
-/// Reading thousands of jobs takes up to seconds, and what the former coordinator granted ends
-/// within two of them: tasks on runners that are well would end with it. What runs there need not
-/// be known for a lease to go on, so the first calls only renew. Nothing is taken from their
-/// answers but the runner's clock, and no end is acknowledged; the polls that follow see it all.
+/// Reading thousands of jobs takes up to several seconds, and the leases that the previous
+/// coordinator granted end within two seconds: tasks on healthy runners would end with them. A
+/// lease can be renewed without knowledge of what the runner runs, so these calls only renew. Only
+/// the runner's clock is taken from their answers, and no run end is acknowledged; the polls that
+/// follow report all runs and ends.
 #pragma once
 
 #include "term.hpp"
@@ -15,25 +16,25 @@
 namespace camphorhitch::hosted
 {
 
-class lease_bridge
+class takeover_lease_renewer
 {
 public:
-    explicit lease_bridge(term& t);
+    explicit takeover_lease_renewer(term& t);
 
-    /// Renews the leases of all runners in the record until stop().
+    /// Renews the leases of all runners in the previous coordinator's record until stop().
     void start();
 
-    /// The jobs are read: polls renew from now on.
+    /// Stops renewing. To be called once the jobs are read: polls renew the leases from then on.
     void stop();
 
 private:
     void renew_all();
     void renew(const std::string& host);
-    void take(const std::string& host, const ports::poll_answer& a);
-    bool is_silent(const std::string& host) const;
+    void handle_answer(const std::string& host, const ports::poll_answer& a);
+    bool is_unresponsive(const std::string& host) const;
 
     term& term_;
-    std::set<std::string> under_way_;
+    std::set<std::string> in_flight_; ///< hosts with an unanswered call
     bool stopped_ = false;
 };
 
--- a/libs/hosted/src/term.cpp
+++ b/libs/hosted/src/term.cpp
@@ -12,14 +12,14 @@
 namespace
 {
 
-void observe(const ports::telemetry& tel, const char* name, core::micros took)
+void observe(const ports::telemetry& tel, const char* name, core::micros duration)
 {
-    tel.observe(name, {}, std::chrono::duration<double>(took).count());
+    tel.observe(name, {}, std::chrono::duration<double>(duration).count());
 }
 
-/// One line a life and order at most, and what a doubled or lost run is traced by: not subject to
-/// the budget of lines.
-bool is_proof(const coordinator::task_event& it)
+/// \return whether the event is exempt from the log rate limit. A run that was doubled or lost is
+/// traced by these lines, and there is at most one per incarnation of a runner and per order.
+bool is_always_logged(const coordinator::task_event& it)
 {
     return it.event == "host_ended" || it.event == "host_lapsed" || it.event == "job_failed";
 }
@@ -28,41 +28,41 @@
 
 void term::log(ports::log_level level, std::string event, ports::log_fields fields)
 {
-    if (!take_line(lines, now()))
+    if (!allow_line(log_limiter, now()))
     {
         return;
     }
-    if (const auto n = take_left_out(lines, now()); n > 0)
+    if (const auto n = take_suppressed_count(log_limiter, now()); n > 0)
     {
         ctx.tel.log(ports::log_level::warning, "lines_left_out", {{"count", std::to_string(n)}});
     }
     ctx.tel.log(level, std::move(event), std::move(fields));
 }
 
-void term::note_start(const workflow::task_name& task, std::int64_t run, core::mono_time at)
+void term::record_start(const workflow::task_name& task, std::int64_t run, core::mono_time at)
 {
     ++load.counts.starts_ordered;
     const auto unix_ms = core::to_unix_ms(ctx.time.wall_now());
     if (const auto ready = coordinator::ready_since(fleet, task, run, at, unix_ms))
     {
-        load.times.wait.add(at - *ready);
+        load.times.start_wait.add(at - *ready);
         observe(ctx.tel, "camphorhitch_start_wait_seconds", at - *ready);
     }
 }
 
-void term::note_read(core::micros took)
+void term::record_job_read(core::micros duration)
 {
-    load.times.read.add(took);
-    observe(ctx.tel, "camphorhitch_job_read_seconds", took);
+    load.times.job_read.add(duration);
+    observe(ctx.tel, "camphorhitch_job_read_seconds", duration);
 }
 
-void term::note_stored()
+void term::record_ends_stored()
 {
     const auto at = now();
-    for (const auto& [taken, ends] : load.ends.stored())
+    for (const auto& [applied_at, ends] : load.ends.take_stored())
     {
-        load.times.store.add(at - taken, ends);
-        observe(ctx.tel, "camphorhitch_end_store_seconds", at - taken);
+        load.times.end_store.add(at - applied_at, ends);
+        observe(ctx.tel, "camphorhitch_end_store_seconds", at - applied_at);
     }
 }
 
@@ -76,12 +76,12 @@
     return out;
 }
 
-void term::lapse_hosts(coordinator::task_events& out)
+void term::expire_hosts(coordinator::task_events& out)
 {
     const auto at = now();
     for (const auto& it : coordinator::lapse_hosts(fleet, at, out))
     {
-        ctx.tel.log(ports::log_level::warning, "leases_lapsed", lapse_fields(it, load, at));
+        ctx.tel.log(ports::log_level::warning, "leases_lapsed", lease_expiry_fields(it, load, at));
     }
 }
 
@@ -108,7 +108,7 @@
         }
         fields.emplace_back("token", std::to_string(token));
         ctx.tel.count("camphorhitch_fleet_events_total", {{"event", it.event}}, 1);
-        if (is_proof(it))
+        if (is_always_logged(it))
         {
             ctx.tel.log(ports::log_level::info, it.event, std::move(fields));
         }
@@ -119,12 +119,12 @@
     }
 }
 
-void term::fenced_by(const std::string& who)
+void term::step_down_fenced(const std::string& who)
 {
-    leave([who](leadership& it) { it.step_down("fenced by " + who); });
+    schedule_end([who](leadership& it) { it.step_down("fenced by " + who); });
 }
 
-bool term::lost_key(const ports::commit_result& result)
+bool term::lost_leadership(const ports::commit_result& result)
 {
     const auto is_own = [this](const ports::stored_item& it)
     {
@@ -135,11 +135,11 @@
     {
         return false;
     }
-    fenced_by("the store");
+    step_down_fenced("the store");
     return true;
 }
 
-void term::leave(std::function<void(leadership&)> how)
+void term::schedule_end(std::function<void(leadership&)> how)
 {
     ctx.time.post(
         [weak = weak_from_this(), lead = lead, how = std::move(how)]
--- a/libs/hosted/src/term.hpp
+++ b/libs/hosted/src/term.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// One term of coordination: the fleet as this owner sees it, and what its parts share. Parts hold
-/// it weakly in their callbacks, so an answer that comes after the term's end changes nothing.
+/// One term of this node as the coordinator: the fleet's state and what the parts of the driver
+/// share. The parts' callbacks hold the term by a weak pointer, so an answer that arrives after the
+/// term's end changes nothing.
 #pragma once
 
 #include "coordinator/fleet.hpp"
@@ -21,60 +22,65 @@
 struct term : std::enable_shared_from_this<term>
 {
     context ctx;
-    const formats* spelling = nullptr;
+    const formats* text_formats = nullptr;
     driver_settings settings;
     leadership* lead = nullptr;
     ports::revision token = 0;
     coordinator::fleet fleet;
-    line_budget lines;
+    log_rate_limiter log_limiter;
     load_report load;
-    std::function<void()> wake;                  ///< plan soon
-    std::function<void()> store_soon;            ///< progress has changed
-    std::function<core::mono_time()> jobs_heard; ///< as job_reader::last_heard
-    std::function<void()> record_hosts;          ///< a runner has answered after a silence
-    /// A job was accepted \p at, perhaps before this term.
-    std::function<void(const workflow::job&, core::mono_time at)> on_job;
+    std::function<void()> request_plan; ///< schedules a plan within driver_settings::plan_delay
+    std::function<void()> request_store_write;           ///< schedules a write of changed progress
+    std::function<core::mono_time()> last_job_answer_at; ///< as job_reader::last_heard
+    /// Brings the record of runners up to date, after an unresponsive runner has answered again.
+    std::function<void()> update_runner_record;
+    /// Called for each job that is read; it was accepted \p at, which may lie before this term.
+    std::function<void(const workflow::job&, core::mono_time at)> on_job_accepted;
 
     core::mono_time now() const
     {
         return ctx.time.now();
     }
 
-    /// Logs what was decided or learnt, within the budget of lines.
+    /// Logs the events, subject to the log rate limit, and counts each of them in a metric.
     void log(const coordinator::task_events& all);
     void log(ports::log_level level, std::string event, ports::log_fields fields);
 
-    /// Counts a start that is sent, and how long its task could have been started before.
-    void note_start(const workflow::task_name& task, std::int64_t run, core::mono_time at);
+    /// Counts a start order that is sent \p at, and records how long its task had been ready.
+    void record_start(const workflow::task_name& task, std::int64_t run, core::mono_time at);
 
-    /// A job was read here, so long after its acceptance.
-    void note_read(core::micros took);
+    /// Records the time from a job's acceptance until this node read it.
+    void record_job_read(core::micros duration);
 
-    /// All ends that the writing just done was to cover are stored.
-    void note_stored();
+    /// Records that the write which has just succeeded stored all run ends that it covered.
+    void record_ends_stored();
 
-    /// \return a poll of the host that grants a lease until then and acknowledges what is stored;
-    /// the lease counts as granted from now on, also when the poll is never answered.
+    /// \param until_ms end of the lease on the runner's clock; 0: none is granted
+    /// \return a poll of the host that grants this lease and acknowledges the run ends that are
+    /// stored. The lease counts as granted from now on, even if the poll is never answered.
     ports::poll_order grant_lease(coordinator::host_entry& h, std::int64_t until_ms) const;
 
-    /// Takes the leases that have ended from the fleet. Each host with runs has a line of its own,
-    /// whatever else is logged: it tells whether the host was silent or this node late.
-    void lapse_hosts(coordinator::task_events& out);
+    /// Removes the hosts whose leases have expired from the fleet. A log line is written for each
+    /// of them that had runs, regardless of the rate limit: the line shows whether the host did not
+    /// answer or this node was late.
+    void expire_hosts(coordinator::task_events& out);
 
-    /// Ownership is lost: a runner, the machines' service or a condition said so.
-    void fenced_by(const std::string& who);
+    /// Ends the term because \p who (a runner, the machine service or the store) has refused this
+    /// coordinator's fencing token.
+    void step_down_fenced(const std::string& who);
 
-    /// Judges the answer to a write on the condition that the key is this owner's. Renewals don't
-    /// tell that the store has taken the key away, and watches may tell it late.
-    /// \return whether ownership is lost.
-    bool lost_key(const ports::commit_result& result);
+    /// Evaluates the answer to a write that required the leader key to be of this term, and ends
+    /// the term if it is not. Lease renewals do not reveal that the store has removed the key, and
+    /// watches may reveal it late.
+    /// \return whether the lead is lost.
+    bool lost_leadership(const ports::commit_result& result);
 
-    /// Ends the term from outside of its parts' callbacks, unless it has ended before. The term is
-    /// not held meanwhile: with the end, calls under way are answered, and guarded callbacks would
-    /// run on parts that are gone.
-    void leave(std::function<void(leadership&)> how);
+    /// Ends the term in a later iteration of the event loop, outside the callbacks of its parts,
+    /// unless it has ended by then. The posted call does not keep the term alive: calls in flight
+    /// are answered when the term ends, and guarded callbacks would run on destroyed parts.
+    void schedule_end(std::function<void(leadership&)> how);
 
-    /// \return a callback that does nothing after the term's end.
+    /// \return a callback that calls \p fn, and does nothing after the term's end.
     template <class Fn>
     auto guarded(Fn fn)
     {
--- a/libs/hosted/src/tidier.cpp
+++ b/libs/hosted/src/tidier.cpp
@@ -34,7 +34,7 @@
 
 void tidier::start()
 {
-    term_.ctx.time.after(term_.settings.tidy_every, term_.guarded([this] { look(); }));
+    term_.ctx.time.after(term_.settings.cleanup_interval, term_.guarded([this] { look(); }));
 }
 
 void tidier::look()
@@ -46,7 +46,8 @@
         cancels.push_back(std::move(f.late_cancels.extract(f.late_cancels.begin()).value()));
     }
     const auto unix_ms = core::to_unix_ms(term_.ctx.time.wall_now());
-    auto jobs = coordinator::take_expired(f, term_.settings.keep_finished, unix_ms, most_jobs);
+    auto jobs =
+        coordinator::take_expired(f, term_.settings.finished_job_retention, unix_ms, most_jobs);
     if (!term_.lead->holds() || (jobs.empty() && cancels.empty()))
     {
         start();
@@ -78,7 +79,7 @@
     const ports::commit_result& result)
 {
     const auto unix_ms = core::to_unix_ms(term_.ctx.time.wall_now());
-    const auto keep_ms = term_.settings.keep_finished.count();
+    const auto keep_ms = term_.settings.finished_job_retention.count();
     for (const auto& it : jobs)
     {
         const auto* const item = find_item(result, state_key(it.id));
--- a/libs/hosted/src/wave_controller.cpp
+++ b/libs/hosted/src/wave_controller.cpp
@@ -14,35 +14,36 @@
 namespace
 {
 
-/// Between repeats of an order whose fate is open, or which the platform can't take now.
-constexpr core::millis order_retry{400};
+/// Delay before repeating an order whose outcome is unknown, or which the platform cannot accept
+/// now.
+constexpr core::millis order_retry_delay{400};
 
-/// What a successor needs of a wave.
+/// Record of a wave for a successor.
 struct wave_record
 {
-    std::int64_t due_unix_ms = 0; ///< 0: not known
-    std::set<std::string> begun;
+    std::int64_t due_unix_ms = 0;           ///< 0: not known
+    std::set<std::string> started_machines; ///< machines whose maintenance has begun
 };
 
 std::string write_record(const wave_record& r)
 {
-    return nlohmann::json{{"due_unix_ms", r.due_unix_ms}, {"begun", r.begun}}.dump();
+    return nlohmann::json{{"due_unix_ms", r.due_unix_ms}, {"begun", r.started_machines}}.dump();
 }
 
-/// \return an empty record when the text is damaged: maintenance is ordered anew then, which the
-/// platform takes for done.
+/// \return the record, empty if the text is damaged. Maintenance is then ordered again, and the
+/// platform answers that it is done.
 wave_record read_record(const std::string& text)
 {
     const auto from = nlohmann::json::parse(text, nullptr, false);
     wave_record out;
-    const bool whole = from.is_object() && from.contains("due_unix_ms") &&
-                       from["due_unix_ms"].is_number_integer() && from.contains("begun") &&
-                       from["begun"].is_array();
-    if (!whole)
+    const bool is_valid = from.is_object() && from.contains("due_unix_ms") &&
+                          from["due_unix_ms"].is_number_integer() && from.contains("begun") &&
+                          from["begun"].is_array();
+    if (!is_valid)
     {
         return out;
     }
-    // A century: a later time would overflow the clocks when it is reckoned from now.
+    // A later time than a century after the epoch would overflow the clock when it is converted.
     constexpr std::int64_t latest_unix_ms = std::int64_t{100} * 365 * 24 * 3600 * 1000;
     const auto due = from["due_unix_ms"].get<std::int64_t>();
     out.due_unix_ms = due > 0 && due <= latest_unix_ms ? due : 0;
@@ -50,7 +51,7 @@
     {
         if (it.is_string())
         {
-            out.begun.insert(it.get<std::string>());
+            out.started_machines.insert(it.get<std::string>());
         }
     }
     return out;
@@ -58,18 +59,18 @@
 
 } // namespace
 
-wave_runner::wave_runner(term& t, const coordinator::machine_table& machines)
+wave_controller::wave_controller(term& t, const coordinator::machine_table& machines)
     : term_(t), machines_(machines)
 {
 }
 
-bool wave_runner::has_open_wave() const
+bool wave_controller::has_open_wave() const
 {
     return std::any_of(
         waves_.begin(), waves_.end(), [](const auto& it) { return !it.second.wave.completed; });
 }
 
-std::set<std::string> wave_runner::held() const
+std::set<std::string> wave_controller::held_machines() const
 {
     std::set<std::string> out;
     for (const auto& [number, it] : waves_)
@@ -79,7 +80,7 @@
     return out;
 }
 
-void wave_runner::see_machines()
+void wave_controller::apply_machine_list()
 {
     for (auto& [number, it] : waves_)
     {
@@ -87,27 +88,27 @@
         if (it.loaded && coordinator::see_machines(it.wave, machines_, term_.settings.waves))
         {
             term_.log(ports::log_level::info, "wave_completed", {{"wave", std::to_string(number)}});
-            store(number);
+            store_progress(number);
         }
     }
 }
 
-void wave_runner::set_waves(const std::vector<wave_request>& all)
+void wave_controller::set_waves(const std::vector<wave_request>& all)
 {
     for (const auto& it : all)
     {
-        const auto [place, added] = waves_.try_emplace(it.number);
+        const auto [position, added] = waves_.try_emplace(it.number);
         if (!added)
         {
             continue;
         }
-        auto& w = place->second.wave;
+        auto& w = position->second.wave;
         w.number = it.number;
         w.machines = it.machines;
         w.most_at_once = it.most_at_once;
         w.taken_at = term_.now();
         w.due = w.taken_at + it.duration;
-        place->second.due_unix_ms =
+        position->second.due_unix_ms =
             core::to_unix_ms(term_.ctx.time.wall_now()) + it.duration.count();
         term_.log(ports::log_level::info,
             "wave_taken",
@@ -115,11 +116,11 @@
                 {"machines", std::to_string(it.machines.size())},
                 {"at_once", std::to_string(it.most_at_once)},
                 {"duration_ms", std::to_string(it.duration.count())}});
-        load(it.number);
+        load_record(it.number);
     }
 }
 
-void wave_runner::load(std::int64_t number)
+void wave_controller::load_record(std::int64_t number)
 {
     term_.ctx.store.get(wave_record_key(number),
         ports::read_freshness::newest,
@@ -128,8 +129,8 @@
             {
                 if (read.status != kv_status::ok)
                 {
-                    term_.ctx.time.after(term_.settings.store_retry,
-                        term_.guarded([this, number] { load(number); }));
+                    term_.ctx.time.after(term_.settings.store_retry_delay,
+                        term_.guarded([this, number] { load_record(number); }));
                     return;
                 }
                 auto& it = waves_.at(number);
@@ -137,31 +138,32 @@
                 {
                     it.record_revision = read.item->modified;
                     const auto record = read_record(read.item->value);
-                    it.wave.begun = record.begun;
+                    it.wave.begun = record.started_machines;
                     if (record.due_unix_ms > 0)
                     {
-                        // The wave's time runs from its request, not from this term's begin.
+                        // The wave's duration counts from its request, not from this term's begin.
                         it.due_unix_ms = record.due_unix_ms;
                         const auto wall = core::to_unix_ms(term_.ctx.time.wall_now());
                         it.wave.due = term_.now() + core::millis{it.due_unix_ms - wall};
                     }
-                    it.recorded = it.wave.begun.size();
-                    // When they went down is not known; the platform's list tells who is away.
+                    it.recorded_machines = it.wave.begun.size();
+                    // When these machines went down is not known; the platform's list shows which
+                    // of them are absent.
                 }
                 load_status(number);
             }));
 }
 
-void wave_runner::load_status(std::int64_t number)
+void wave_controller::load_status(std::int64_t number)
 {
-    term_.ctx.store.get(term_.spelling->wave_status_key(number),
+    term_.ctx.store.get(term_.text_formats->wave_status_key(number),
         ports::read_freshness::newest,
         term_.guarded(
             [this, number](const ports::item_read& read)
             {
                 if (read.status != kv_status::ok)
                 {
-                    term_.ctx.time.after(term_.settings.store_retry,
+                    term_.ctx.time.after(term_.settings.store_retry_delay,
                         term_.guarded([this, number] { load_status(number); }));
                     return;
                 }
@@ -169,18 +171,20 @@
                 if (read.item)
                 {
                     it.status_revision = read.item->modified;
-                    const auto completed = term_.spelling->write_wave_status(wave_state::completed);
+                    const auto completed =
+                        term_.text_formats->write_wave_status(wave_state::completed);
                     it.wave.completed = read.item->value == completed;
-                    it.reported = it.wave.completed ? wave_state::completed : wave_state::running;
+                    it.reported_state =
+                        it.wave.completed ? wave_state::completed : wave_state::running;
                     it.status_known = true;
                 }
                 it.loaded = true;
-                store(number);
-                term_.wake();
+                store_progress(number);
+                term_.request_plan();
             }));
 }
 
-void wave_runner::plan()
+void wave_controller::plan()
 {
     if (!machines_.known)
     {
@@ -198,18 +202,18 @@
         term_.log(out);
         for (const auto& machine : ready)
         {
-            maintain(number, machine);
+            order_maintenance(number, machine);
         }
     }
 }
 
-void wave_runner::maintain(std::int64_t number, const std::string& machine)
+void wave_controller::order_maintenance(std::int64_t number, const std::string& machine)
 {
     if (!term_.lead->holds())
     {
-        // The term may go on once a renewal is answered; dropped, the machine's turn would never
-        // come again.
-        maintain_later(number, machine);
+        // The term may continue once a renewal of the lease is answered. If the order were dropped,
+        // it would never be sent for this machine.
+        schedule_maintenance(number, machine);
         return;
     }
     coordinator::task_events out;
@@ -223,23 +227,23 @@
     term_.log(out);
     if (!may)
     {
-        maintain_later(number, machine);
+        schedule_maintenance(number, machine);
         return;
     }
     term_.ctx.machines.maintain(machine,
         number,
         term_.token,
-        term_.guarded(
-            [this, number, machine](machine_verdict v) { take_verdict(number, machine, v); }));
+        term_.guarded([this, number, machine](machine_verdict v)
+            { handle_maintenance_answer(number, machine, v); }));
 }
 
-void wave_runner::maintain_later(std::int64_t number, const std::string& machine)
+void wave_controller::schedule_maintenance(std::int64_t number, const std::string& machine)
 {
-    term_.ctx.time.after(
-        order_retry, term_.guarded([this, number, machine] { maintain(number, machine); }));
+    term_.ctx.time.after(order_retry_delay,
+        term_.guarded([this, number, machine] { order_maintenance(number, machine); }));
 }
 
-void wave_runner::take_verdict(
+void wave_controller::handle_maintenance_answer(
     std::int64_t number, const std::string& machine, machine_verdict verdict)
 {
     auto& it = waves_.at(number);
@@ -253,10 +257,10 @@
     case machine_verdict::done:
         coordinator::maintenance_began(term_.fleet, it.wave, machines_, machine, term_.now());
         coordinator::see_machines(it.wave, machines_, term_.settings.waves);
-        store(number);
+        store_progress(number);
         break;
     case machine_verdict::fenced:
-        term_.fenced_by("the machines' service");
+        term_.step_down_fenced("the machines' service");
         break;
     case machine_verdict::other_wave:
         coordinator::not_in_wave(term_.fleet, it.wave, machines_, machine);
@@ -265,83 +269,83 @@
     case machine_verdict::refused:
         if (coordinator::keeps_place(it.wave, machines_, machine))
         {
-            maintain_later(number, machine);
+            schedule_maintenance(number, machine);
             break;
         }
-        term_.ctx.time.after(order_retry,
+        term_.ctx.time.after(order_retry_delay,
             term_.guarded(
                 [this, number, machine] { waves_.at(number).wave.asked.erase(machine); }));
         break;
     case machine_verdict::unknown:
-        // It may go down any moment, so it keeps its place in the wave.
+        // The machine may go down at any moment, so it keeps its place in the wave.
         coordinator::order_unheard(it.wave, machine);
-        maintain_later(number, machine);
+        schedule_maintenance(number, machine);
         break;
     }
-    term_.wake();
+    term_.request_plan();
 }
 
-void wave_runner::store(std::int64_t number)
+void wave_controller::store_progress(std::int64_t number)
 {
     auto& it = waves_.at(number);
     const auto state = it.wave.completed ? wave_state::completed : wave_state::running;
-    const bool report = !it.status_known || it.reported != state;
-    if (it.writing || (!report && it.recorded == it.wave.begun.size()))
+    const bool report = !it.status_known || it.reported_state != state;
+    if (it.writing || (!report && it.recorded_machines == it.wave.begun.size()))
     {
         return;
     }
     it.writing = true;
     ports::store_transaction change;
-    const auto status_key = term_.spelling->wave_status_key(number);
+    const auto status_key = term_.text_formats->wave_status_key(number);
     change.conditions = {{leader_key, term_.token},
         {wave_record_key(number), it.record_revision},
         {status_key, it.status_revision}};
     change.puts = {{wave_record_key(number), write_record({it.due_unix_ms, it.wave.begun}), 0}};
     if (report)
     {
-        change.puts.push_back({status_key, term_.spelling->write_wave_status(state), 0});
+        change.puts.push_back({status_key, term_.text_formats->write_wave_status(state), 0});
     }
     term_.ctx.store.commit(std::move(change),
-        term_.guarded(
-            [this, number, begun = it.wave.begun.size(), state](const ports::commit_result& result)
-            { take_stored(number, begun, state, result); }));
+        term_.guarded([this, number, machines = it.wave.begun.size(), state](
+                          const ports::commit_result& result)
+            { handle_store_answer(number, machines, state, result); }));
 }
 
-void wave_runner::take_stored(
-    std::int64_t number, std::size_t begun, wave_state state, const ports::commit_result& result)
+void wave_controller::handle_store_answer(
+    std::int64_t number, std::size_t machines, wave_state state, const ports::commit_result& result)
 {
     auto& it = waves_.at(number);
     it.writing = false;
     if (result.status == kv_status::ok)
     {
         it.record_revision = result.modified;
-        it.recorded = begun;
-        if (!it.status_known || it.reported != state)
+        it.recorded_machines = machines;
+        if (!it.status_known || it.reported_state != state)
         {
             it.status_revision = result.modified;
             it.status_known = true;
-            it.reported = state;
+            it.reported_state = state;
             term_.log(ports::log_level::info,
                 "wave_reported",
                 {{"wave", std::to_string(number)},
                     {"state", state == wave_state::completed ? "completed" : "running"}});
         }
-        store(number);
+        store_progress(number);
         return;
     }
     for (const auto& found : result.current)
     {
         if (found.key == wave_record_key(number))
         {
-            it.record_revision = found.modified; // an unanswered try of this node's own
+            it.record_revision = found.modified; // of an earlier write that had no answer
         }
         else if (found.key != leader_key)
         {
             it.status_revision = found.modified;
         }
     }
-    term_.ctx.time.after(
-        term_.settings.store_retry, term_.guarded([this, number] { store(number); }));
+    term_.ctx.time.after(term_.settings.store_retry_delay,
+        term_.guarded([this, number] { store_progress(number); }));
 }
 
 } // namespace camphorhitch::hosted
--- a/libs/hosted/src/wave_controller.hpp
+++ b/libs/hosted/src/wave_controller.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Carries maintenance waves out: reads machines, orders maintenance, reports and records progress.
+/// Carries out maintenance waves: orders the maintenance of machines, reports progress to the
+/// operators and records it for a successor.
 #pragma once
 
 #include "coordinator/waves.hpp"
@@ -11,50 +12,50 @@
 namespace camphorhitch::hosted
 {
 
-class wave_runner
+class wave_controller
 {
 public:
     /// \param machines must outlive it
-    wave_runner(term& t, const coordinator::machine_table& machines);
+    wave_controller(term& t, const coordinator::machine_table& machines);
 
-    /// The list of machines was read anew.
-    void see_machines();
+    /// Applies the list of machines, after it has been read again.
+    void apply_machine_list();
 
     bool has_open_wave() const;
 
-    /// \return machines that open waves have closed or taken.
-    std::set<std::string> held() const;
+    /// \return the machines that open waves have closed or taken down.
+    std::set<std::string> held_machines() const;
 
-    /// The operators' waves; those that are known already go on.
+    /// Adds the operators' waves; a wave that is already known continues unchanged.
     void set_waves(const std::vector<wave_request>& all);
 
-    /// Decides what is due; called with each plan.
+    /// Plans the waves and orders the maintenance that is due; called with each plan.
     void plan();
 
 private:
-    /// A wave, and what is stored of it.
+    /// A wave and the state of its stored record and status.
     struct entry
     {
         coordinator::wave wave;
         std::int64_t due_unix_ms = 0;
-        bool loaded = false; ///< the record of a former owner is in
+        bool loaded = false; ///< the stored record and status have been read
         ports::revision record_revision = 0;
         ports::revision status_revision = 0;
-        wave_state reported = wave_state::running;
-        bool status_known = false; ///< the stored status is as reported
+        wave_state reported_state = wave_state::running;
+        bool status_known = false; ///< the stored status is known to be reported_state
         bool writing = false;
-        std::size_t recorded = 0; ///< begun machines in the record
+        std::size_t recorded_machines = 0; ///< number of machines in the stored record
     };
 
-    void load(std::int64_t number);
+    void load_record(std::int64_t number);
     void load_status(std::int64_t number);
-    void maintain(std::int64_t number, const std::string& machine);
-    void maintain_later(std::int64_t number, const std::string& machine);
-    void take_verdict(
+    void order_maintenance(std::int64_t number, const std::string& machine);
+    void schedule_maintenance(std::int64_t number, const std::string& machine);
+    void handle_maintenance_answer(
         std::int64_t number, const std::string& machine, ports::machine_verdict verdict);
-    void store(std::int64_t number);
-    void take_stored(std::int64_t number,
-        std::size_t begun,
+    void store_progress(std::int64_t number);
+    void handle_store_answer(std::int64_t number,
+        std::size_t machines,
         wave_state state,
         const ports::commit_result& result);
 
--- a/libs/hosted/tests/aged_state_tests.cpp
+++ b/libs/hosted/tests/aged_state_tests.cpp
@@ -43,7 +43,7 @@
 TEST(aged_state, a_machine_is_not_gone_by_a_list_older_than_its_wave)
 {
     bool refused = false;
-    c.plant = [&](node& n)
+    c.customize_node = [&](node& n)
     {
         n.ctx.machines.list = [&, real = n.ctx.machines.list](const auto& done)
         {
@@ -74,7 +74,7 @@
 TEST(aged_state, jobs_after_a_record_from_the_future_count_as_demand)
 {
     const node* ahead = nullptr;
-    c.plant = [&](node& n)
+    c.customize_node = [&](node& n)
     {
         n.ctx.time.wall_now = [&, real = n.ctx.time.wall_now]
         {
@@ -106,7 +106,7 @@
 TEST(aged_state, jobs_that_the_coordinator_before_had_not_seen_count_as_demand)
 {
     const node* blind = nullptr;
-    c.plant = [&](node& n)
+    c.customize_node = [&](node& n)
     {
         n.ctx.store.watch = [&, real = n.ctx.store.watch](
                                 const std::string& prefix, auto after, auto wait, const auto& done)
@@ -145,7 +145,7 @@
 // would stand at the old number for ever, and the alert on it with it.
 TEST(aged_state, a_former_coordinator_tells_of_no_damaged_entries)
 {
-    c.plant = [&](node& n)
+    c.customize_node = [&](node& n)
     {
         n.ctx.tel.gauge = [&](const std::string& name, const ports::metric_labels&, double v)
         {
--- a/libs/hosted/tests/broken_records_tests.cpp
+++ b/libs/hosted/tests/broken_records_tests.cpp
@@ -282,7 +282,8 @@
         {
             for (const auto& [id, it] : *all)
             {
-                CHECK(!it.rest || (*it.rest >= 0ms && *it.rest <= 24h));
+                CHECK(!it.remaining_lease ||
+                      (*it.remaining_lease >= 0ms && *it.remaining_lease <= 24h));
             }
         }
         coordinator::demand e;
--- a/libs/hosted/tests/cadence_tests.cpp
+++ b/libs/hosted/tests/cadence_tests.cpp
@@ -8,8 +8,8 @@
 
 TEST_GROUP(cadence){};
 
-// Guards against an owner whose idle runners alone cost it more calls than it can make.
-TEST(cadence, polls_that_bring_nothing_stay_within_the_bound_or_the_lease)
+// Guards against a coordinator whose idle runners alone require more calls than it can make.
+TEST(cadence, polls_without_news_stay_within_the_rate_or_the_lease)
 {
     struct row
     {
@@ -20,47 +20,47 @@
     for (const auto& it :
         {row{0, 700ms}, row{5, 700ms}, row{400, 700ms}, row{4000, 1000ms}, row{10000, 1400ms}})
     {
-        CHECK(it.wait == poll_wait_for(s, it.hosts));
+        CHECK(it.wait == scaled_poll_wait(s, it.hosts));
     }
 }
 
-// An overdue poll is repeated 250 ms after its wait; the lease must bear several such repeats.
-TEST(cadence, the_longest_wait_leaves_a_lease_time_for_repeats)
+// An overdue poll is repeated 250 ms after its wait; several such repeats must fit into the lease.
+TEST(cadence, the_maximum_wait_leaves_a_lease_time_for_repeats)
 {
     const driver_settings s;
-    constexpr core::millis overdue{250};
-    CHECK(poll_wait_for(s, 1000000) + 3 * overdue < s.rules.runner_lease);
+    constexpr core::millis overdue_after{250};
+    CHECK(scaled_poll_wait(s, 1000000) + 3 * overdue_after < s.rules.runner_lease);
 }
 
-// Guards against a rest in which a host that runs nothing stops counting as one that was heard.
-TEST(cadence, idle_hosts_rest_in_large_fleets_only_and_stay_in_use)
+// Guards against a delay between polls so long that an idle host no longer counts as responsive.
+TEST(cadence, idle_polls_are_delayed_in_large_fleets_only)
 {
     struct row
     {
         std::size_t hosts;
-        core::millis gap;
+        core::millis delay;
     };
     const driver_settings s;
     for (const auto& it :
         {row{0, 0ms}, row{50, 0ms}, row{400, 0ms}, row{3000, 750ms}, row{10000, 800ms}})
     {
-        CHECK_EQUAL(it.gap.count(), idle_poll_gap(s, it.hosts).count());
+        CHECK_EQUAL(it.delay.count(), idle_poll_delay(s, it.hosts).count());
     }
     constexpr core::millis answer{250};
-    CHECK(s.longest_poll_wait + s.longest_idle_gap + answer < s.rules.runner_lease);
+    CHECK(s.max_poll_wait + s.max_idle_poll_delay + answer < s.rules.runner_lease);
 }
 
-// Guards against an owner of many hosts that looks at all of them without a pause.
-TEST(cadence, looks_at_all_hosts_become_rarer_as_there_are_more)
+// Guards against a coordinator of many hosts that scans all of them without a break.
+TEST(cadence, scans_of_all_hosts_become_rarer_with_more_hosts)
 {
     struct row
     {
         std::size_t hosts;
-        core::millis pause;
+        core::millis interval;
     };
     const driver_settings s;
     for (const auto& it : {row{5, 40ms}, row{50, 40ms}, row{400, 40ms}, row{10000, 200ms}})
     {
-        CHECK(it.pause == look_every(s, 40ms, it.hosts));
+        CHECK(it.interval == scaled_scan_interval(s, 40ms, it.hosts));
     }
 }
--- a/libs/hosted/tests/changing_capacity_tests.cpp
+++ b/libs/hosted/tests/changing_capacity_tests.cpp
@@ -9,13 +9,13 @@
 namespace
 {
 
-/// Three hosts with more work than there is room for.
-struct flooded_world
+/// Three hosts with more work than they have capacity for.
+struct overloaded_fixture
 {
     cluster c;
     int jobs = 0;
 
-    flooded_world()
+    overloaded_fixture()
     {
         for (int i = 0; i < 3; ++i)
         {
@@ -27,7 +27,7 @@
         c.time.run_for(1s);
     }
 
-    void flood(core::millis how_long)
+    void submit_jobs(core::millis how_long)
     {
         const auto end = c.time.now() + how_long;
         while (c.time.now() < end)
@@ -50,35 +50,35 @@
 
 } // namespace
 
-TEST_GROUP(changing_room){};
+TEST_GROUP(changing_capacity){};
 
-// Guards against starts beyond a room that has shrunk under what runs there, also under a new
-// owner, and against a host that is left idle once its room has grown again.
-TEST(changing_room, no_start_is_beyond_a_room_that_has_shrunk)
+// Guards against starts beyond a capacity that was reduced below what runs on the host, also under
+// a new coordinator, and against a host that stays idle after its capacity has grown again.
+TEST(changing_capacity, no_start_exceeds_a_reduced_capacity)
 {
     constexpr std::int64_t small = 2000;
     constexpr std::int64_t usual = 8000;
-    for (const bool owner_dies : {false, true})
+    for (const bool coordinator_dies : {false, true})
     {
-        flooded_world w;
-        w.flood(1s);
+        overloaded_fixture f;
+        f.submit_jobs(1s);
         for (const auto* const it : {"m1", "m2", "m3"})
         {
-            w.c.hosts.resize(it, small);
+            f.c.hosts.resize(it, small);
         }
-        if (owner_dies)
+        if (coordinator_dies)
         {
-            w.c.leader()->process.dead = true;
+            f.c.leader()->process.dead = true;
         }
-        w.flood(8s);
-        CHECK(w.c.running() <= 3 * small / 1000);
-        w.c.hosts.resize("m1", usual);
+        f.submit_jobs(8s);
+        CHECK(f.c.running() <= 3 * small / 1000);
+        f.c.hosts.resize("m1", usual);
         const auto is_full = [&]
         {
-            return w.c.running() == (usual + 2 * small) / 1000;
+            return f.c.running() == (usual + 2 * small) / 1000;
         };
-        CHECK(w.c.time.run_until(is_full, 1s));
-        CHECK(w.c.time.run_until([&] { return w.unfinished() == 0; }, 120s));
-        STRCMP_EQUAL("", w.c.breaches().c_str());
+        CHECK(f.c.time.run_until(is_full, 1s));
+        CHECK(f.c.time.run_until([&] { return f.unfinished() == 0; }, 120s));
+        STRCMP_EQUAL("", f.c.breaches().c_str());
     }
 }
--- a/libs/hosted/tests/crashing_tasks_tests.cpp
+++ b/libs/hosted/tests/crashing_tasks_tests.cpp
@@ -11,23 +11,23 @@
 {
 
 /// A cluster in which tasks of some jobs crash the runners that start them.
-struct crashing_world
+struct crash_loop_fixture
 {
     cluster c;
-    std::set<std::string> crashers; ///< jobs
-    bool progress_lost = false;     ///< writes of progress get no answer, and take no effect
+    std::set<std::string> crashing_jobs; ///< ids of jobs whose first task crashes its runner
+    bool loses_progress_writes = false;  ///< writes of progress get no answer and have no effect
 
-    explicit crashing_world(int hosts, int nodes = 1, std::uint64_t seed = 1) : c(seed)
+    explicit crash_loop_fixture(int hosts, int nodes = 1, std::uint64_t seed = 1) : c(seed)
     {
         c.hosts.crashes.task = [this](const workflow::task_name& it)
         {
-            return crashers.contains(it.job) && it.index == 0;
+            return crashing_jobs.contains(it.job) && it.index == 0;
         };
-        c.plant = [this](node& n)
+        c.customize_node = [this](node& n)
         {
             n.ctx.store.commit = [this, real = n.ctx.store.commit](const auto& t, const auto& done)
             {
-                if (progress_lost && !t.puts.empty() &&
+                if (loses_progress_writes && !t.puts.empty() &&
                     t.puts[0].key.starts_with(hosted::state_prefix))
                 {
                     done({ports::kv_status::unknown, 0, {}, false});
@@ -48,14 +48,14 @@
         c.time.run_for(1s);
     }
 
-    void put_crasher(const workflow::job& j)
+    void submit_crashing_job(const workflow::job& j)
     {
-        crashers.insert(j.id);
+        crashing_jobs.insert(j.id);
         c.put_job(j);
     }
 
-    /// \return lines of any node that contain \p what.
-    int said(const std::string& what) const
+    /// \return the number of log lines of all nodes that contain \p what.
+    int count_lines_with(const std::string& what) const
     {
         int n = 0;
         for (const auto& it : c.nodes)
@@ -68,8 +68,8 @@
         return n;
     }
 
-    /// Ends the life of the node that coordinates; another takes over.
-    void kill_leader()
+    /// Ends the process of the node that coordinates; another node takes over.
+    void replace_leader()
     {
         c.leader()->process.dead = true;
         c.add_node();
@@ -81,186 +81,191 @@
 
 TEST_GROUP(crashing_tasks){};
 
-// A task crashes each runner that starts it and is started for ever, one runner every lease.
-TEST(crashing_tasks, it_is_not_started_again_and_again)
+// Guards against starting a task for ever that crashes each runner that starts it: it would take
+// down one runner per lease.
+TEST(crashing_tasks, it_is_not_started_endlessly)
 {
-    crashing_world w(6);
-    w.put_crasher(w.c.make_job("a", 1));
-    w.c.time.run_for(40s);
-    STRCMP_EQUAL("", w.c.breaches().c_str());
+    crash_loop_fixture f(6);
+    f.submit_crashing_job(f.c.make_job("a", 1));
+    f.c.time.run_for(40s);
+    STRCMP_EQUAL("", f.c.breaches().c_str());
 }
 
-// The owner counts the crashes and never tells: the job's caller waits for nothing.
-TEST(crashing_tasks, its_job_is_given_up_after_three_crashes)
+// Guards against a coordinator that stops starting the task and never fails its job, so that the
+// caller waits for ever.
+TEST(crashing_tasks, its_job_fails_after_three_crashes)
 {
-    crashing_world w(6);
-    w.put_crasher(w.c.make_job("a", 1));
-    CHECK(w.c.ends("a", job_state::failed, 40s));
-    w.c.time.run_for(10s);
-    LONGS_EQUAL(3, w.c.hosts.crashes_of("a.0.0.0"));
-    STRCMP_EQUAL("", w.c.breaches().c_str());
+    crash_loop_fixture f(6);
+    f.submit_crashing_job(f.c.make_job("a", 1));
+    CHECK(f.c.ends("a", job_state::failed, 40s));
+    f.c.time.run_for(10s);
+    LONGS_EQUAL(3, f.c.hosts.crashes_of("a.0.0.0"));
+    STRCMP_EQUAL("", f.c.breaches().c_str());
 }
 
-// The starts go on under each next owner, which counts from nought.
-TEST(crashing_tasks, a_successor_counts_on)
+// Guards against starts that continue under each next coordinator because it counts the crashes
+// from zero.
+TEST(crashing_tasks, a_successor_continues_the_count)
 {
-    crashing_world w(6, 2);
-    w.put_crasher(w.c.make_job("a", 1));
+    crash_loop_fixture f(6, 2);
+    f.submit_crashing_job(f.c.make_job("a", 1));
     for (int i = 0; i < 4; ++i)
     {
-        w.c.time.run_for(4s);
-        w.kill_leader();
+        f.c.time.run_for(4s);
+        f.replace_leader();
     }
-    CHECK(w.c.ends("a", job_state::failed, 60s));
-    w.c.time.run_for(10s);
-    STRCMP_EQUAL("", w.c.breaches().c_str());
+    CHECK(f.c.ends("a", job_state::failed, 60s));
+    f.c.time.run_for(10s);
+    STRCMP_EQUAL("", f.c.breaches().c_str());
 }
 
-// No progress can be stored when a crash is learnt: an owner that starts the task all the same, and
-// dies, leaves nothing of it to its successor.
+// No progress can be stored when a crash becomes known. A coordinator that starts the task anyway
+// and then dies leaves no record of the crash to its successor.
 TEST(crashing_tasks, no_start_before_its_crash_is_stored)
 {
-    crashing_world w(6);
-    w.put_crasher(w.c.make_job("a", 1));
-    w.c.put_job(w.c.make_job("b", 1));
-    CHECK(w.c.time.run_until([&] { return w.c.hosts.crashes_of("a.0.0.0") == 1; }, 10s));
-    w.progress_lost = true;
-    w.c.time.run_for(8s);
-    LONGS_EQUAL(1, w.c.hosts.crashes_of("a.0.0.0"));
-    w.progress_lost = false;
-    CHECK(w.c.ends("a", job_state::failed, 40s));
-    CHECK(w.c.ends("b", job_state::completed, 10s));
-    STRCMP_EQUAL("", w.c.breaches().c_str());
+    crash_loop_fixture f(6);
+    f.submit_crashing_job(f.c.make_job("a", 1));
+    f.c.put_job(f.c.make_job("b", 1));
+    CHECK(f.c.time.run_until([&] { return f.c.hosts.crashes_of("a.0.0.0") == 1; }, 10s));
+    f.loses_progress_writes = true;
+    f.c.time.run_for(8s);
+    LONGS_EQUAL(1, f.c.hosts.crashes_of("a.0.0.0"));
+    f.loses_progress_writes = false;
+    CHECK(f.c.ends("a", job_state::failed, 40s));
+    CHECK(f.c.ends("b", job_state::completed, 10s));
+    STRCMP_EQUAL("", f.c.breaches().c_str());
 }
 
-// A runner that crashes takes all that runs beside the task with it, each time anew.
-TEST(crashing_tasks, others_are_not_lost_again_and_again)
+// A crashing runner ends all runs beside the task, each time the task crashes one.
+TEST(crashing_tasks, other_tasks_are_not_lost_repeatedly)
 {
-    crashing_world w(8);
-    w.c.hosts.behaviour.run_time = 3s;
-    w.put_crasher(w.c.make_job("a", 1));
+    crash_loop_fixture f(8);
+    f.c.hosts.behaviour.run_time = 3s;
+    f.submit_crashing_job(f.c.make_job("a", 1));
     for (int i = 0; i < 12; ++i)
     {
-        w.c.put_job(w.c.make_job("b" + std::to_string(i), 3));
+        f.c.put_job(f.c.make_job("b" + std::to_string(i), 3));
     }
-    CHECK(w.c.ends("a", job_state::failed, 60s));
+    CHECK(f.c.ends("a", job_state::failed, 60s));
     for (int i = 0; i < 12; ++i)
     {
-        CHECK(w.c.ends("b" + std::to_string(i), job_state::completed, 60s));
+        CHECK(f.c.ends("b" + std::to_string(i), job_state::completed, 60s));
     }
-    CHECK(w.c.hosts.crashes_of("a.0.0.0") <= 4);
-    CHECK(w.said("run_lapsed id=b") <= 9); // two hosts of eight tasks, none in trials
-    STRCMP_EQUAL("", w.c.breaches().c_str());
+    CHECK(f.c.hosts.crashes_of("a.0.0.0") <= 4);
+    // Two hosts of eight tasks; isolated runs end no other.
+    CHECK(f.count_lines_with("run_lapsed id=b") <= 9);
+    STRCMP_EQUAL("", f.c.breaches().c_str());
 }
 
-// Many tasks of one class crash their runners. Tried at once, they take the whole pool down, and
-// other work of the pool stands still.
-TEST(crashing_tasks, a_class_of_them_does_not_take_the_pool_down)
+// Many tasks of one kind crash their runners. Started in isolation all at once, they would take the
+// whole pool down and stop the pool's other work.
+TEST(crashing_tasks, many_of_them_do_not_take_the_pool_down)
 {
-    crashing_world w(16);
+    crash_loop_fixture f(16);
     for (int i = 0; i < 20; ++i)
     {
-        w.put_crasher(w.c.make_job("a" + std::to_string(i), 1));
+        f.submit_crashing_job(f.c.make_job("a" + std::to_string(i), 1));
     }
-    w.c.time.run_for(9s); // the first two crashes of each
+    f.c.time.run_for(9s); // the first two crashes of each
     for (int i = 0; i < 20; ++i)
     {
-        w.c.put_job(w.c.make_job("b" + std::to_string(i), 2));
+        f.c.put_job(f.c.make_job("b" + std::to_string(i), 2));
     }
     for (int i = 0; i < 20; ++i)
     {
-        CHECK(w.c.ends("b" + std::to_string(i), job_state::completed, 15s));
+        CHECK(f.c.ends("b" + std::to_string(i), job_state::completed, 15s));
     }
     for (int i = 0; i < 20; ++i)
     {
-        CHECK(w.c.ends("a" + std::to_string(i), job_state::failed, 120s));
+        CHECK(f.c.ends("a" + std::to_string(i), job_state::failed, 120s));
     }
-    STRCMP_EQUAL("", w.c.breaches().c_str());
+    STRCMP_EQUAL("", f.c.breaches().c_str());
 }
 
-// A task that lasts is started again however it ends, so each of its crashes is followed by one.
-TEST(crashing_tasks, a_task_that_lasts_is_given_up_too)
+// A long-running task is started again however it ends, so a start follows each of its crashes.
+TEST(crashing_tasks, the_job_of_a_long_running_task_fails_too)
 {
-    crashing_world w(6);
-    auto j = w.c.make_job("a", 2);
+    crash_loop_fixture f(6);
+    auto j = f.c.make_job("a", 2);
     j.steps[0].long_running = true;
-    w.put_crasher(j);
-    CHECK(w.c.ends("a", job_state::failed, 60s));
-    w.c.time.run_for(10s);
-    STRCMP_EQUAL("", w.c.breaches().c_str());
+    f.submit_crashing_job(j);
+    CHECK(f.c.ends("a", job_state::failed, 60s));
+    f.c.time.run_for(10s);
+    STRCMP_EQUAL("", f.c.breaches().c_str());
 }
 
-// One member crashes its runner, and its gang is started whole each time.
-TEST(crashing_tasks, a_gang_is_given_up_too)
+// One member of a gang crashes its runner, and the whole gang is started again each time.
+TEST(crashing_tasks, the_job_of_a_gang_fails_too)
 {
-    crashing_world w(10);
-    auto j = w.c.make_job("a", 3);
+    crash_loop_fixture f(10);
+    auto j = f.c.make_job("a", 3);
     j.steps[0].gang = true;
     j.steps[0].max_per_host = 1;
-    w.put_crasher(j);
-    CHECK(w.c.ends("a", job_state::failed, 60s));
-    w.c.time.run_for(10s);
-    STRCMP_EQUAL("", w.c.breaches().c_str());
+    f.submit_crashing_job(j);
+    CHECK(f.c.ends("a", job_state::failed, 60s));
+    f.c.time.run_for(10s);
+    STRCMP_EQUAL("", f.c.breaches().c_str());
 }
 
-// Racks lose power twice within seconds, and no task is at fault: none of the jobs may be failed.
-TEST(crashing_tasks, innocents_that_lose_their_hosts_twice_complete)
+// Racks lose power twice within seconds. No task is the cause, so none of the jobs may fail.
+TEST(crashing_tasks, tasks_that_lose_their_hosts_twice_complete)
 {
-    crashing_world w(12);
-    w.c.hosts.behaviour.run_time = 2s;
+    crash_loop_fixture f(12);
+    f.c.hosts.behaviour.run_time = 2s;
     for (int i = 0; i < 8; ++i)
     {
-        w.c.put_job(w.c.make_job("b" + std::to_string(i), 4));
+        f.c.put_job(f.c.make_job("b" + std::to_string(i), 4));
     }
     for (int round = 0; round < 2; ++round)
     {
-        w.c.time.run_for(500ms);
-        for (auto& [name, h] : w.c.hosts.machines)
+        f.c.time.run_for(500ms);
+        for (auto& [name, h] : f.c.hosts.machines)
         {
             if (!h.runs.empty())
             {
-                w.c.hosts.crash(name, 1500ms);
+                f.c.hosts.crash(name, 1500ms);
             }
         }
-        w.c.time.run_for(3500ms);
+        f.c.time.run_for(3500ms);
     }
     for (int i = 0; i < 8; ++i)
     {
-        CHECK(w.c.ends("b" + std::to_string(i), job_state::completed, 60s));
+        CHECK(f.c.ends("b" + std::to_string(i), job_state::completed, 60s));
     }
-    STRCMP_EQUAL("", w.c.breaches().c_str());
+    STRCMP_EQUAL("", f.c.breaches().c_str());
 }
 
-// Runners that are cut off come back with the same life: nothing crashed, and nothing is failed.
-TEST(crashing_tasks, silence_that_heals_counts_nothing)
+// Runners that were cut off return with the same incarnation: nothing crashed, so no job may fail.
+TEST(crashing_tasks, a_temporary_disconnection_counts_no_crash)
 {
-    crashing_world w(3);
-    w.c.hosts.behaviour.run_time = 60s;
-    w.c.put_job(w.c.make_job("b", 1));
+    crash_loop_fixture f(3);
+    f.c.hosts.behaviour.run_time = 60s;
+    f.c.put_job(f.c.make_job("b", 1));
     for (int round = 0; round < 6; ++round)
     {
-        w.c.time.run_for(2s);
-        for (auto& [name, h] : w.c.hosts.machines)
+        f.c.time.run_for(2s);
+        for (auto& [name, h] : f.c.hosts.machines)
         {
             if (!h.runs.empty())
             {
-                w.c.hosts.cut(name, 4s);
+                f.c.hosts.cut(name, 4s);
             }
         }
-        w.c.time.run_for(5s);
+        f.c.time.run_for(5s);
     }
-    w.c.hosts.behaviour.run_time = 400ms;
-    CHECK(w.c.ends("b", job_state::completed, 120s));
-    STRCMP_EQUAL("", w.c.breaches().c_str());
+    f.c.hosts.behaviour.run_time = 400ms;
+    CHECK(f.c.ends("b", job_state::completed, 120s));
+    STRCMP_EQUAL("", f.c.breaches().c_str());
 }
 
-// Owners die, runners are cut off or lose their power, and writes lose their answers while tasks of
-// all kinds crash their runners: none of it may add starts, or fail a job that is not at fault.
-TEST(crashing_tasks, the_bound_holds_amid_other_faults)
+// Coordinators die, runners are cut off or lose power, and writes lose their answers while tasks of
+// all kinds crash their runners. None of these faults may add starts beyond the bound, or fail a
+// job whose tasks crash nothing.
+TEST(crashing_tasks, the_bound_holds_with_other_faults)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed)
     {
-        crashing_world w(12, 2, seed);
+        crash_loop_fixture f(12, 2, seed);
         std::mt19937_64 random(seed);
         const auto below = [&random](int n)
         {
@@ -272,39 +277,39 @@
         };
         for (int i = 0; i < 6; ++i)
         {
-            auto j = w.c.make_job("a" + std::to_string(i), 2);
+            auto j = f.c.make_job("a" + std::to_string(i), 2);
             j.steps[0].long_running = i % 3 == 1;
             j.steps[0].gang = i % 3 == 2;
-            w.put_crasher(j);
-            w.c.put_job(w.c.make_job("b" + std::to_string(i), 3, 2));
+            f.submit_crashing_job(j);
+            f.c.put_job(f.c.make_job("b" + std::to_string(i), 3, 2));
         }
         int kills = 2;
         for (int i = 0; i < 15; ++i)
         {
-            w.c.time.run_for(core::millis{500 + below(1500)});
+            f.c.time.run_for(core::millis{500 + below(1500)});
             const int what = below(5);
             if (what == 0 && kills-- > 0)
             {
-                w.kill_leader();
+                f.replace_leader();
             }
             else if (what == 1)
             {
-                w.c.hosts.cut(any_host(), core::millis{500 + below(6000)});
+                f.c.hosts.cut(any_host(), core::millis{500 + below(6000)});
             }
             else if (what == 2)
             {
-                w.c.hosts.crash(any_host(), 2s);
+                f.c.hosts.crash(any_host(), 2s);
             }
             else if (what == 3)
             {
-                w.c.store.answers_to_lose = below(3);
+                f.c.store.answers_to_lose = below(3);
             }
         }
-        w.c.time.run_for(120s);
+        f.c.time.run_for(120s);
         for (int i = 0; i < 6; ++i)
         {
-            CHECK(w.c.state_of("b" + std::to_string(i)) == job_state::completed);
+            CHECK(f.c.state_of("b" + std::to_string(i)) == job_state::completed);
         }
-        STRCMP_EQUAL("", w.c.breaches().c_str());
+        STRCMP_EQUAL("", f.c.breaches().c_str());
     }
 }
--- a/libs/hosted/tests/disabled_safeguards.hpp
+++ b/libs/hosted/tests/disabled_safeguards.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Safeguards taken out one at a time, so that a test can show that its checks see them gone.
+/// Disables single safeguards, so that tests can show that their checks detect it.
 #pragma once
 
 #include "host_reader.hpp"
@@ -14,20 +14,20 @@
 namespace camphorhitch::hosted_tests
 {
 
-/// Takes a safeguard out, so that a test can show that the checks see it gone.
-struct planted_fault
+/// A safeguard that a test disables.
+struct disabled_safeguard
 {
-    const char* name;
-    void (*prepare)(hosted_fakes::cluster& c);
+    const char* name;                          ///< shown when no check detects it
+    void (*prepare)(hosted_fakes::cluster& c); ///< disables the safeguard in a new cluster
 };
 
-/// Calls that are under way, with all who wait for their answers.
+/// Calls in flight, each with the callbacks that wait for its answer.
 template <class Answer>
-using calls_under_way = std::map<std::string, std::vector<std::function<void(Answer)>>>;
+using calls_in_flight = std::map<std::string, std::vector<std::function<void(Answer)>>>;
 
-/// Sends a call, or lets it wait for the answer of the same one that is under way.
+/// Sends a call, or waits for the answer of the same call if it is in flight already.
 template <class Answer>
-void send_or_join(const std::shared_ptr<calls_under_way<Answer>>& all,
+void send_or_join(const std::shared_ptr<calls_in_flight<Answer>>& all,
     const std::string& key,
     const std::function<void(Answer)>& done,
     const std::function<void(std::function<void(Answer)>)>& send)
@@ -41,19 +41,19 @@
     send(
         [all, key](const Answer& it)
         {
-            const auto told = std::exchange((*all)[key], {});
-            for (const auto& tell : told)
+            const auto callbacks = std::exchange((*all)[key], {});
+            for (const auto& callback : callbacks)
             {
-                tell(it);
+                callback(it);
             }
         });
 }
 
-/// Nothing is asked or ordered again before its call has ended: a repeat in time would cover for
-/// the safeguard that is missing.
-inline void take_repeats_out(hosted_fakes::node& n)
+/// Suppresses repeats of a poll or start whose call is in flight: a timely repeat would compensate
+/// for the disabled safeguard.
+inline void suppress_repeats(hosted_fakes::node& n)
 {
-    const auto starts = std::make_shared<calls_under_way<ports::runner_answer>>();
+    const auto starts = std::make_shared<calls_in_flight<ports::runner_answer>>();
     n.ctx.runners.start = [starts, real = n.ctx.runners.start](const ports::runner_ref& to,
                               const ports::start_order& o,
                               const std::function<void(ports::runner_answer)>& done)
@@ -61,23 +61,24 @@
         send_or_join<ports::runner_answer>(starts,
             to.id + o.task + ' ' + std::to_string(o.run),
             done,
-            [&](auto take) { real(to, o, take); });
+            [&](auto on_answer) { real(to, o, on_answer); });
     };
-    const auto polls = std::make_shared<calls_under_way<ports::poll_answer>>();
+    const auto polls = std::make_shared<calls_in_flight<ports::poll_answer>>();
     n.ctx.runners.poll = [polls, real = n.ctx.runners.poll](const ports::runner_ref& to,
                              const ports::poll_order& o,
                              const std::function<void(ports::poll_answer)>& done)
     {
-        send_or_join<ports::poll_answer>(polls, to.id, done, [&](auto take) { real(to, o, take); });
+        send_or_join<ports::poll_answer>(
+            polls, to.id, done, [&](auto on_answer) { real(to, o, on_answer); });
     };
 }
 
-/// An order without an answer is taken for refused.
-inline void trust_silence(hosted_fakes::cluster& c)
+/// Treats a start order without an answer as refused.
+inline void treat_unanswered_as_refused(hosted_fakes::cluster& c)
 {
-    c.plant = [](hosted_fakes::node& n)
+    c.customize_node = [](hosted_fakes::node& n)
     {
-        take_repeats_out(n);
+        suppress_repeats(n);
         const auto start = n.ctx.runners.start;
         n.ctx.runners.start = [start](const ports::runner_ref& to,
                                   const ports::start_order& o,
@@ -87,19 +88,19 @@
                 o,
                 [done](ports::runner_answer it)
                 {
-                    const bool silent = it.verdict == ports::runner_verdict::unknown;
-                    it.verdict = silent ? ports::runner_verdict::no_room : it.verdict;
+                    const bool unanswered = it.verdict == ports::runner_verdict::unknown;
+                    it.verdict = unanswered ? ports::runner_verdict::no_room : it.verdict;
                     done(it);
                 });
         };
     };
 }
 
-/// Nodes read the record of runners as \p change leaves it.
-inline void change_runners_read(
+/// Applies \p change to the record of runners whenever a node reads it.
+inline void change_runner_record_reads(
     hosted_fakes::cluster& c, const std::function<void(std::optional<ports::stored_item>&)>& change)
 {
-    c.plant = [change](hosted_fakes::node& n)
+    c.customize_node = [change](hosted_fakes::node& n)
     {
         const auto get = n.ctx.store.get;
         n.ctx.store.get = [get, change](const std::string& key,
@@ -120,21 +121,21 @@
     };
 }
 
-/// A successor does not learn which runners the former owner used.
-inline void hide_runners(hosted_fakes::cluster& c)
+/// Hides from a successor which runners the previous coordinator used.
+inline void hide_runner_record(hosted_fakes::cluster& c)
 {
-    change_runners_read(c, [](std::optional<ports::stored_item>& it) { it.reset(); });
-    c.plant = [hide = c.plant](hosted_fakes::node& n)
+    change_runner_record_reads(c, [](std::optional<ports::stored_item>& it) { it.reset(); });
+    c.customize_node = [hide = c.customize_node](hosted_fakes::node& n)
     {
         hide(n);
-        take_repeats_out(n);
+        suppress_repeats(n);
     };
 }
 
-/// A successor is told that no runner holds a lease any more.
-inline void deny_leases(hosted_fakes::cluster& c)
+/// Reports to a successor that no runner holds a lease any more.
+inline void report_leases_as_ended(hosted_fakes::cluster& c)
 {
-    change_runners_read(c,
+    change_runner_record_reads(c,
         [](std::optional<ports::stored_item>& it)
         {
             if (!it)
@@ -144,22 +145,22 @@
             auto all = hosted::read_runners(it->value).value();
             for (auto& [id, row] : all)
             {
-                row.rest = core::millis{0};
+                row.remaining_lease = core::millis{0};
             }
             it->value = hosted::write_runners(all);
         });
-    c.plant = [hide = c.plant](hosted_fakes::node& n)
+    c.customize_node = [hide = c.customize_node](hosted_fakes::node& n)
     {
         hide(n);
-        take_repeats_out(n);
+        suppress_repeats(n);
     };
 }
 
-/// A node trusts its lease for ever, and runners take orders of any owner.
-inline void ignore_time_and_tokens(hosted_fakes::cluster& c)
+/// Lets a node treat its leader lease as unlimited, and runners accept orders of any coordinator.
+inline void ignore_lease_and_tokens(hosted_fakes::cluster& c)
 {
-    c.hosts.checks_fences = false;
-    c.plant = [](hosted_fakes::node& n)
+    c.hosts.checks_fencing_tokens = false;
+    c.customize_node = [](hosted_fakes::node& n)
     {
         n.ctx.boot_now = []
         {
@@ -168,10 +169,10 @@
     };
 }
 
-/// Ends are acknowledged at once, whether they are stored or not.
-inline void acknowledge_early(hosted_fakes::cluster& c)
+/// Acknowledges run ends at once, whether they are stored or not.
+inline void acknowledge_before_storing(hosted_fakes::cluster& c)
 {
-    c.plant = [](hosted_fakes::node& n)
+    c.customize_node = [](hosted_fakes::node& n)
     {
         const auto poll = n.ctx.runners.poll;
         n.ctx.runners.poll = [poll](const ports::runner_ref& to,
@@ -185,12 +186,12 @@
     };
 }
 
-inline constexpr planted_fault planted_faults[] = {
-    {"silence is trusted", trust_silence},
-    {"runners are hidden", hide_runners},
-    {"leases are denied", deny_leases},
-    {"time and tokens are ignored", ignore_time_and_tokens},
-    {"ends are acknowledged early", acknowledge_early},
+inline constexpr disabled_safeguard disabled_safeguards[] = {
+    {"unanswered starts count as refused", treat_unanswered_as_refused},
+    {"the record of runners is hidden", hide_runner_record},
+    {"leases are reported as ended", report_leases_as_ended},
+    {"lease time and fencing tokens are ignored", ignore_lease_and_tokens},
+    {"ends are acknowledged before they are stored", acknowledge_before_storing},
 };
 
 } // namespace camphorhitch::hosted_tests
--- a/libs/hosted/tests/entry_desk_tests.cpp
+++ b/libs/hosted/tests/entry_desk_tests.cpp
@@ -217,7 +217,7 @@
     CHECK(c.has_leader());
     c.time.run_for(1s);
     const auto written = c.store.find(hosted::pending_key)->modified;
-    n->driver->end();
+    n->driver->end_term();
     c.put_job(c.make_job("a", 1));
     c.time.run_for(5s);
     const auto line = line_of_count();
