--- a/libs/hosted/tests/every_fault_tests.cpp
+++ b/libs/hosted/tests/every_fault_tests.cpp
@@ -12,17 +12,17 @@
 namespace
 {
 
-/// What may become of one call of a node to a runner or to the store.
+/// Fault of one call of a node to a runner or to the store.
 enum class call_fault
 {
-    order_lost,  ///< it never arrives
-    answer_lost, ///< it is carried out, and nobody hears
-    order_late,  ///< it is carried out seconds after its caller gave up
-    dies_before, ///< the caller's process dies instead of sending it
-    dies_after,  ///< the caller's process dies once it is sent
-    pauses,      ///< the caller's process stands still just before, and wakes beside a successor
-    callee_cut,  ///< the runner is cut off from all, or the store from the caller
-    lags ///< the caller gets no processor time, and sends it, and all that waits, afterwards
+    order_lost,  ///< the call never arrives
+    answer_lost, ///< the call is carried out, and its answer is lost
+    order_late,  ///< the call is carried out seconds after its caller's timeout
+    dies_before, ///< the caller's process dies instead of sending the call
+    dies_after,  ///< the caller's process dies after sending the call
+    pauses,      ///< the caller's process is paused just before, and resumes beside a successor
+    callee_cut,  ///< the runner is cut off from all nodes, or the store from the caller
+    lags ///< the caller gets no processor time, and sends the call and all waiting work afterwards
 };
 
 constexpr core::name_table<call_fault, 8> call_fault_names{{
@@ -36,51 +36,53 @@
     {call_fault::lags, "caller lags"},
 }};
 
-struct placed_fault
+struct call_placement
 {
-    int call; ///< counted over all nodes from the job's submission on
-    call_fault what;
+    int call; ///< number of the call, counted over all nodes from the job's submission on
+    call_fault kind;
     core::millis lag{0};
 };
 
-constexpr core::millis answer_awaited{700};
-constexpr core::millis poll_awaited{1400};
-constexpr core::millis late_by{3300};
+constexpr core::millis answer_timeout{700};
+constexpr core::millis poll_timeout{1400};
+constexpr core::millis late_order_delay{3300};
 constexpr core::millis pause_time{3000};
 constexpr core::millis cut_time{2500};
-/// The longest that any two faults may hold the job up: leases, late orders and elections in turn.
-constexpr core::millis longest_job{30000};
-constexpr core::millis late_orders_arrive{4000};
+/// Maximum time by which any two faults may delay the job: leases, late orders and elections, one
+/// after the other.
+constexpr core::millis max_job_time{30000};
+constexpr core::millis late_order_grace{4000};
 
 /// One short job on two hosts, with faults at given calls.
-struct faulty_world
+struct faulty_call_fixture
 {
     cluster c;
-    daemon_fakes::process ghost; ///< sends what outlives its caller
-    ports::runners ghost_runners;
-    ports::metadata_store ghost_store;
-    std::vector<placed_fault> faults;
+    daemon_fakes::process surviving_process; ///< carries out calls after their caller has died
+    ports::runners surviving_runners;
+    ports::metadata_store surviving_store;
+    std::vector<call_placement> faults;
     bool counting = false;
     int calls = 0;
 
-    /// \param share 0: nodes take no time, and can't lag
-    faulty_world(std::vector<placed_fault> f, void (*prepare)(cluster&), double share)
+    /// \param processor_share 0: the nodes' work takes no time, and they cannot lag
+    faulty_call_fixture(
+        std::vector<call_placement> f, void (*prepare)(cluster&), double processor_share)
         : faults(std::move(f))
     {
-        c.share = share;
+        c.processor_share = processor_share;
         if (prepare != nullptr)
         {
             prepare(c);
         }
-        ghost_runners = c.hosts.runner_port(ghost);
-        ghost_store = c.store.port(ghost);
-        const auto planted = c.plant;
-        c.plant = [this, planted](node& n)
+        surviving_runners = c.hosts.runner_port(surviving_process);
+        surviving_store = c.store.port(surviving_process);
+        const auto configured = c.customize_node;
+        c.customize_node = [this, configured](node& n)
         {
-            wrap(n); // inside: a planted fault sees what becomes of the calls
-            if (planted)
+            wrap(n); // innermost, so that a disabled safeguard sees the faulty calls
+            if (configured)
             {
-                planted(n);
+                configured(n);
             }
         };
         c.hosts.behaviour.run_time = 150ms;
@@ -92,7 +94,7 @@
         c.time.run_for(1s);
     }
 
-    void die(node& n)
+    void kill_and_replace(node& n)
     {
         n.process.dead = true;
         c.time.after(1ms, [this] { c.add_node(); });
@@ -101,54 +103,55 @@
     template <class Answer>
     void call(node& n,
         const std::function<void(std::function<void(Answer)>)>& send,
-        const std::function<void(std::function<void(Answer)>)>& ghost_send,
+        const std::function<void(std::function<void(Answer)>)>& surviving_send,
         const std::function<void(Answer)>& done,
         const std::function<void()>& cut,
-        core::millis awaited)
+        core::millis timeout)
     {
         const auto number = counting ? ++calls : 0;
         const auto fault = std::find_if(faults.begin(),
             faults.end(),
-            [&](const placed_fault& it) { return it.call == number; });
+            [&](const call_placement& it) { return it.call == number; });
         if (fault == faults.end())
         {
             send(done);
             return;
         }
-        const auto unheard = [](const Answer&) {
+        const auto ignore_answer = [](const Answer&) {
         };
-        switch (fault->what)
+        switch (fault->kind)
         {
         case call_fault::order_lost:
             break;
         case call_fault::answer_lost:
-            ghost_send(unheard);
+            surviving_send(ignore_answer);
             break;
         case call_fault::order_late:
-            c.time.after(late_by, [ghost_send, unheard] { ghost_send(unheard); });
+            c.time.after(late_order_delay,
+                [surviving_send, ignore_answer] { surviving_send(ignore_answer); });
             break;
         case call_fault::dies_before:
-            die(n);
+            kill_and_replace(n);
             return;
         case call_fault::dies_after:
-            ghost_send(unheard);
-            die(n);
+            surviving_send(ignore_answer);
+            kill_and_replace(n);
             return;
         case call_fault::pauses:
             n.process.paused = true;
             c.time.after(pause_time, [this, &n] { c.time.resume(n.process); });
-            send(done); // it was on its way
+            send(done); // the call has been handed to the network already
             return;
         case call_fault::callee_cut:
             cut();
             send(done);
             return;
         case call_fault::lags:
-            n.cpu->stand_still(fault->lag);
+            n.cpu->stall_for(fault->lag);
             send(done);
             return;
         }
-        n.ctx.time.after(awaited, [done] { done(not_answered(Answer{})); });
+        n.ctx.time.after(timeout, [done] { done(not_answered(Answer{})); });
     }
 
     static ports::runner_answer not_answered(ports::runner_answer it)
@@ -173,7 +176,7 @@
     {
         if (n.cpu)
         {
-            n.cpu->costs = {0us, 0us, 0us}; // the lags alone take time
+            n.cpu->costs = {0us, 0us, 0us}; // only the lags take time
         }
         auto& r = n.ctx.runners;
         r.start = [this, &n, real = r.start](const auto& to, const auto& o, const auto& done)
@@ -181,30 +184,30 @@
             call<ports::runner_answer>(
                 n,
                 [=](const auto& d) { real(to, o, d); },
-                [=, this](const auto& d) { ghost_runners.start(to, o, d); },
+                [=, this](const auto& d) { surviving_runners.start(to, o, d); },
                 done,
                 [=, this] { cut_runner(to); },
-                answer_awaited);
+                answer_timeout);
         };
         r.stop = [this, &n, real = r.stop](const auto& to, const auto& o, const auto& done)
         {
             call<ports::runner_answer>(
                 n,
                 [=](const auto& d) { real(to, o, d); },
-                [=, this](const auto& d) { ghost_runners.stop(to, o, d); },
+                [=, this](const auto& d) { surviving_runners.stop(to, o, d); },
                 done,
                 [=, this] { cut_runner(to); },
-                answer_awaited);
+                answer_timeout);
         };
         r.poll = [this, &n, real = r.poll](const auto& to, const auto& o, const auto& done)
         {
             call<ports::poll_answer>(
                 n,
                 [=](const auto& d) { real(to, o, d); },
-                [=, this](const auto& d) { ghost_runners.poll(to, o, d); },
+                [=, this](const auto& d) { surviving_runners.poll(to, o, d); },
                 done,
                 [=, this] { cut_runner(to); },
-                poll_awaited);
+                poll_timeout);
         };
         auto& s = n.ctx.store;
         s.commit = [this, &n, real = s.commit](const auto& t, const auto& done)
@@ -212,10 +215,10 @@
             call<ports::commit_result>(
                 n,
                 [=](const auto& d) { real(t, d); },
-                [=, this](const auto& d) { ghost_store.commit(t, d); },
+                [=, this](const auto& d) { surviving_store.commit(t, d); },
                 done,
                 [this, &n] { cut_store(n); },
-                answer_awaited);
+                answer_timeout);
         };
     }
 
@@ -237,26 +240,26 @@
         c.time.after(cut_time, [&n] { n.process.store_cut = false; });
     }
 
-    /// Plays one job to its end.
-    /// \return what went wrong, or nothing.
-    std::string play()
+    /// Runs one job to its end.
+    /// \return the violations of promises, or empty.
+    std::string run_job()
     {
         counting = true;
         c.put_job(c.make_job("a", 2, 2));
-        const bool ended = c.ends("a", job_state::completed, longest_job);
+        const bool ended = c.ends("a", job_state::completed, max_job_time);
         counting = false;
-        c.time.run_for(late_orders_arrive);
+        c.time.run_for(late_order_grace);
         return c.breaches() + (ended ? "" : "the job did not end");
     }
 };
 
-std::string describe(const std::vector<placed_fault>& all)
+std::string describe(const std::vector<call_placement>& all)
 {
     std::string out;
     for (const auto& it : all)
     {
         out += (out.empty() ? "" : ", then ") +
-               std::string{core::name_of(call_fault_names, it.what)} + " at call " +
+               std::string{core::name_of(call_fault_names, it.kind)} + " at call " +
                std::to_string(it.call) +
                (it.lag.count() > 0 ? " for " + std::to_string(it.lag.count()) + " ms" : "");
     }
@@ -269,26 +272,28 @@
     int calls = 0; ///< until the job's end
 };
 
-outcome play(
-    const std::vector<placed_fault>& faults, void (*prepare)(cluster&) = nullptr, double share = 0)
+outcome run_job(const std::vector<call_placement>& faults,
+    void (*prepare)(cluster&) = nullptr,
+    double processor_share = 0)
 {
-    faulty_world w(faults, prepare, share);
-    auto problem = w.play();
+    faulty_call_fixture fixture(faults, prepare, processor_share);
+    auto problem = fixture.run_job();
     if (!problem.empty())
     {
         problem = describe(faults) + ": " + problem;
     }
-    return {problem, w.calls};
+    return {problem, fixture.calls};
 }
 
-/// Shorter than a renewal's pause, than a lease of the owner, than a time-out of a poll, than a
-/// lease of a runner, and longer than it.
-constexpr core::millis lags_played[] = {300ms, 800ms, 1300ms, 2000ms, 3000ms};
+/// Each is just shorter than one of these: the interval of the leader lease's renewals, the leader
+/// lease, the timeout of a poll, a runner's lease; the last one is longer than a runner's lease.
+constexpr core::millis lag_durations[] = {300ms, 800ms, 1300ms, 2000ms, 3000ms};
 
-/// \return the faults that may befall one call; \p with_lags: how long a lag lasts matters too.
-std::vector<placed_fault> faults_at(int call, bool with_lags)
+/// \return the faults that may occur at one call.
+/// \param with_lags whether to include a lag of each duration
+std::vector<call_placement> faults_at(int call, bool with_lags)
 {
-    std::vector<placed_fault> out;
+    std::vector<call_placement> out;
     for (const auto& it : call_fault_names)
     {
         if (it.value != call_fault::lags)
@@ -296,7 +301,7 @@
             out.push_back({call, it.value});
         }
     }
-    for (const auto lag : lags_played)
+    for (const auto lag : lag_durations)
     {
         if (with_lags)
         {
@@ -306,19 +311,20 @@
     return out;
 }
 
-/// Plays each lag at each call, and each second fault or lag after it.
-/// \return the first problem, or nothing; \p played counts the runs.
-std::string play_lags(int& played)
+/// Runs the job with each lag at each call, and with each second fault or lag after it.
+/// \param runs incremented for each run
+/// \return the first problem, or empty.
+std::string run_all_lags(int& runs)
 {
     constexpr double whole_core = 1;
-    const auto calm = play({}, nullptr, whole_core);
-    for (int i = 1; i <= calm.calls; ++i)
+    const auto faultless = run_job({}, nullptr, whole_core);
+    for (int i = 1; i <= faultless.calls; ++i)
     {
-        for (const auto lag : lags_played)
+        for (const auto lag : lag_durations)
         {
-            const placed_fault a{i, call_fault::lags, lag};
-            const auto one = play({a}, nullptr, whole_core);
-            ++played;
+            const call_placement a{i, call_fault::lags, lag};
+            const auto one = run_job({a}, nullptr, whole_core);
+            ++runs;
             if (!one.problem.empty())
             {
                 return one.problem;
@@ -327,8 +333,8 @@
             {
                 for (const auto& second : faults_at(k, true))
                 {
-                    const auto two = play({a, second}, nullptr, whole_core);
-                    ++played;
+                    const auto two = run_job({a, second}, nullptr, whole_core);
+                    ++runs;
                     if (!two.problem.empty())
                     {
                         return two.problem;
@@ -340,22 +346,23 @@
     return {};
 }
 
-/// Plays each kind of fault at each call, and each second fault after each first.
-/// \return the first problem, or nothing; \p played counts the runs.
-std::string play_all(void (*prepare)(cluster&), int& played)
+/// Runs the job with each kind of fault at each call, and with each second fault after each first.
+/// \param runs incremented for each run
+/// \return the first problem, or empty.
+std::string run_all_faults(void (*prepare)(cluster&), int& runs)
 {
-    const auto calm = play({}, prepare);
-    ++played;
-    if (!calm.problem.empty())
+    const auto faultless = run_job({}, prepare);
+    ++runs;
+    if (!faultless.problem.empty())
     {
-        return calm.problem;
+        return faultless.problem;
     }
-    for (int i = 1; i <= calm.calls; ++i)
+    for (int i = 1; i <= faultless.calls; ++i)
     {
         for (const auto& a : faults_at(i, false))
         {
-            const auto one = play({a}, prepare);
-            ++played;
+            const auto one = run_job({a}, prepare);
+            ++runs;
             if (!one.problem.empty())
             {
                 return one.problem;
@@ -364,8 +371,8 @@
             {
                 for (const auto& second : faults_at(k, false))
                 {
-                    const auto two = play({a, second}, prepare);
-                    ++played;
+                    const auto two = run_job({a, second}, prepare);
+                    ++runs;
                     if (!two.problem.empty())
                     {
                         return two.problem;
@@ -381,43 +388,44 @@
 
 TEST_GROUP(every_fault){};
 
-// A job of two steps on two hosts. Whichever call of the coordinator is lost, unheard, late or cut
-// off, and wherever it dies or stands still, and whichever second such fault comes after the first:
-// the caller's job ends, nothing runs twice, and no step begins before the one that it waits for.
-TEST(every_fault, any_two_faults_break_nothing)
+// A job of two steps runs on two hosts. Each call of the coordinator in turn is lost, late or cut
+// off, loses its answer, or is where the coordinator dies or pauses, followed by each possible
+// second fault. In each case the caller's job has to end, no task may run twice, and no step may
+// begin before the step it depends on.
+TEST(every_fault, any_two_faults_break_no_promise)
 {
-    constexpr int least_played = 5000; // fewer: the faults are not placed
-    int played = 0;
-    const auto problem = play_all(nullptr, played);
+    constexpr int min_runs = 5000; // fewer runs show that the faults were not placed
+    int runs = 0;
+    const auto problem = run_all_faults(nullptr, runs);
     STRCMP_EQUAL("", problem.c_str());
-    CHECK(played > least_played);
+    CHECK(runs > min_runs);
 }
 
-// The owner gets no processor time for a while, at whichever call: the call leaves late, its timers
-// run late, answers lie unread past their time-outs. Beside its successor, and with whichever
-// second fault or lag after it, it breaks nothing, and the caller's job ends.
-TEST(every_fault, a_lag_and_any_second_fault_break_nothing)
+// At each call in turn, the coordinator gets no processor time for a while: the call is sent late,
+// its timers run late, and answers stay unread past their timeouts. Beside its successor, and with
+// each possible second fault or lag, no promise may be broken and the caller's job has to end.
+TEST(every_fault, a_lag_and_any_second_fault_break_no_promise)
 {
-    constexpr int least_played = 5000; // fewer: the lags are not placed
-    int played = 0;
-    const auto problem = play_lags(played);
+    constexpr int min_runs = 5000; // fewer runs show that the lags were not placed
+    int runs = 0;
+    const auto problem = run_all_lags(runs);
     STRCMP_EQUAL("", problem.c_str());
-    CHECK(played > least_played);
+    CHECK(runs > min_runs);
 }
 
-// With a safeguard taken out, some two faults break a promise: the checks can fail. Only an order
-// that is trusted to be refused needs three faults (random_fleet sees it): the next start goes to
-// the same runner, which then refuses the older one.
-TEST(every_fault, a_safeguard_taken_out_is_seen)
+// With any one safeguard disabled, some pair of faults breaks a promise, which shows that the
+// checks can fail. Only treating an unanswered start as refused takes three faults, which
+// random_fleet detects: the next start goes to the same runner, which then refuses the older one.
+TEST(every_fault, a_disabled_safeguard_is_detected)
 {
-    for (const auto& it : planted_faults)
+    for (const auto& it : disabled_safeguards)
     {
-        if (it.prepare == trust_silence)
+        if (it.prepare == treat_unanswered_as_refused)
         {
             continue;
         }
-        int played = 0;
-        const auto problem = play_all(it.prepare, played);
+        int runs = 0;
+        const auto problem = run_all_faults(it.prepare, runs);
         CHECK_TEXT(!problem.empty(), it.name);
     }
 }
--- a/libs/hosted/tests/extended_fleet_tests.cpp
+++ b/libs/hosted/tests/extended_fleet_tests.cpp
@@ -12,54 +12,56 @@
 namespace
 {
 
-void play_to_the_end(wide_world& w, std::uint64_t seed, int steps)
+void run_to_the_end(extended_simulation& simulation, std::uint64_t seed, int steps)
 {
-    w.play(static_cast<int>(number_from("CAMPHORHITCH_STEPS", static_cast<std::uint64_t>(steps))));
-    w.heal();
-    w.c.time.run_until([&] { return w.unfinished() == 0; }, 60s);
-    const auto about = "seed " + std::to_string(seed) + w.last_lines();
-    STRCMP_EQUAL_TEXT("", w.c.breaches().c_str(), about.c_str());
-    LONGS_EQUAL_TEXT(0, w.unfinished(), about.c_str());
+    simulation.play(
+        static_cast<int>(read_number("CAMPHORHITCH_STEPS", static_cast<std::uint64_t>(steps))));
+    simulation.clear_faults();
+    simulation.c.time.run_until([&] { return simulation.unfinished() == 0; }, 60s);
+    const auto about = "seed " + std::to_string(seed) + simulation.describe_open_jobs();
+    STRCMP_EQUAL_TEXT("", simulation.c.breaches().c_str(), about.c_str());
+    LONGS_EQUAL_TEXT(0, simulation.unfinished(), about.c_str());
 }
 
 void play_seed(std::uint64_t seed, int steps, const std::function<void(cluster&)>& prepare)
 {
-    wide_world w(seed, prepare);
-    play_to_the_end(w, seed, steps);
+    extended_simulation simulation(seed, prepare);
+    run_to_the_end(simulation, seed, steps);
 }
 
-/// What goes wrong around machines, beside all else.
-struct machine_trouble
+/// Faults around machines, in addition to those of extended_simulation.
+struct machine_fault_settings
 {
-    double calls_fail = 0; ///< share of answers lost, of orders late, and of lists told late
-    bool hands_on_addresses = false;
+    double call_failure_share = 0; ///< share of lost answers, of late orders and of late lists
+    bool transfers_addresses = false;
 };
 
-/// A wide_world with two pools, whose machines move as work shifts between them.
-struct moving_world
+/// An extended_simulation with two pools, between which machines move as work shifts.
+struct moving_machines_simulation
 {
     std::optional<machine_faults> faults;
-    wide_world w;
-    std::set<std::string> told; ///< nodes that know the pools
+    extended_simulation simulation;
+    std::set<std::string> nodes_with_pools; ///< nodes whose driver has been given the pools
 
-    machine_trouble trouble;
+    machine_fault_settings fault_settings;
 
-    moving_world(std::uint64_t seed, machine_trouble t)
-        : w(seed, [this, seed, t](cluster& c) { prepare(c, seed, t.calls_fail); }), trouble(t)
+    moving_machines_simulation(std::uint64_t seed, machine_fault_settings t)
+        : simulation(seed, [this, seed, t](cluster& c) { prepare(c, seed, t.call_failure_share); }),
+          fault_settings(t)
     {
-        w.on_step = [this]
+        simulation.after_step = [this]
         {
             step();
         };
     }
 
-    void prepare(cluster& c, std::uint64_t seed, double calls_fail)
+    void prepare(cluster& c, std::uint64_t seed, double call_failure_share)
     {
         faults.emplace(c, seed);
-        faults->answers_lost = calls_fail;
-        faults->orders_late = calls_fail;
-        faults->lists_slow = calls_fail;
-        c.plant = [this](node& n)
+        faults->lost_answer_share = call_failure_share;
+        faults->late_order_share = call_failure_share;
+        faults->slow_list_share = call_failure_share;
+        c.customize_node = [this](node& n)
         {
             faults->wrap(n);
         };
@@ -69,54 +71,56 @@
 
     void step()
     {
-        for (auto& it : w.c.nodes)
+        for (auto& it : simulation.c.nodes)
         {
-            if (told.insert(it.ctx.member).second)
+            if (nodes_with_pools.insert(it.ctx.member).second)
             {
                 it.driver->set_pools({{"p", false}, {"q", false}});
             }
         }
-        if (w.below(3) == 0)
+        if (simulation.below(3) == 0)
         {
-            w.jobs.push_back("q" + std::to_string(w.jobs.size()));
-            auto j = w.c.make_job(w.jobs.back(), 1 + w.below(8));
+            simulation.jobs.push_back("q" + std::to_string(simulation.jobs.size()));
+            auto j = simulation.c.make_job(simulation.jobs.back(), 1 + simulation.below(8));
             j.pool = "q";
             j.max_attempts = 6;
-            w.c.put_job(j);
+            simulation.c.put_job(j);
         }
-        if (trouble.hands_on_addresses && w.below(8) == 0)
+        if (fault_settings.transfers_addresses && simulation.below(8) == 0)
         {
-            w.c.hosts.hand_on_address(
-                w.some_machine(), w.some_machine(), core::millis{500 + w.below(3000)});
+            simulation.c.hosts.transfer_address(simulation.random_machine(),
+                simulation.random_machine(),
+                core::millis{500 + simulation.below(3000)});
         }
     }
 };
 
-constexpr std::uint64_t seeds_played = 12;
-constexpr int steps_played = 120;
+constexpr std::uint64_t seeds_per_test = 12;
+constexpr int steps_per_seed = 120;
 
 } // namespace
 
-TEST_GROUP(wide_fleet){};
+TEST_GROUP(extended_fleet){};
 
-// Runners' clocks differ, owners follow each other within a lease, and grants come late.
-TEST(wide_fleet, no_promise_is_broken)
+// Runners' clocks differ, coordinators follow each other within a lease, and leases are granted
+// late.
+TEST(extended_fleet, no_promise_is_broken)
 {
-    for_each_seed(seeds_played, [](std::uint64_t seed) { play_seed(seed, steps_played, {}); });
+    for_each_seed(seeds_per_test, [](std::uint64_t seed) { play_seed(seed, steps_per_seed, {}); });
 }
 
-// The same through relays, which wake with the orders of owners before.
-TEST(wide_fleet, no_promise_is_broken_with_relays)
+// The same through relays, which resume from a pause with orders of previous coordinators.
+TEST(extended_fleet, no_promise_is_broken_with_relays)
 {
-    for_each_seed(seeds_played,
+    for_each_seed(seeds_per_test,
         [](std::uint64_t seed)
         {
             std::list<relayed_runners> relays;
             play_seed(seed,
-                steps_played,
+                steps_per_seed,
                 [&](cluster& c)
                 {
-                    c.plant = [&](node& n)
+                    c.customize_node = [&](node& n)
                     {
                         n.ctx.runners = relays.emplace_back(c, n).port();
                     };
@@ -124,35 +128,37 @@
         });
 }
 
-// The same with nodes whose work takes time, and which lag, are slowed and hand over: orders leave
-// late, and answers lie unread.
-TEST(wide_fleet, no_promise_is_broken_by_owners_that_lag)
+// The same with nodes whose work takes time, and which lag, are slowed and hand over: orders are
+// sent late, and answers stay unread.
+TEST(extended_fleet, no_promise_is_broken_by_lagging_coordinators)
 {
-    constexpr double small_share = 0.25;
-    for_each_seed(seeds_played,
-        [](std::uint64_t seed)
-        { play_seed(seed, steps_played, [](cluster& c) { c.share = small_share; }); });
+    constexpr double processor_share = 0.25;
+    for_each_seed(seeds_per_test,
+        [](std::uint64_t seed) {
+            play_seed(
+                seed, steps_per_seed, [](cluster& c) { c.processor_share = processor_share; });
+        });
 }
 
-// The same with machines that move and are maintained, by orders whose answers are lost or that
-// take effect late, and with lists that are told late.
-TEST(wide_fleet, no_promise_is_broken_by_machines_that_move)
+// The same with machines that move and are maintained by orders whose answers are lost or that take
+// effect late, and with lists of machines that are answered late.
+TEST(extended_fleet, no_promise_is_broken_by_machines_that_move)
 {
-    for_each_seed(seeds_played,
+    for_each_seed(seeds_per_test,
         [](std::uint64_t seed)
         {
-            moving_world it(seed, {0.5, false});
-            play_to_the_end(it.w, seed, steps_played);
+            moving_machines_simulation it(seed, {0.5, false});
+            run_to_the_end(it.simulation, seed, steps_per_seed);
         });
 }
 
-// A runner that is cut off runs on while another answers at its address.
-TEST(wide_fleet, no_promise_is_broken_by_addresses_that_are_handed_on)
+// The same with runners that are cut off and work on while another runner answers at their address.
+TEST(extended_fleet, no_promise_is_broken_by_transferred_addresses)
 {
-    for_each_seed(seeds_played,
+    for_each_seed(seeds_per_test,
         [](std::uint64_t seed)
         {
-            moving_world it(seed, {0, true});
-            play_to_the_end(it.w, seed, steps_played);
+            moving_machines_simulation it(seed, {0, true});
+            run_to_the_end(it.simulation, seed, steps_per_seed);
         });
 }
--- a/libs/hosted/tests/extended_simulation.hpp
+++ b/libs/hosted/tests/extended_simulation.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// random_world with more that may fail.
+/// random_simulation with further kinds of faults.
 #pragma once
 
 #include "random_simulation.hpp"
@@ -7,15 +7,16 @@
 namespace camphorhitch::hosted_tests
 {
 
-/// As random_world, with tasks that outlast leases, runners whose clocks are slow or fast and that
-/// crash and come back within a lease, late polls, owners that follow each other within a lease,
-/// nodes that wake beside them, and machines that are maintained.
-struct wide_world : random_world
+/// As random_simulation, with tasks that outlast leases, runners whose clocks are slow or fast and
+/// that crash and return within a lease, late polls, coordinators that follow each other within a
+/// lease, paused nodes that resume beside them, and machines that are maintained.
+struct extended_simulation : random_simulation
 {
     std::int64_t waves = 0;
 
-    explicit wide_world(std::uint64_t seed, const std::function<void(cluster&)>& prepare = {})
-        : random_world(seed, prepare)
+    explicit extended_simulation(
+        std::uint64_t seed, const std::function<void(cluster&)>& prepare = {})
+        : random_simulation(seed, prepare)
     {
         constexpr double rates[] = {0.98, 1, 1.02};
         for (auto& [name, h] : c.hosts.machines)
@@ -23,10 +24,10 @@
             h.clock_rate = rates[below(3)];
         }
         c.hosts.behaviour.run_time = core::millis{300 + below(3000)};
-        c.hosts.takes_starts_by_any_lease = seed % 2 == 0;
+        c.hosts.accepts_starts_under_any_lease = seed % 2 == 0;
     }
 
-    void freeze(node& n, core::millis how_long)
+    void pause_node(node& n, core::millis how_long)
     {
         if (!n.process.dead && !n.process.paused)
         {
@@ -35,32 +36,32 @@
         }
     }
 
-    void begin_wave()
+    void request_wave()
     {
-        std::vector<std::string> some{some_machine(), some_machine()};
-        if (some[0] == some[1])
+        std::vector<std::string> machines{random_machine(), random_machine()};
+        if (machines[0] == machines[1])
         {
-            some.pop_back();
+            machines.pop_back();
         }
         ++waves;
         for (auto& it : c.nodes)
         {
-            it.driver->set_waves({{waves, some, core::millis{10000}, 1}});
+            it.driver->set_waves({{waves, machines, core::millis{10000}, 1}});
         }
     }
 
     void cut_and_crash(const std::string& machine)
     {
-        const core::millis dark{200 + below(5000)};
-        c.hosts.cut(machine, dark);
+        const core::millis cut_off_time{200 + below(5000)};
+        c.hosts.cut(machine, cut_off_time);
         if (below(2) == 0)
         {
-            c.time.after(core::millis{below(static_cast<int>(dark.count()))},
+            c.time.after(core::millis{below(static_cast<int>(cut_off_time.count()))},
                 [this, machine] { c.hosts.crash(machine, core::millis{50 + below(900)}); });
         }
     }
 
-    void change_owner_twice()
+    void change_leader_twice()
     {
         c.store.revoke(hosted::leader_key);
         c.time.after(core::millis{300 + below(1500)},
@@ -68,14 +69,15 @@
             {
                 if (auto* const n = c.leader())
                 {
-                    below(2) == 0 ? freeze(*n, core::millis{300 + below(5000)}) : kill_node(*n);
+                    below(2) == 0 ? pause_node(*n, core::millis{300 + below(5000)})
+                                  : replace_node(*n);
                 }
             });
     }
 
-    /// The coordinator gets no processor time, or little: its calls leave late, and it may hand
-    /// over.
-    void lag()
+    /// Gives the coordinator no processor time for a while, or little: its calls are sent late, and
+    /// it may hand over.
+    void delay_leader()
     {
         auto* const n = c.leader();
         if (n == nullptr || n->cpu == nullptr)
@@ -84,44 +86,44 @@
         }
         if (below(2) == 0)
         {
-            n->cpu->stand_still(core::millis{200 + below(3500)});
+            n->cpu->stall_for(core::millis{200 + below(3500)});
             return;
         }
-        constexpr double slowed = 0.02;
+        constexpr double reduced_share = 0.02;
         const auto usual = n->cpu->share;
-        n->cpu->share = slowed;
+        n->cpu->share = reduced_share;
         c.time.after(core::millis{500 + below(4000)}, [n, usual] { n->cpu->share = usual; });
     }
 
-    void more_faults()
+    void inject_any_fault()
     {
         switch (below(8))
         {
         case 0:
-            c.hosts.crash(some_machine(), core::millis{50 + below(1000)});
+            c.hosts.crash(random_machine(), core::millis{50 + below(1000)});
             break;
         case 1:
         case 2:
-            cut_and_crash(some_machine());
+            cut_and_crash(random_machine());
             break;
         case 3:
             if (auto* const n = c.leader())
             {
-                freeze(*n, core::millis{300 + below(5000)});
+                pause_node(*n, core::millis{300 + below(5000)});
             }
             break;
         case 4:
-            change_owner_twice();
+            change_leader_twice();
             break;
         case 5:
             c.store.writes_to_delay += 1 + below(4);
-            c.store.late_by = core::millis{200 + below(4000)};
+            c.store.delayed_write_time = core::millis{200 + below(4000)};
             break;
         case 6:
-            begin_wave();
+            request_wave();
             break;
         default:
-            fault();
+            inject_fault();
             break;
         }
     }
@@ -130,29 +132,29 @@
     {
         for (int i = 0; i < steps; ++i)
         {
-            c.hosts.orders_late = below(3) == 0 ? 0.4 : 0.0;
-            c.hosts.polls_late = below(4) == 0 ? 0.3 : 0.0;
-            c.hosts.answers_slow = below(3) == 0 ? 0.3 : 0.0;
+            c.hosts.late_order_share = below(3) == 0 ? 0.4 : 0.0;
+            c.hosts.late_poll_share = below(4) == 0 ? 0.3 : 0.0;
+            c.hosts.slow_answer_share = below(3) == 0 ? 0.3 : 0.0;
             if (below(2) == 0)
             {
                 add_job();
             }
             if (below(2) == 0)
             {
-                more_faults();
+                inject_any_fault();
             }
-            if (c.share > 0 && below(4) == 0)
+            if (c.processor_share > 0 && below(4) == 0)
             {
-                lag();
+                delay_leader();
             }
             c.time.run_for(core::millis{50 + below(400)});
-            if (on_step)
+            if (after_step)
             {
-                on_step();
+                after_step();
             }
         }
-        c.hosts.polls_late = 0;
-        c.hosts.answers_slow = 0;
+        c.hosts.late_poll_share = 0;
+        c.hosts.slow_answer_share = 0;
     }
 };
 
--- a/libs/hosted/tests/idle_hosts_tests.cpp
+++ b/libs/hosted/tests/idle_hosts_tests.cpp
@@ -9,25 +9,25 @@
 namespace
 {
 
-/// A fleet in which nothing runs and whose idle hosts rest, and how often they are polled.
-struct idle_fleet
+/// A fleet in which nothing runs and whose idle hosts are polled with delays; counts the polls.
+struct idle_fleet_fixture
 {
     cluster c;
     int polls = 0;
 
-    /// \param few a fleet of that size counts as one whose idle hosts rest
-    explicit idle_fleet(int hosts, bool few = true)
+    /// \param delays_polls whether polls of idle hosts are delayed although the fleet is small
+    explicit idle_fleet_fixture(int hosts, bool delays_polls = true)
     {
-        if (few)
+        if (delays_polls)
         {
-            c.settings.most_idle_polls_per_second = 1;
+            c.settings.max_idle_polls_per_second = 1;
         }
         c.hosts.behaviour.run_time = 300ms;
         for (int i = 0; i < hosts; ++i)
         {
             c.hosts.add("p");
         }
-        c.plant = [this](node& n)
+        c.customize_node = [this](node& n)
         {
             n.ctx.runners.poll = [this, real = n.ctx.runners.poll](
                                      const auto& to, const auto& o, const auto& done)
@@ -41,8 +41,8 @@
         c.time.run_for(3s);
     }
 
-    /// \return the polls of so long.
-    int count(core::millis how_long)
+    /// \return the number of polls during this time.
+    int count_polls(core::millis how_long)
     {
         polls = 0;
         c.time.run_for(how_long);
@@ -54,79 +54,79 @@
 
 TEST_GROUP(idle_hosts){};
 
-// Guards against an owner that spends itself on hosts which have nothing to tell.
+// Guards against a coordinator that spends its processor time on hosts that have nothing to report.
 TEST(idle_hosts, hosts_of_a_pool_without_jobs_are_not_polled)
 {
     for (const int hosts : {5, 50, 400})
     {
-        idle_fleet w(hosts);
-        CHECK_EQUAL(0, w.count(5s));
+        idle_fleet_fixture f(hosts);
+        CHECK_EQUAL(0, f.count_polls(5s));
     }
 }
 
-// In a small fleet polls of idle hosts cost little, and what falls silent is known before work
-// comes.
+// In a small fleet polls of idle hosts cost little, and reveal an unresponsive host before work
+// arrives.
 TEST(idle_hosts, in_a_small_fleet_all_are_polled)
 {
-    idle_fleet w(50, false);
-    CHECK(w.count(5s) > 50 * 5);
+    idle_fleet_fixture f(50, false);
+    CHECK(f.count_polls(5s) > 50 * 5);
 }
 
-// A job comes for a pool whose hosts have not been asked for minutes: it must not wait for more
-// than their answers.
+// A job arrives for a pool whose hosts have not been polled for minutes. It must wait for no more
+// than their next answers.
 TEST(idle_hosts, a_first_job_starts_at_once)
 {
     for (const int hosts : {5, 50, 400})
     {
-        idle_fleet w(hosts);
-        w.c.time.run_for(60s);
-        w.c.put_job(w.c.make_job("j", hosts));
-        CHECK(w.c.ends("j", job_state::completed, 800ms));
-        LONGS_EQUAL(0, w.c.hosts.lapsed);
-        STRCMP_EQUAL("", w.c.breaches().c_str());
+        idle_fleet_fixture f(hosts);
+        f.c.time.run_for(60s);
+        f.c.put_job(f.c.make_job("j", hosts));
+        CHECK(f.c.ends("j", job_state::completed, 800ms));
+        LONGS_EQUAL(0, f.c.hosts.expired_runs);
+        STRCMP_EQUAL("", f.c.breaches().c_str());
     }
 }
 
-// A host falls silent while nobody asks it, and work comes. Guards against tasks that are ordered
-// there by what was known minutes ago.
-TEST(idle_hosts, work_does_not_wait_for_a_host_that_fell_silent_unasked)
+// A host is cut off while it is not polled, and then work arrives. Guards against starts that are
+// ordered there on the basis of minutes-old state.
+TEST(idle_hosts, work_does_not_wait_for_an_unpolled_host_that_is_cut_off)
 {
-    idle_fleet w(4);
-    w.c.hosts.cut(w.c.hosts.machines.begin()->first, 30s);
-    w.c.time.run_for(10s);
-    w.c.put_job(w.c.make_job("j", 8));
-    CHECK(w.c.ends("j", job_state::completed, 1s));
-    STRCMP_EQUAL("", w.c.breaches().c_str());
+    idle_fleet_fixture f(4);
+    f.c.hosts.cut(f.c.hosts.machines.begin()->first, 30s);
+    f.c.time.run_for(10s);
+    f.c.put_job(f.c.make_job("j", 8));
+    CHECK(f.c.ends("j", job_state::completed, 1s));
+    STRCMP_EQUAL("", f.c.breaches().c_str());
 }
 
-// The coordinator dies while its hosts are not polled: its successor must find them, and learn what
-// runs there, as ever.
+// The coordinator dies while its hosts are not polled. Its successor must find the hosts and
+// determine their runs as in any other takeover.
 TEST(idle_hosts, a_successor_finds_hosts_that_were_not_polled)
 {
-    idle_fleet w(10);
-    w.c.time.run_for(10s);
-    w.c.leader()->process.dead = true;
-    w.c.add_node();
-    CHECK(w.c.has_leader());
-    w.c.put_job(w.c.make_job("j", 10));
-    CHECK(w.c.ends("j", job_state::completed, 3s));
-    STRCMP_EQUAL("", w.c.breaches().c_str());
+    idle_fleet_fixture f(10);
+    f.c.time.run_for(10s);
+    f.c.leader()->process.dead = true;
+    f.c.add_node();
+    CHECK(f.c.has_leader());
+    f.c.put_job(f.c.make_job("j", 10));
+    CHECK(f.c.ends("j", job_state::completed, 3s));
+    STRCMP_EQUAL("", f.c.breaches().c_str());
 }
 
-// With thousands of hosts those that run nothing rest between two polls, and work finds them all
-// the same.
-TEST(idle_hosts, in_a_large_pool_resting_hosts_take_work_and_tell_of_its_end)
+// With thousands of hosts, the polls of idle hosts are delayed. These hosts must get work without
+// a delay, and their run ends must be seen.
+TEST(idle_hosts, in_a_large_pool_rarely_polled_hosts_run_work)
 {
     constexpr int hosts = 4000;
-    idle_fleet w(hosts, false);
-    auto lasting = w.c.make_job("keeps the pool open", 1, 400);
-    w.c.put_job(lasting);
-    w.c.time.run_for(3s);
-    const auto polls = w.count(4s);
-    const auto bound = 4 * w.c.settings.most_idle_polls_per_second;
+    idle_fleet_fixture f(hosts, false);
+    auto long_running_job = f.c.make_job("keeps the pool open", 1, 400);
+    f.c.put_job(long_running_job);
+    f.c.time.run_for(3s);
+    const auto polls = f.count_polls(4s);
+    const auto bound = 4 * f.c.settings.max_idle_polls_per_second;
     CHECK(polls < 1.3 * bound);
-    w.c.put_job(w.c.make_job_on_each("j", 200));
-    CHECK(w.c.ends("j", job_state::completed, 1500ms));
-    LONGS_EQUAL(0, w.c.hosts.lapsed);
-    STRCMP_EQUAL("", w.c.breaches().c_str());
+    f.c.put_job(f.c.make_job_on_each("j", 200));
+    CHECK(f.c.ends("j", job_state::completed, 1500ms));
+    LONGS_EQUAL(0, f.c.hosts.expired_runs);
+    STRCMP_EQUAL("", f.c.breaches().c_str());
 }
--- a/libs/hosted/tests/late_starts_tests.cpp
+++ b/libs/hosted/tests/late_starts_tests.cpp
@@ -6,31 +6,33 @@
 using namespace camphorhitch::hosted_fakes;
 using workflow::job_state;
 
-// Runners take a start whose own lease has ended as long as another lease of theirs lasts.
+// In these tests, runners accept a start whose own lease has ended while another lease of theirs
+// lasts.
 TEST_GROUP(late_starts)
 {
     cluster c;
-    daemon_fakes::process ghost; ///< sends what outlives its caller
-    ports::runners late;
-    core::millis late_by{0}; ///< of starts on the first runner; 0: they are in time
+    daemon_fakes::process surviving_process; ///< carries out starts after their sender has died
+    ports::runners surviving_runners;
+    core::millis start_delay{0}; ///< delay of starts on the first runner; 0: none is delayed
 
-    /// Starts on the first runner get no answer and are carried out late.
-    void plant_late_starts()
+    /// Lets starts on the first runner get no answer and be carried out after start_delay.
+    void delay_starts()
     {
-        late = c.hosts.runner_port(ghost);
-        c.plant = [this](node& n)
+        surviving_runners = c.hosts.runner_port(surviving_process);
+        c.customize_node = [this](node& n)
         {
             n.ctx.runners.start = [this, &n, real = n.ctx.runners.start](
                                       const auto& to, const auto& order, const auto& done)
             {
-                if (late_by.count() == 0 || to.address != first_address())
+                if (start_delay.count() == 0 || to.address != first_address())
                 {
                     real(to, order, done);
                     return;
                 }
-                const auto unheard = [](const ports::runner_answer&) {
+                const auto ignore_answer = [](const ports::runner_answer&) {
                 };
-                c.time.after(late_by, [=, this] { late.start(to, order, unheard); });
+                c.time.after(
+                    start_delay, [=, this] { surviving_runners.start(to, order, ignore_answer); });
                 n.ctx.time.after(700ms, [done] { done({ports::runner_verdict::unknown, -1}); });
             };
         };
@@ -43,9 +45,9 @@
 
     void begin(int nodes)
     {
-        c.hosts.takes_starts_by_any_lease = true;
+        c.hosts.accepts_starts_under_any_lease = true;
         c.hosts.behaviour.run_time = 6s;
-        plant_late_starts();
+        delay_starts();
         c.hosts.add("p");
         c.hosts.add("p");
         for (int i = 0; i < nodes; ++i)
@@ -56,36 +58,36 @@
         c.time.run_for(1s);
     }
 
-    /// A job's start on the first runner is under way, and the runner is cut off for longer than
-    /// its leases, until shortly before the start arrives.
-    void give_up_a_start()
+    /// Submits a job whose start on the first runner is delayed, and cuts that runner off for
+    /// longer than its leases, until shortly before the start arrives.
+    void abandon_a_start()
     {
-        late_by = 5300ms;
+        start_delay = 5300ms;
         c.put_job(c.make_job_on_each("a", 2));
         c.time.run_for(100ms);
         c.hosts.cut("m1", 4s);
         c.time.run_for(1s);
-        late_by = 0ms;
+        start_delay = 0ms;
         CHECK(c.time.run_until([this] { return c.hosts.starts == 2; }, 3s));
     }
 };
 
-// A start that was given up with its runner's leases is carried out once the runner has a lease
-// anew: its task ran twice.
-TEST(late_starts, a_start_that_was_given_up_never_begins)
+// A start is abandoned because its runner's leases have ended. Guards against its being carried out
+// once the runner has a new lease, so that the task runs twice.
+TEST(late_starts, an_abandoned_start_never_begins)
 {
     begin(1);
-    give_up_a_start();
+    abandon_a_start();
     CHECK(c.ends("a", job_state::completed, 20s));
     STRCMP_EQUAL("", c.breaches().c_str());
     LONGS_EQUAL(2, c.hosts.starts);
 }
 
-// The owner that gave the start up dies before the start is carried out.
-TEST(late_starts, a_start_that_was_given_up_never_begins_under_a_successor)
+// As before, and the coordinator that abandoned the start dies before the start is carried out.
+TEST(late_starts, an_abandoned_start_never_begins_under_a_successor)
 {
     begin(2);
-    give_up_a_start();
+    abandon_a_start();
     const auto& h = c.hosts.machines.at("m1");
     CHECK(c.time.run_until([&] { return h.lease_until_ms > c.time.passed_ms(); }, 3s));
     c.leader()->process.dead = true;
--- a/libs/hosted/tests/load_report_tests.cpp
+++ b/libs/hosted/tests/load_report_tests.cpp
@@ -13,88 +13,89 @@
 
 TEST_GROUP(load_report){};
 
-TEST(load_report, a_spread_is_at_most_a_quarter_too_long)
+TEST(load_report, a_quantile_is_at_most_a_quarter_too_long)
 {
     for (const auto t : {1ms, 2ms, 3ms, 7ms, 10ms, 99ms, 350ms, 1001ms, 7777ms, 60000ms})
     {
-        hosted::time_spread s;
+        hosted::time_histogram s;
         s.add(t, 9);
         s.add(64s);
-        CHECK(s.within(0.5) >= t);
-        CHECK(s.within(0.5) <= std::max<core::millis>(t + t / 4 + 1ms, 2ms));
-        CHECK(s.largest() == 64s);
+        CHECK(s.quantile(0.5) >= t);
+        CHECK(s.quantile(0.5) <= std::max<core::millis>(t + t / 4 + 1ms, 2ms));
+        CHECK(s.max() == 64s);
     }
 }
 
-TEST(load_report, a_spread_takes_any_time)
+TEST(load_report, a_histogram_accepts_any_time)
 {
-    hosted::time_spread s;
+    hosted::time_histogram s;
     s.add(-5ms);
     s.add(0ms);
-    CHECK(s.within(0.95) <= 1ms);
+    CHECK(s.quantile(0.95) <= 1ms);
     s.add(10min);
-    CHECK(s.largest() == 10min);
-    CHECK(s.within(1.0) == 10min);
+    CHECK(s.max() == 10min);
+    CHECK(s.quantile(1.0) == 10min);
     LONGS_EQUAL(3, s.count());
 }
 
-TEST(load_report, delays_are_told_since_a_time)
+TEST(load_report, the_maximum_delay_since_a_time)
 {
-    hosted::loop_delays d;
+    hosted::loop_delay_history d;
     const core::mono_time begin{1000s};
     d.add(begin, 900ms);
     d.add(begin + 1s, 40ms);
     d.add(begin + 1s + 10ms, 30ms);
-    CHECK(d.largest_since(begin) == 900ms);
-    CHECK(d.largest_since(begin + 500ms) == 40ms);
-    CHECK(d.largest_since(begin + 2s) == 0ms);
+    CHECK(d.max_since(begin) == 900ms);
+    CHECK(d.max_since(begin + 500ms) == 40ms);
+    CHECK(d.max_since(begin + 2s) == 0ms);
     for (int i = 2; i < 40; ++i)
     {
         d.add(begin + std::chrono::seconds{i}, 5ms);
     }
-    CHECK(d.largest_since(begin) == 5ms); // what is older than the ring is forgotten
+    CHECK(d.max_since(begin) == 5ms); // older delays have been overwritten
 }
 
-// An end that is taken in while a writing is out is not part of it.
-TEST(load_report, ends_are_stored_by_the_writing_that_began_after_them)
+// An end that is applied while a write is in flight is not part of that write.
+TEST(load_report, ends_are_stored_by_the_write_that_began_after_them)
 {
-    hosted::end_ledger l;
+    hosted::run_end_tracker l;
     const core::mono_time begin{1000s};
-    l.take(2, begin);
-    l.take(1, begin + 3ms);
-    l.take(4, begin + 20ms);
-    l.begin_store();
-    l.take(5, begin + 21ms);
-    LONGS_EQUAL(12, l.not_stored());
-    const auto first = l.stored();
+    l.record(2, begin);
+    l.record(1, begin + 3ms);
+    l.record(4, begin + 20ms);
+    l.begin_store_write();
+    l.record(5, begin + 21ms);
+    LONGS_EQUAL(12, l.count_not_stored());
+    const auto first = l.take_stored();
     LONGS_EQUAL(2, first.size());
     CHECK(first[0] == std::make_pair(begin, std::int64_t{3}));
-    LONGS_EQUAL(5, l.not_stored());
-    l.begin_store();
-    l.begin_store(); // the writing failed and began anew
-    LONGS_EQUAL(1, l.stored().size());
-    LONGS_EQUAL(0, l.not_stored());
-    LONGS_EQUAL(0, l.stored().size());
+    LONGS_EQUAL(5, l.count_not_stored());
+    l.begin_store_write();
+    l.begin_store_write(); // the write failed and is repeated
+    LONGS_EQUAL(1, l.take_stored().size());
+    LONGS_EQUAL(0, l.count_not_stored());
+    LONGS_EQUAL(0, l.take_stored().size());
 }
 
-TEST(load_report, a_lapse_tells_silence_from_lateness)
+TEST(load_report, an_expiry_shows_whether_the_host_or_the_node_was_late)
 {
     hosted::load_report r;
     const core::mono_time now{1000s};
     r.timer_delays.add(now - 5s, 3s);
     r.timer_delays.add(now - 1s, 20ms);
     r.socket_delays.add(now - 2s, 900ms);
-    const auto f = hosted::lapse_fields({"h1", 2, now - 3s, now - 2s}, r, now);
+    const auto f = hosted::lease_expiry_fields({"h1", 2, now - 3s, now - 2s}, r, now);
     STRCMP_EQUAL("3000", f[2].second.c_str());
     STRCMP_EQUAL("2000", f[3].second.c_str());
     STRCMP_EQUAL("20", f[4].second.c_str());
     STRCMP_EQUAL("900", f[5].second.c_str());
-    const auto never = hosted::lapse_fields({"h1", 2, {}, {}}, r, now);
+    const auto never = hosted::lease_expiry_fields({"h1", 2, {}, {}}, r, now);
     STRCMP_EQUAL("never", never[2].second.c_str());
 }
 
-// A coordinator works a second's jobs off: its line counts what was done, and nothing is left over.
-TEST(load_report, a_line_a_second_counts_the_work)
+// A coordinator completes its jobs. Its lines count all starts and ends, and in the end no work
+// waits.
+TEST(load_report, one_line_per_second_counts_the_work)
 {
     hosted_fakes::cluster c;
     c.hosts.add("p");
@@ -127,8 +128,8 @@
     LONGS_EQUAL(0, lines_of(follower, "coordinator_load").size());
 }
 
-// A runner is cut off: its runs are given up, and the line shows that this node was not late.
-TEST(load_report, a_lapsed_host_has_a_line)
+// A runner is cut off and its leases expire. The line shows that this node was not late.
+TEST(load_report, an_expired_host_has_a_line)
 {
     hosted_fakes::cluster c;
     const auto machine = c.hosts.add("p");
@@ -147,13 +148,13 @@
     STRCMP_EQUAL("0", value_in(lines[0], "timer_late_ms").c_str());
 }
 
-// Answers lie unread while timers fire in time: only the probe among the descriptors shows it, also
-// before its turn has come.
-TEST(load_report, a_backlog_of_descriptors_shows_where_timers_are_in_time)
+// Answers stay unread while timers fire in time. Only the socket probe shows it, even before the
+// probe has run.
+TEST(load_report, a_backlog_of_descriptors_shows_although_timers_are_in_time)
 {
     hosted_fakes::cluster c;
     std::vector<std::function<void()>> behind;
-    c.plant = [&](hosted_fakes::node& n)
+    c.customize_node = [&](hosted_fakes::node& n)
     {
         n.ctx.post_behind_descriptors = [&](std::function<void()> fn)
         {
@@ -179,9 +180,9 @@
     CHECK(std::stol(value_in(line, "socket_late_ms")) <= 100);
 }
 
-// The store stops answering, and its leases run on meanwhile: the line of the lost leadership, at
-// its first answer, tells that renewals went out in time.
-TEST(load_report, a_lost_lease_tells_the_ages_of_its_renewals)
+// The store stops answering while its leases continue to expire. The line of the lost leadership,
+// written at the store's first answer, shows that renewals were sent in time.
+TEST(load_report, a_lost_lease_shows_the_ages_of_its_renewals)
 {
     hosted_fakes::cluster c;
     c.add_node();
@@ -189,7 +190,7 @@
     auto& lead = *c.leader();
     c.time.run_for(1s);
     c.store.down = true;
-    c.time.run_for(3s); // nothing is ordered past the lease; the owner waits for the store
+    c.time.run_for(3s); // past its lease the coordinator sends no order and waits for the store
     CHECK(!lines_of(lead, "renewal_late").empty());
     LONGS_EQUAL(0, lines_of(lead, "leadership_lost").size());
     c.store.down = false;
@@ -201,8 +202,8 @@
     STRCMP_EQUAL("0", value_in(lost[0], "timer_late_ms").c_str());
 }
 
-// The record of waiting jobs doesn't tell how late its writer heard of jobs: the line does.
-TEST(load_report, a_record_of_waiting_jobs_tells_what_it_rests_on)
+// The record of waiting jobs does not show how late its writer read the jobs; the log line does.
+TEST(load_report, a_record_of_waiting_jobs_shows_its_basis)
 {
     hosted_fakes::cluster c;
     c.add_node();
@@ -229,16 +230,16 @@
     CHECK(more >= 3 && more <= 5);
 }
 
-// One node coordinates all the time. Its watch of accepted jobs gets no answer, what it writes goes
-// through: the record is new, and what it says is old. The age of the intake and the revision it
-// was read through show it.
-TEST(load_report, a_deaf_intake_shows_in_the_lines_of_the_record)
+// One node coordinates all the time. Its watch of accepted jobs gets no answer while its writes
+// succeed, so the record is new and its counts are old. The age of the intake and the revision up
+// to which jobs were read show this.
+TEST(load_report, an_unanswered_job_watch_shows_in_the_lines_of_the_record)
 {
     hosted_fakes::cluster c;
-    bool deaf = false;
-    c.plant = [&](hosted_fakes::node& n)
+    bool watch_fails = false;
+    c.customize_node = [&](hosted_fakes::node& n)
     {
-        n.ctx.store.watch = [&deaf, real = n.ctx.store.watch](const std::string& prefix,
+        n.ctx.store.watch = [&watch_fails, real = n.ctx.store.watch](const std::string& prefix,
                                 ports::revision after,
                                 core::millis wait,
                                 const auto& done)
@@ -246,9 +247,9 @@
             real(prefix,
                 after,
                 wait,
-                [&deaf, prefix, done](const ports::changes_read& it)
+                [&watch_fails, prefix, done](const ports::changes_read& it)
                 {
-                    if (!deaf || prefix != hosted::job_prefix)
+                    if (!watch_fails || prefix != hosted::job_prefix)
                     {
                         done(it);
                     }
@@ -260,7 +261,7 @@
     c.time.run_for(1s);
     c.put_job(c.make_job("a", 1));
     c.time.run_for(1s);
-    deaf = true;
+    watch_fails = true;
     c.put_job(c.make_job("b", 1));
     c.time.run_for(4s);
     const auto record = lines_of(*c.leader(), "pending_stored").back();
@@ -272,12 +273,12 @@
     CHECK(number_in(load, "intake_age_ms") >= 2500);
 }
 
-// A start is on its way and no runner has answered: the job waits. The lines tell how many of the
-// jobs that wait are ordered.
+// A start is in flight and no runner has answered, so the job counts as waiting. The lines show how
+// many of the waiting jobs have been ordered.
 TEST(load_report, jobs_that_are_only_ordered_show_in_the_lines)
 {
     hosted_fakes::cluster c;
-    c.plant = [](hosted_fakes::node& n)
+    c.customize_node = [](hosted_fakes::node& n)
     {
         n.ctx.runners.start = [](const auto&, const auto&, const auto&) {
         };
@@ -295,11 +296,11 @@
     STRCMP_EQUAL("1", value_in(load, "jobs_only_ordered").c_str());
 }
 
-// The store refuses the record's writing and goes on telling the one before.
+// The store refuses the write of the record, so the record before stays in place.
 TEST(load_report, a_record_that_is_not_stored_has_a_line)
 {
     hosted_fakes::cluster c;
-    c.plant = [&c](hosted_fakes::node& n)
+    c.customize_node = [&c](hosted_fakes::node& n)
     {
         n.ctx.store.commit = [&c, real = n.ctx.store.commit](
                                  const ports::store_transaction& it, const auto& done)
--- a/libs/hosted/tests/lost_answers_tests.cpp
+++ b/libs/hosted/tests/lost_answers_tests.cpp
@@ -68,7 +68,7 @@
     c.add_node();
     CHECK(c.has_leader());
     c.time.run_for(1s);
-    c.hosts.orders_late = 0.33;
+    c.hosts.late_order_share = 0.33;
     const auto took = serve(100);
     CHECK(took[took.size() * 9 / 10] <= 1s + c.hosts.behaviour.run_time);
     STRCMP_EQUAL("", c.breaches().c_str());
@@ -85,13 +85,13 @@
     c.add_node();
     CHECK(c.has_leader());
     c.time.run_for(1s);
-    c.hosts.orders_late = 1;
+    c.hosts.late_order_share = 1;
     for (int i = 0; i < 5; ++i)
     {
         c.put_job(c.make_job("a" + std::to_string(i), 2));
     }
     c.time.run_for(5s);
-    c.hosts.orders_late = 0;
+    c.hosts.late_order_share = 0;
     for (int i = 0; i < 5; ++i)
     {
         CHECK(c.ends("a" + std::to_string(i), workflow::job_state::completed, 20s));
--- a/libs/hosted/tests/machine_faults.hpp
+++ b/libs/hosted/tests/machine_faults.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The machines' service with answers that are lost or slow, and orders that are carried out late.
+/// Faults of the machine service: lost or slow answers, and orders that are carried out late.
 #pragma once
 
 #include "hosted_fakes/cluster.hpp"
@@ -16,77 +16,80 @@
 {
 public:
     machine_faults(hosted_fakes::cluster& c, std::uint64_t seed)
-        : c_(c), random_(seed), unheard_(c.hosts.machine_port(ghost_))
+        : c_(c), random_(seed), unanswered_(c.hosts.machine_port(surviving_process_))
     {
     }
 
-    /// Lets the node's calls fail from now on.
+    /// Injects faults into the node's calls from now on.
     void wrap(hosted_fakes::node& n)
     {
         auto& m = n.ctx.machines;
         m.list = [this, &n, real = m.list](const std::function<void(ports::machine_list)>& done)
         {
-            const auto slow = chance(lists_slow) ? some_time(longest_list) : core::millis{0};
+            const auto slow =
+                chance(slow_list_share) ? random_time(max_list_delay) : core::millis{0};
             real([&n, done, slow](const ports::machine_list& list)
                 { n.ctx.time.after(slow, [done, list] { done(list); }); });
         };
         m.move = [this, &n, real = m.move](const std::string& machine,
                      const std::string& pool,
                      std::int64_t token,
-                     const verdict_taker& done)
+                     const verdict_callback& done)
         {
             order(
                 n,
-                [=, this](bool heard, const verdict_taker& d)
-                { carry_out_move(heard ? real : unheard_.move, machine, pool, token, d); },
+                [=, this](bool is_answered, const verdict_callback& d)
+                { carry_out_move(is_answered ? real : unanswered_.move, machine, pool, token, d); },
                 done);
         };
         m.maintain = [this, &n, real = m.maintain](const std::string& machine,
                          std::int64_t wave,
                          std::int64_t token,
-                         const verdict_taker& done)
+                         const verdict_callback& done)
         {
             order(
                 n,
-                [=, this](bool heard, const verdict_taker& d)
-                { carry_out_upkeep(heard ? real : unheard_.maintain, machine, wave, token, d); },
+                [=, this](bool is_answered, const verdict_callback& d) {
+                    carry_out_maintenance(
+                        is_answered ? real : unanswered_.maintain, machine, wave, token, d);
+                },
                 done);
         };
     }
 
-    double answers_lost = 0; ///< share of orders that are carried out, unheard
-    double orders_late =
-        0;                 ///< share of orders without an answer that are carried out seconds later
-    double lists_slow = 0; ///< share of lists that are told late
+    double lost_answer_share = 0; ///< share of orders that are carried out without an answer
+    double late_order_share = 0;  ///< share of orders carried out seconds later, without an answer
+    double slow_list_share = 0;   ///< share of lists that are answered late
 
 private:
-    using verdict_taker = std::function<void(ports::machine_verdict)>;
+    using verdict_callback = std::function<void(ports::machine_verdict)>;
     static constexpr core::millis call_timeout{1000};
-    static constexpr core::millis longest_late{5000};
-    static constexpr core::millis longest_list{1200};
+    static constexpr core::millis max_late_delay{5000};
+    static constexpr core::millis max_list_delay{1200};
 
     bool chance(double share)
     {
         return std::uniform_real_distribution<>(0, 1)(random_) < share;
     }
 
-    core::millis some_time(core::millis most)
+    core::millis random_time(core::millis max_time)
     {
-        return core::millis{std::uniform_int_distribution<std::int64_t>(0, most.count())(random_)};
+        return core::millis{
+            std::uniform_int_distribution<std::int64_t>(0, max_time.count())(random_)};
     }
 
     template <class CarryOut>
-    void order(hosted_fakes::node& n, const CarryOut& carry_out, const verdict_taker& done)
+    void order(hosted_fakes::node& n, const CarryOut& carry_out, const verdict_callback& done)
     {
-        const auto unheard = [](ports::machine_verdict) {
+        const auto ignore_answer = [](ports::machine_verdict) {
         };
-        if (chance(answers_lost))
+        if (chance(lost_answer_share))
         {
-            carry_out(false, unheard);
+            carry_out(false, ignore_answer);
         }
-        else if (chance(orders_late))
+        else if (chance(late_order_share))
         {
-            c_.time.after(some_time(longest_late), [=] { carry_out(false, unheard); });
+            c_.time.after(random_time(max_late_delay), [=] { carry_out(false, ignore_answer); });
         }
         else
         {
@@ -96,13 +99,13 @@
         n.ctx.time.after(call_timeout, [done] { done(ports::machine_verdict::unknown); });
     }
 
-    /// An operation that is done already is answered at once.
+    /// Carries out a move; one that is already done is answered at once.
     template <class Move>
     void carry_out_move(const Move& move,
         const std::string& machine,
         const std::string& pool,
         std::int64_t token,
-        const verdict_taker& done)
+        const verdict_callback& done)
     {
         if (c_.hosts.machines.at(machine).pool == pool)
         {
@@ -113,11 +116,11 @@
     }
 
     template <class Maintain>
-    void carry_out_upkeep(const Maintain& maintain,
+    void carry_out_maintenance(const Maintain& maintain,
         const std::string& machine,
         std::int64_t wave,
         std::int64_t token,
-        const verdict_taker& done)
+        const verdict_callback& done)
     {
         if (maintained_[machine].contains(wave))
         {
@@ -139,8 +142,8 @@
 
     hosted_fakes::cluster& c_;
     std::mt19937_64 random_;
-    daemon_fakes::process ghost_; ///< sends what outlives its caller
-    ports::machines unheard_;
+    daemon_fakes::process surviving_process_; ///< carries out orders after their sender has died
+    ports::machines unanswered_;
     std::map<std::string, std::set<std::int64_t>> maintained_;
 };
 
--- a/libs/hosted/tests/machine_orders_tests.cpp
+++ b/libs/hosted/tests/machine_orders_tests.cpp
@@ -8,7 +8,7 @@
 TEST_GROUP(machine_orders)
 {
     cluster c;
-    daemon_fakes::process ghost; ///< sends what outlives its caller
+    daemon_fakes::process surviving_process; ///< carries out orders after their sender has died
 
     void begin(int hosts, int nodes = 1)
     {
@@ -25,9 +25,10 @@
     }
 };
 
-// Guards against taking the answer to a repeated order for proof about the runner that came after
-// the maintenance: what runs there would start a second time elsewhere.
-TEST(machine_orders, a_lost_answer_of_a_maintenance_ends_no_runner_at_work)
+// A maintenance order is repeated because its answer was lost. Guards against taking the answer to
+// the repeat as evidence that the runner which came up after the maintenance has ended: its tasks
+// would start a second time elsewhere.
+TEST(machine_orders, a_lost_answer_to_a_maintenance_order_ends_no_run)
 {
     begin(3);
     c.hosts.machine_answers_to_lose = 2;
@@ -38,16 +39,16 @@
     j.steps[0].long_running = true;
     c.put_job(j);
     CHECK(c.time.run_until([&] { return c.running() == 3; }, 1s));
-    c.hosts.add("p"); // room for what would start a second time
+    c.hosts.add("p"); // capacity for tasks that would start a second time
     c.time.run_for(8s);
     STRCMP_EQUAL("", c.breaches().c_str());
     LONGS_EQUAL(3, c.running());
     STRCMP_EQUAL("completed", c.store.find("wave-status/1")->value.c_str());
 }
 
-// Guards against a wave that never ends, and closed hosts with it: the repeat of an order waits for
-// a host whose tasks have nowhere to go, since the wave holds all others closed.
-TEST(machine_orders, a_lost_answer_does_not_hang_a_wave_over_a_whole_pool)
+// Guards against a wave that never ends and keeps its hosts closed: the repeat of an order waits
+// for a host whose tasks cannot be placed elsewhere, since the wave keeps all other hosts closed.
+TEST(machine_orders, a_lost_answer_does_not_block_a_wave_over_a_whole_pool)
 {
     begin(3);
     auto j = c.make_job("a", 2);
@@ -61,9 +62,10 @@
     STRCMP_EQUAL("", c.breaches().c_str());
 }
 
-// Guards against ending the sound runner that came after a maintenance of a former owner: for half
-// a minute the list of runners would be disbelieved, and its host do nothing.
-TEST(machine_orders, a_successors_repeat_leaves_the_runner_that_came_since)
+// A successor repeats the maintenance order of the previous coordinator. Guards against taking the
+// healthy runner that came up after the maintenance for ended: the list's entry of it would be
+// ignored for half a minute, and its host would stay idle.
+TEST(machine_orders, a_successors_repeat_does_not_end_the_next_runner)
 {
     begin(3, 2);
     c.hosts.machine_answers_to_lose = 1;
@@ -74,10 +76,10 @@
     CHECK(c.time.run_until([&] { return !c.hosts.machines.at("m1").up; }, 2s));
     c.leader()->process.dead = true;
     CHECK(c.time.run_until([&] { return c.hosts.machines.at("m1").up; }, 2s));
-    const auto came = c.hosts.machines.at("m1").runner;
+    const auto new_runner = c.hosts.machines.at("m1").runner;
     c.time.run_for(8s);
     STRCMP_EQUAL("completed", c.store.find("wave-status/1")->value.c_str());
-    STRCMP_EQUAL(came.c_str(), c.hosts.machines.at("m1").runner.c_str());
+    STRCMP_EQUAL(new_runner.c_str(), c.hosts.machines.at("m1").runner.c_str());
     auto j = c.make_job_on_each("a", 3);
     j.steps[0].long_running = true;
     c.put_job(j);
@@ -85,13 +87,14 @@
     STRCMP_EQUAL("", c.breaches().c_str());
 }
 
-// Guards against giving a machine's place in a wave to another while an order for it that got no
-// answer may still be carried out: that a repeat was refused says nothing of the order before.
-TEST(machine_orders, a_refused_repeat_keeps_the_place_of_an_order_without_an_answer)
+// Guards against giving a machine's place in a wave to another machine while an unanswered order
+// for the first may still be carried out: the refusal of a repeat proves nothing about the order
+// before.
+TEST(machine_orders, a_refused_repeat_keeps_the_place_of_an_unanswered_order)
 {
-    const auto late = c.hosts.machine_port(ghost);
+    const auto surviving_machines = c.hosts.machine_port(surviving_process);
     int orders = 0;
-    c.plant = [&](node& n)
+    c.customize_node = [&](node& n)
     {
         n.ctx.machines.maintain =
             [&, real = n.ctx.machines.maintain](
@@ -100,9 +103,10 @@
             ++orders;
             if (orders == 1)
             {
-                const auto unheard = [](ports::machine_verdict) {
+                const auto ignore_answer = [](ports::machine_verdict) {
                 };
-                c.time.after(3s, [=] { late.maintain(machine, wave, token, unheard); });
+                c.time.after(
+                    3s, [=] { surviving_machines.maintain(machine, wave, token, ignore_answer); });
                 n.ctx.time.after(1s, [done] { done(ports::machine_verdict::unknown); });
             }
             else if (orders == 2)
--- a/libs/hosted/tests/owner_changes_tests.cpp
+++ b/libs/hosted/tests/owner_changes_tests.cpp
@@ -59,7 +59,7 @@
         {
             prepare(c);
         }
-        c.hosts.takes_starts_by_any_lease = true;
+        c.hosts.accepts_starts_under_any_lease = true;
         c.hosts.behaviour.run_time = 6s;
         for (int i = 0; i < 5; ++i)
         {
@@ -134,20 +134,20 @@
 
     std::string play(const change_plan& p)
     {
-        c.hosts.orders_late = 0.5;
-        c.hosts.polls_late = 0.2;
-        c.hosts.answers_slow = 0.2;
+        c.hosts.late_order_share = 0.5;
+        c.hosts.late_poll_share = 0.2;
+        c.hosts.slow_answer_share = 0.2;
         c.put_job(c.make_job_on_each("a", 3)); // with room for each to start elsewhere
         c.time.run_for(50ms);
         c.hosts.cut(some_busy(), p.dark);
         c.time.after(p.first_at, [this, p] { end_term(p.first); });
         c.time.after(p.first_at + p.second_after, [this, p] { end_term(p.second); });
         c.store.writes_to_delay = p.writes_late;
-        c.store.late_by = p.late_by;
+        c.store.delayed_write_time = p.late_by;
         c.time.run_for(6s);
-        c.hosts.orders_late = 0;
-        c.hosts.polls_late = 0;
-        c.hosts.answers_slow = 0;
+        c.hosts.late_order_share = 0;
+        c.hosts.late_poll_share = 0;
+        c.hosts.slow_answer_share = 0;
         const bool ended = c.ends("a", job_state::completed, 60s);
         return c.breaches() + (ended ? "" : "the job did not end");
     }
@@ -166,7 +166,7 @@
 /// \return the first problem, or nothing; \p played counts the runs.
 std::string play_all(void (*prepare)(cluster&), int& played)
 {
-    const auto first_seed = number_from("CAMPHORHITCH_SEED", 1);
+    const auto first_seed = read_number("CAMPHORHITCH_SEED", 1);
     for (const auto dark : {900ms, 2400ms, 3600ms, 5200ms})
     {
         for (auto at = 0ms; at <= 2800ms; at += 200ms)
@@ -201,7 +201,7 @@
 void through_relays(cluster& c)
 {
     relays.clear();
-    c.plant = [&c](node& n)
+    c.customize_node = [&c](node& n)
     {
         n.ctx.runners = relays.emplace_back(c, n).port();
     };
@@ -239,7 +239,7 @@
 // With a safeguard taken out some two changes break a promise: the checks can fail.
 TEST(owner_changes, a_safeguard_taken_out_is_seen)
 {
-    for (const auto prepare : {hide_runners, deny_leases, ignore_time_and_tokens})
+    for (const auto prepare : {hide_runner_record, report_leases_as_ended, ignore_lease_and_tokens})
     {
         int played = 0;
         CHECK(!play_all(prepare, played).empty());
--- a/libs/hosted/tests/pending_count_tests.cpp
+++ b/libs/hosted/tests/pending_count_tests.cpp
@@ -21,8 +21,8 @@
     /// Two nodes, of which one coordinates and has told that no job waits.
     void begin()
     {
-        const auto more = c.plant;
-        c.plant = [this, more](node& n)
+        const auto more = c.customize_node;
+        c.customize_node = [this, more](node& n)
         {
             n.ctx.store.commit = [this, real = n.ctx.store.commit](const auto& t, const auto& done)
             {
@@ -124,7 +124,7 @@
 TEST(pending_count, a_fresh_record_of_an_old_view_is_not_told)
 {
     bool deaf = false;
-    c.plant = [&](node& n)
+    c.customize_node = [&](node& n)
     {
         n.ctx.store.watch = [&, real = n.ctx.store.watch](
                                 const std::string& prefix, auto after, auto wait, const auto& done)
@@ -154,7 +154,7 @@
 // alone that had no room, as if the ordered ones ran.
 TEST(pending_count, a_job_whose_start_is_not_answered_still_waits)
 {
-    c.plant = [](node& n)
+    c.customize_node = [](node& n)
     {
         n.ctx.runners.start = [time = n.ctx.time](const auto&, const auto&, const auto& done)
         {
@@ -202,7 +202,7 @@
 TEST(pending_count, a_copy_from_before_a_sleep_is_not_told)
 {
     core::millis slept{0};
-    c.plant = [&](node& n)
+    c.customize_node = [&](node& n)
     {
         n.ctx.time.now = [&]
         {
@@ -285,7 +285,7 @@
 TEST(pending_count, a_long_reading_of_the_history_ends_by_the_deadline)
 {
     bool slow = false;
-    c.plant = [&](node& n)
+    c.customize_node = [&](node& n)
     {
         n.ctx.store.watch = [&, time = n.ctx.time, real = n.ctx.store.watch](
                                 const auto& prefix, auto after, core::millis wait, const auto& done)
@@ -308,7 +308,7 @@
 // The history comes in parts, the first without the newest jobs. A part is not told for the whole.
 TEST(pending_count, a_history_in_parts_is_read_to_its_end)
 {
-    c.plant = [](node& n)
+    c.customize_node = [](node& n)
     {
         n.ctx.store.watch = [real = n.ctx.store.watch](
                                 const auto& prefix, auto after, core::millis wait, const auto& done)
@@ -356,7 +356,7 @@
 {
     c.store.page_size = 2;
     bool slow = false;
-    c.plant = [&](node& n)
+    c.customize_node = [&](node& n)
     {
         n.ctx.store.range = [&, time = n.ctx.time, real = n.ctx.store.range](
                                 const std::string& prefix, const auto& after, const auto& done)
@@ -421,7 +421,7 @@
     int readings = 0;
     int out = 0;
     int most_out = 0;
-    c.plant = [&](node& n)
+    c.customize_node = [&](node& n)
     {
         n.ctx.store.watch = [&, time = n.ctx.time, real = n.ctx.store.watch](
                                 const auto& prefix, auto after, core::millis wait, const auto& done)
--- a/libs/hosted/tests/pending_races_tests.cpp
+++ b/libs/hosted/tests/pending_races_tests.cpp
@@ -65,7 +65,7 @@
 TEST(pending_races, a_former_owner_stores_no_count)
 {
     const node* deaf = nullptr;
-    c.plant = [&](node& n)
+    c.customize_node = [&](node& n)
     {
         n.ctx.store.watch = [&, real = n.ctx.store.watch](
                                 const std::string& prefix, auto after, auto wait, const auto& done)
@@ -157,7 +157,7 @@
     const node* sleeper = nullptr;
     core::millis slept{0};
     bool nobody_may_lead = false;
-    c.plant = [&](node& n)
+    c.customize_node = [&](node& n)
     {
         n.ctx.time.now = [&]
         {
--- a/libs/hosted/tests/random_count_tests.cpp
+++ b/libs/hosted/tests/random_count_tests.cpp
@@ -18,7 +18,7 @@
 /// Asks nodes how many jobs wait while everything fails, and checks each answer.
 struct counting_world
 {
-    random_world w;
+    random_simulation w;
     std::mt19937_64 random; ///< of its own: the faults stay those of the seed
     std::map<std::string, core::mono_time> accepted;
     std::map<std::string, core::mono_time> begun; ///< at the runners; noted within a step
@@ -30,7 +30,7 @@
     explicit counting_world(std::uint64_t seed, const std::function<void(cluster&)>& prepare = {})
         : w(seed, prepare), random(seed)
     {
-        w.on_step = [this]
+        w.after_step = [this]
         {
             step();
         };
@@ -53,7 +53,7 @@
         {
             accepted.try_emplace(id, w.c.time.now());
         }
-        for (const auto& id : w.c.hosts.begun)
+        for (const auto& id : w.c.hosts.started_jobs)
         {
             begun.try_emplace(id, w.c.time.now());
         }
@@ -65,7 +65,7 @@
         return static_cast<int>(std::count_if(accepted.begin(),
             accepted.end(),
             [&](const auto& it)
-            { return it.second < before && !w.c.hosts.begun.contains(it.first); }));
+            { return it.second < before && !w.c.hosts.started_jobs.contains(it.first); }));
     }
 
     /// \return jobs that had not begun 2 s ago, and those accepted since.
@@ -112,7 +112,7 @@
     void play(int steps)
     {
         w.play(steps);
-        w.heal();
+        w.clear_faults();
         w.c.time.run_for(15s); // leases lapse, runners are looked at
         for (int i = 0; i < 40; ++i)
         {
@@ -172,7 +172,7 @@
     constexpr int steps = 120;
     const auto still = [](cluster& c)
     {
-        c.plant = [](node& n)
+        c.customize_node = [](node& n)
         {
             n.ctx.store.get = [real = n.ctx.store.get](
                                   const std::string& key, auto fresh, const auto& done)
--- a/libs/hosted/tests/random_fleet_tests.cpp
+++ b/libs/hosted/tests/random_fleet_tests.cpp
@@ -11,26 +11,28 @@
 namespace
 {
 
-/// Plays one seed's faults, heals, and expects every promise kept and every job ended.
+/// Simulates one seed's faults, ends them, and expects that no promise is broken and every job
+/// ends.
 void play_seed(
     std::uint64_t seed, int default_steps, const std::function<void(cluster&)>& prepare = {})
 {
-    random_world w(seed, prepare);
-    w.play(static_cast<int>(
-        number_from("CAMPHORHITCH_STEPS", static_cast<std::uint64_t>(default_steps))));
-    w.heal();
-    w.c.time.run_until([&] { return w.unfinished() == 0; }, 60s);
-    const auto about = "seed " + std::to_string(seed) + w.last_lines();
-    STRCMP_EQUAL_TEXT("", w.c.breaches().c_str(), about.c_str());
-    LONGS_EQUAL_TEXT(0, w.unfinished(), about.c_str());
+    random_simulation simulation(seed, prepare);
+    simulation.play(static_cast<int>(
+        read_number("CAMPHORHITCH_STEPS", static_cast<std::uint64_t>(default_steps))));
+    simulation.clear_faults();
+    simulation.c.time.run_until([&] { return simulation.unfinished() == 0; }, 60s);
+    const auto about = "seed " + std::to_string(seed) + simulation.describe_open_jobs();
+    STRCMP_EQUAL_TEXT("", simulation.c.breaches().c_str(), about.c_str());
+    LONGS_EQUAL_TEXT(0, simulation.unfinished(), about.c_str());
 }
 
 } // namespace
 
 TEST_GROUP(random_fleet){};
 
-// Whatever fails, in whatever order: no task runs twice or before its time, no host is over its
-// room, no budget of attempts is passed; and once all is well every job ends.
+// Under any sequence of faults, no task runs twice or before the steps it depends on, no host
+// exceeds its capacity, and no task exceeds its attempts. Once the faults have ended, every job
+// ends.
 TEST(random_fleet, no_promise_is_broken_and_every_job_ends)
 {
     constexpr std::uint64_t seeds = 12;
@@ -38,8 +40,8 @@
     for_each_seed(seeds, [](std::uint64_t seed) { play_seed(seed, steps); });
 }
 
-// The coordinator's orders go through the other nodes, which die, stand still, and wake with orders
-// that are seconds old: carried out then, they break no promise either.
+// The coordinator's orders go through the other nodes, which die, pause, and resume with orders
+// that are seconds old. Carried out then, these orders must not break a promise either.
 TEST(random_fleet, no_promise_is_broken_with_relays)
 {
     constexpr std::uint64_t seeds = 12;
@@ -52,7 +54,7 @@
                 steps,
                 [&](cluster& c)
                 {
-                    c.plant = [&](node& n)
+                    c.customize_node = [&](node& n)
                     {
                         n.ctx.runners = relays.emplace_back(c, n).port();
                     };
@@ -60,20 +62,20 @@
         });
 }
 
-// As in a fleet of thousands, hosts that run nothing are asked seldom or not at all, and what fails
-// there is learnt late: that breaks no promise either.
-TEST(random_fleet, no_promise_is_broken_while_idle_hosts_rest)
+// As in a fleet of thousands of hosts, hosts that run nothing are polled rarely or not at all, so
+// their failures become known late. That must not break a promise either.
+TEST(random_fleet, no_promise_is_broken_while_idle_polls_are_delayed)
 {
     constexpr std::uint64_t seeds = 12;
     constexpr int steps = 120;
     for_each_seed(seeds,
         [](std::uint64_t seed)
-        { play_seed(seed, steps, [](cluster& c) { c.settings.most_idle_polls_per_second = 1; }); });
+        { play_seed(seed, steps, [](cluster& c) { c.settings.max_idle_polls_per_second = 1; }); });
 }
 
-// Each of these failed once: ends acknowledged after their lease had lapsed counted as taken note
-// of (100), a cut watch was never answered (204), a call of a paused process never timed out (706).
-// All three were faults of the stand-ins; the seeds stay, since they reach far.
+// Each of these seeds once revealed a fault of the fakes: ends acknowledged after their lease had
+// expired counted as acknowledged (100), a broken watch was never answered (204), a call of a
+// paused process never timed out (706). The seeds are kept since they reach rare states.
 TEST(random_fleet, seeds_that_failed_once)
 {
     constexpr int steps = 120;
@@ -83,22 +85,23 @@
     }
 }
 
-// Each safeguard that is taken out breaks a promise within some seeds: the checks can fail.
-TEST(random_fleet, a_safeguard_taken_out_is_seen)
+// Disabling any one safeguard breaks a promise within some seeds, which shows that the checks can
+// fail.
+TEST(random_fleet, a_disabled_safeguard_is_detected)
 {
-    constexpr std::uint64_t most_seeds = 60;
+    constexpr std::uint64_t max_seeds = 60;
     constexpr int steps = 120;
-    for (const auto& it : planted_faults)
+    for (const auto& it : disabled_safeguards)
     {
-        bool seen = false;
-        for (std::uint64_t seed = 1; seed <= most_seeds && !seen; ++seed)
+        bool detected = false;
+        for (std::uint64_t seed = 1; seed <= max_seeds && !detected; ++seed)
         {
-            random_world w(seed, it.prepare);
-            w.play(steps);
-            w.heal();
-            w.c.time.run_until([&] { return w.unfinished() == 0; }, 30s);
-            seen = !w.c.hosts.broken.empty() || w.unfinished() > 0;
+            random_simulation simulation(seed, it.prepare);
+            simulation.play(steps);
+            simulation.clear_faults();
+            simulation.c.time.run_until([&] { return simulation.unfinished() == 0; }, 30s);
+            detected = !simulation.c.hosts.broken_promises.empty() || simulation.unfinished() > 0;
         }
-        CHECK_TEXT(seen, it.name);
+        CHECK_TEXT(detected, it.name);
     }
 }
--- a/libs/hosted/tests/random_simulation.hpp
+++ b/libs/hosted/tests/random_simulation.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Jobs come and everything that may fail does, by a seed.
+/// Simulation of a cluster with random jobs and faults, from a seed.
 #pragma once
 
 #include "hosted_fakes/cluster.hpp"
@@ -15,34 +15,35 @@
 using hosted_fakes::cluster;
 using hosted_fakes::node;
 
-inline std::uint64_t number_from(const char* name, std::uint64_t fallback)
+inline std::uint64_t read_number(const char* name, std::uint64_t fallback)
 {
     const char* const text = std::getenv(name);
     return text == nullptr ? fallback : std::strtoull(text, nullptr, 10);
 }
 
-/// Calls \p play with each seed from 1 to \p count; CAMPHORHITCH_SEED and CAMPHORHITCH_SEEDS name
-/// another first one and another count.
+/// Calls \p play with each seed from 1 to \p count. The environment variables CAMPHORHITCH_SEED and
+/// CAMPHORHITCH_SEEDS override the first seed and the count.
 template <class Fn>
 void for_each_seed(std::uint64_t count, Fn play)
 {
-    const auto first = number_from("CAMPHORHITCH_SEED", 1);
-    const auto seeds = number_from("CAMPHORHITCH_SEEDS", count);
+    const auto first = read_number("CAMPHORHITCH_SEED", 1);
+    const auto seeds = read_number("CAMPHORHITCH_SEEDS", count);
     for (auto seed = first; seed < first + seeds; ++seed)
     {
         play(seed);
     }
 }
 
-/// Jobs come and everything that may fail does, in turn and together.
-struct random_world
+/// A cluster in which random jobs arrive and random faults occur, alone and together.
+struct random_simulation
 {
     cluster c;
     std::mt19937_64 random;
     std::vector<std::string> jobs;
-    std::function<void()> on_step; ///< after each step's time has passed
+    std::function<void()> after_step; ///< called after each step
 
-    explicit random_world(std::uint64_t seed, const std::function<void(cluster&)>& prepare = {})
+    explicit random_simulation(
+        std::uint64_t seed, const std::function<void(cluster&)>& prepare = {})
         : c(seed), random(seed)
     {
         if (prepare)
@@ -57,7 +58,7 @@
         {
             c.add_node();
         }
-        c.hosts.behaviour.fails = 0.05;
+        c.hosts.behaviour.failure_share = 0.05;
     }
 
     int below(int n)
@@ -65,12 +66,12 @@
         return std::uniform_int_distribution<int>(0, n - 1)(random);
     }
 
-    std::string some_machine()
+    std::string random_machine()
     {
         return "m" + std::to_string(1 + below(6));
     }
 
-    node& some_node()
+    node& random_node()
     {
         auto it = c.nodes.begin();
         std::advance(it, below(static_cast<int>(c.nodes.size())));
@@ -87,7 +88,7 @@
         c.put_job(j);
     }
 
-    void kill_node(node& n)
+    void replace_node(node& n)
     {
         if (!n.process.dead)
         {
@@ -96,31 +97,31 @@
         }
     }
 
-    void fault()
+    void inject_fault()
     {
         switch (below(10))
         {
         case 0:
-            kill_node(some_node());
+            replace_node(random_node());
             break;
         case 1:
             if (auto* const n = c.leader())
             {
-                kill_node(*n);
+                replace_node(*n);
             }
             break;
         case 2:
         {
-            auto& n = some_node();
+            auto& n = random_node();
             n.process.paused = true;
             c.time.after(core::millis{500 + below(4000)}, [this, &n] { c.time.resume(n.process); });
             break;
         }
         case 3:
-            c.hosts.crash(some_machine(), core::millis{300 + below(5000)});
+            c.hosts.crash(random_machine(), core::millis{300 + below(5000)});
             break;
         case 4:
-            c.hosts.cut(some_machine(), core::millis{300 + below(6000)});
+            c.hosts.cut(random_machine(), core::millis{300 + below(6000)});
             break;
         case 5:
             c.store.down = true;
@@ -137,7 +138,7 @@
             break;
         case 9:
         {
-            auto& n = some_node();
+            auto& n = random_node();
             n.process.store_cut = true;
             c.time.after(core::millis{300 + below(4000)}, [&n] { n.process.store_cut = false; });
             break;
@@ -151,44 +152,45 @@
     {
         for (int i = 0; i < steps; ++i)
         {
-            c.hosts.orders_late = below(4) == 0 ? 0.2 : 0.0;
+            c.hosts.late_order_share = below(4) == 0 ? 0.2 : 0.0;
             if (below(2) == 0)
             {
                 add_job();
             }
             if (below(3) == 0)
             {
-                fault();
+                inject_fault();
             }
             c.time.run_for(core::millis{50 + below(400)});
-            if (on_step)
+            if (after_step)
             {
-                on_step();
+                after_step();
             }
         }
     }
 
-    /// Everything is well again.
-    void heal()
+    /// Ends all faults of the store, the runners and the network.
+    void clear_faults()
     {
         c.store.down = false;
         c.store.answers_to_lose = 0;
         c.store.writes_to_delay = 0;
-        c.hosts.orders_late = 0;
-        c.hosts.behaviour.fails = 0;
+        c.hosts.late_order_share = 0;
+        c.hosts.behaviour.failure_share = 0;
         for (auto& it : c.nodes)
         {
             it.process.store_cut = false;
         }
     }
 
-    /// What the coordinator said last, for the report of a failure.
-    std::string last_lines()
+    /// \return the open jobs with their log lines and the coordinator's last log lines, for the
+    /// report of a failure; empty if no job is open.
+    std::string describe_open_jobs()
     {
         auto* const n = c.leader();
         if (unfinished() == 0 || n == nullptr)
         {
-            return unfinished() == 0 ? "" : "; nobody coordinates";
+            return unfinished() == 0 ? "" : "; no node coordinates";
         }
         std::string out;
         for (const auto& it : jobs)
@@ -207,9 +209,10 @@
                 }
             }
         }
-        constexpr std::size_t most = 30;
+        constexpr std::size_t max_lines = 30;
         const auto& lines = n->log.lines;
-        for (std::size_t i = lines.size() - std::min(lines.size(), most); i < lines.size(); ++i)
+        for (std::size_t i = lines.size() - std::min(lines.size(), max_lines); i < lines.size();
+             ++i)
         {
             out += "\n" + lines[i];
         }
--- a/libs/hosted/tests/relay_registry_tests.cpp
+++ b/libs/hosted/tests/relay_registry_tests.cpp
@@ -11,28 +11,28 @@
 namespace
 {
 
-/// A node that offers to relay, or follows those that do.
-struct registered
+/// A node that registers as a relay, or follows the registered relays.
+struct registered_node
 {
     daemon_fakes::process process;
     daemon_fakes::log_recorder log;
-    std::vector<ports::relay_endpoint> seen;
-    int told = 0;
+    std::vector<ports::relay_endpoint> listed;
+    int calls = 0;
     hosted::context ctx;
-    std::unique_ptr<relay_registry> made;
+    std::unique_ptr<relay_registry> registry;
 
-    registered(daemon_fakes::virtual_time& time, store& s, const std::string& member)
+    registered_node(daemon_fakes::virtual_time& time, store& s, const std::string& member)
     {
         ctx.member = member;
         ctx.time = time.port(process);
         ctx.store = s.port(process);
         ctx.tel = log.port(time);
-        made = std::make_unique<relay_registry>(ctx,
+        registry = std::make_unique<relay_registry>(ctx,
             hosted::registry_settings{},
             [this](std::vector<ports::relay_endpoint> all)
             {
-                seen = std::move(all);
-                ++told;
+                listed = std::move(all);
+                ++calls;
             });
     }
 };
@@ -43,7 +43,7 @@
     const char* text;
 };
 
-const damaged_row damaged[] = {
+const damaged_row damaged_entries[] = {
     {"no document", "\xff{"},
     {"another type", "[1]"},
     {"a field missing", R"({"address":"10.0.0.1:7060","zone":"z"})"},
@@ -57,20 +57,20 @@
 TEST_GROUP(relay_registry)
 {
     daemon_fakes::virtual_time time;
-    store kept{time};
-    registered a{time, kept, "a"};
-    registered watcher{time, kept, "w"};
-    const ports::relay_endpoint place{"a", "10.0.0.1:7060", "z", 0.25};
+    store kv{time};
+    registered_node a{time, kv, "a"};
+    registered_node watcher{time, kv, "w"};
+    const ports::relay_endpoint endpoint{"a", "10.0.0.1:7060", "z", 0.25};
 
-    bool sees(std::size_t n)
+    bool lists(std::size_t n)
     {
-        return time.run_until([&] { return watcher.seen.size() == n; }, 40s);
+        return time.run_until([&] { return watcher.listed.size() == n; }, 40s);
     }
 };
 
-TEST(relay_registry, a_place_comes_back_as_it_was)
+TEST(relay_registry, a_written_endpoint_is_read_back)
 {
-    const auto read = hosted::read_relay("a", hosted::write_relay(place));
+    const auto read = hosted::read_relay("a", hosted::write_relay(endpoint));
     CHECK(core::is_ok(read));
     STRCMP_EQUAL("a", core::value(read).member.c_str());
     STRCMP_EQUAL("10.0.0.1:7060", core::value(read).address.c_str());
@@ -80,80 +80,80 @@
 
 TEST(relay_registry, followers_see_who_offers_and_who_withdraws)
 {
-    watcher.made->follow();
-    a.made->offer(place);
-    CHECK(sees(1));
+    watcher.registry->follow();
+    a.registry->advertise(endpoint);
+    CHECK(lists(1));
     time.run_for(30s);
-    CHECK_EQUAL(1U, watcher.seen.size());
-    a.made->withdraw();
-    CHECK(sees(0));
+    CHECK_EQUAL(1U, watcher.listed.size());
+    a.registry->withdraw();
+    CHECK(lists(0));
 }
 
-// Guards against a coordinator of many nodes that does little but take in lists as it has them:
-// each node writes its key twice a minute.
-TEST(relay_registry, an_entry_written_again_as_it_was_is_not_told)
+// Each node rewrites its key twice a minute. Guards against a coordinator of many nodes that spends
+// its time on applying unchanged lists.
+TEST(relay_registry, an_entry_rewritten_without_a_change_is_not_reported)
 {
-    watcher.made->follow();
-    a.made->offer(place);
-    CHECK(sees(1));
-    const auto before = watcher.told;
-    const auto written = kept.find(hosted::relay_key("a"))->modified;
+    watcher.registry->follow();
+    a.registry->advertise(endpoint);
+    CHECK(lists(1));
+    const auto before = watcher.calls;
+    const auto written = kv.find(hosted::relay_key("a"))->modified;
     time.run_for(70s);
-    CHECK(kept.find(hosted::relay_key("a"))->modified > written);
-    CHECK_EQUAL(before, watcher.told);
+    CHECK(kv.find(hosted::relay_key("a"))->modified > written);
+    CHECK_EQUAL(before, watcher.calls);
 }
 
-TEST(relay_registry, a_dead_node_is_listed_no_more_after_its_lease)
+TEST(relay_registry, a_dead_node_is_removed_after_its_lease)
 {
-    watcher.made->follow();
-    a.made->offer(place);
-    CHECK(sees(1));
+    watcher.registry->follow();
+    a.registry->advertise(endpoint);
+    CHECK(lists(1));
     a.process.dead = true;
-    CHECK(sees(0));
+    CHECK(lists(0));
 }
 
-// The store takes the key away while the lease goes on: the node is listed again.
-TEST(relay_registry, an_entry_that_was_taken_away_is_written_again)
+// The store removes the key while the lease continues. The node must be listed again.
+TEST(relay_registry, a_removed_entry_is_written_again)
 {
-    watcher.made->follow();
-    a.made->offer(place);
-    CHECK(sees(1));
-    kept.revoke(hosted::relay_key("a"));
-    CHECK(sees(0));
-    CHECK(sees(1));
+    watcher.registry->follow();
+    a.registry->advertise(endpoint);
+    CHECK(lists(1));
+    kv.revoke(hosted::relay_key("a"));
+    CHECK(lists(0));
+    CHECK(lists(1));
 }
 
-// The node stands still for longer than its lease, and is listed again once it goes on.
-TEST(relay_registry, a_lapsed_entry_is_written_again)
+// The node is paused for longer than its lease. It must be listed again once it continues.
+TEST(relay_registry, an_expired_entry_is_written_again)
 {
-    watcher.made->follow();
-    a.made->offer(place);
-    CHECK(sees(1));
+    watcher.registry->follow();
+    a.registry->advertise(endpoint);
+    CHECK(lists(1));
     a.process.paused = true;
-    CHECK(sees(0));
+    CHECK(lists(0));
     time.resume(a.process);
-    CHECK(sees(1));
+    CHECK(lists(1));
 }
 
-TEST(relay_registry, an_entry_that_cannot_be_read_is_passed_over)
+TEST(relay_registry, an_unreadable_entry_is_ignored)
 {
-    watcher.made->follow();
-    a.made->offer(place);
-    for (const auto& row : damaged)
+    watcher.registry->follow();
+    a.registry->advertise(endpoint);
+    for (const auto& row : damaged_entries)
     {
         CHECK_TEXT(!core::is_ok(hosted::read_relay("b", row.text)), row.name);
-        kept.put(hosted::relay_key("b"), row.text);
+        kv.put(hosted::relay_key("b"), row.text);
     }
-    CHECK(sees(1));
+    CHECK(lists(1));
     CHECK(watcher.log.has("relay_entry_damaged"));
 }
 
-TEST(relay_registry, a_store_that_fails_is_tried_again)
+TEST(relay_registry, calls_to_a_failing_store_are_retried)
 {
-    kept.busy = true;
-    a.made->offer(place);
-    watcher.made->follow();
+    kv.busy = true;
+    a.registry->advertise(endpoint);
+    watcher.registry->follow();
     time.run_for(5s);
-    kept.busy = false;
-    CHECK(sees(1));
+    kv.busy = false;
+    CHECK(lists(1));
 }
--- a/libs/hosted/tests/revoked_key_tests.cpp
+++ b/libs/hosted/tests/revoked_key_tests.cpp
@@ -38,9 +38,9 @@
         };
     }
 
-    void plant()
+    void customize_node()
     {
-        c.plant = [this](node& n)
+        c.customize_node = [this](node& n)
         {
             const ports::runner_answer silence{ports::runner_verdict::unknown, -1};
             cut(n, n.ctx.runners.start, silence);
@@ -66,7 +66,7 @@
     /// \return the promises that were broken when the key was taken away \p at into a job.
     std::string play(core::millis at, core::millis late)
     {
-        plant();
+        customize_node();
         c.hosts.behaviour.run_time = 10s;
         for (int i = 0; i < 3; ++i)
         {
--- a/libs/hosted/tests/runner_list_tests.cpp
+++ b/libs/hosted/tests/runner_list_tests.cpp
@@ -9,13 +9,13 @@
 namespace
 {
 
-/// A pool in which each host is filled by eight tasks that go on, and one task waits.
+/// A pool in which each host is fully used by eight running tasks, and one task waits.
 struct full_pool
 {
     cluster c;
-    std::size_t room = 0;
+    std::size_t capacity = 0;
 
-    explicit full_pool(int hosts) : room(static_cast<std::size_t>(hosts) * 8)
+    explicit full_pool(int hosts) : capacity(static_cast<std::size_t>(hosts) * 8)
     {
         c.hosts.behaviour.run_time = 60s;
         for (int i = 0; i < hosts; ++i)
@@ -25,8 +25,8 @@
         c.add_node();
         CHECK(c.has_leader());
         c.time.run_for(1s);
-        c.put_job(c.make_job("full", static_cast<int>(room)));
-        CHECK(c.time.run_until([&] { return c.running() == room; }, 20s));
+        c.put_job(c.make_job("full", static_cast<int>(capacity)));
+        CHECK(c.time.run_until([&] { return c.running() == capacity; }, 20s));
         c.put_job(c.make_job("waits", 1));
         c.time.run_for(1s);
     }
@@ -36,63 +36,63 @@
 
 TEST_GROUP(runner_list){};
 
-// A busy time begins with its pool short of hosts. Guards against callers who wait for the next
-// reading of the whole list while the host that was moved for them stands ready.
+// A pool is short of hosts when its load rises. Guards against callers that wait for the next read
+// of the whole list while a host that was moved for them is ready.
 TEST(runner_list, a_host_that_joins_a_full_pool_gets_the_waiting_work_at_once)
 {
     for (const int hosts : {5, 50, 200})
     {
-        // Each joins at another moment between two readings, were there any.
+        // Each host joins at a different time between two reads, if the list were read repeatedly.
         for (const auto later : {0ms, 110ms, 230ms, 340ms})
         {
-            full_pool w(hosts);
-            w.c.time.run_for(later);
-            const auto joined = w.c.time.now();
-            w.c.hosts.add("p");
-            CHECK(w.c.time.run_until([&] { return w.c.running() > w.room; }, 2s));
-            CHECK(w.c.time.now() - joined <= 150ms);
-            STRCMP_EQUAL("", w.c.breaches().c_str());
+            full_pool f(hosts);
+            f.c.time.run_for(later);
+            const auto joined = f.c.time.now();
+            f.c.hosts.add("p");
+            CHECK(f.c.time.run_until([&] { return f.c.running() > f.capacity; }, 2s));
+            CHECK(f.c.time.now() - joined <= 150ms);
+            STRCMP_EQUAL("", f.c.breaches().c_str());
         }
     }
 }
 
-// Guards against an owner of many hosts that does little but go through entries which say what they
-// said before.
-TEST(runner_list, an_entry_written_again_as_it_was_plans_nothing_anew)
+// Guards against a coordinator of many hosts that spends its time on entries that have not changed.
+TEST(runner_list, an_entry_rewritten_without_a_change_causes_no_event)
 {
     cluster c;
     c.hosts.add("p");
     c.add_node();
     CHECK(c.has_leader());
     c.time.run_for(2s);
-    auto& owner = *c.leader();
+    auto& leader = *c.leader();
     const auto* const entry = c.store.find("runner/" + c.hosts.machines.begin()->second.runner);
     const auto text = entry->value;
     const auto key = entry->key;
-    const auto lines = owner.log.lines.size();
+    const auto lines = leader.log.lines.size();
     for (int i = 0; i < 20; ++i)
     {
         c.store.put(key, text);
         c.time.run_for(50ms);
     }
-    std::string told;
-    for (std::size_t i = lines; i < owner.log.lines.size(); ++i)
+    std::string events;
+    for (std::size_t i = lines; i < leader.log.lines.size(); ++i)
     {
-        const auto& it = owner.log.lines[i];
-        told += it.find("host_") != std::string::npos ? it : std::string{};
+        const auto& it = leader.log.lines[i];
+        events += it.find("host_") != std::string::npos ? it : std::string{};
     }
-    STRCMP_EQUAL("", told.c_str());
+    STRCMP_EQUAL("", events.c_str());
 }
 
-// The watch is cut and the history is dropped while a runner joins: the list is read anew.
-TEST(runner_list, a_runner_that_joins_while_the_history_is_lost_is_found)
+// The watch breaks and the change log is truncated while a runner joins. The list must be read
+// again.
+TEST(runner_list, a_runner_that_joins_while_the_change_log_is_truncated_is_found)
 {
-    full_pool w(3);
-    w.c.store.busy = true;
-    w.c.hosts.add("p");
-    w.c.time.run_for(400ms);
-    w.c.store.compact();
-    w.c.store.busy = false;
-    CHECK(w.c.time.run_until([&] { return w.c.running() > w.room; }, 3s));
-    STRCMP_EQUAL("", w.c.breaches().c_str());
+    full_pool f(3);
+    f.c.store.busy = true;
+    f.c.hosts.add("p");
+    f.c.time.run_for(400ms);
+    f.c.store.compact();
+    f.c.store.busy = false;
+    CHECK(f.c.time.run_until([&] { return f.c.running() > f.capacity; }, 3s));
+    STRCMP_EQUAL("", f.c.breaches().c_str());
 }
--- a/libs/hosted/tests/runner_record_tests.cpp
+++ b/libs/hosted/tests/runner_record_tests.cpp
@@ -23,14 +23,14 @@
         return c.hosts.machines.at(machine).runner;
     }
 
-    /// \return whether the record says when the machine's runner has no lease any more.
-    bool is_told(const std::string& machine) const
+    /// \return whether the record states when the leases of the machine's runner end.
+    bool has_lease_end(const std::string& machine) const
     {
-        return stored().at(runner_of(machine)).rest.has_value();
+        return stored().at(runner_of(machine)).remaining_lease.has_value();
     }
 
-    /// Kills the coordinator and waits for the next one.
-    void hand_over()
+    /// Ends the coordinator's process and waits for the next coordinator.
+    void replace_leader()
     {
         c.leader()->process.dead = true;
         c.add_node();
@@ -48,14 +48,14 @@
     }
 };
 
-TEST(runner_record, what_is_written_is_read)
+TEST(runner_record, a_written_record_is_read_back)
 {
     const hosted::runner_records all{{"i-1", {"10.0.0.1:1", "m1", "p", {}}},
         {"i-2", {"10.0.0.2:1", "", "", core::millis{1700}}}};
     CHECK(hosted::read_runners(hosted::write_runners(all)) == all);
 }
 
-TEST(runner_record, damage_is_told)
+TEST(runner_record, damage_is_reported)
 {
     for (const auto* const it : {"",
              "[]",
@@ -69,9 +69,10 @@
     }
 }
 
-// Coordinators follow each other every two seconds while a runner is cut off with a task. Each of
-// them waiting for a whole lease anew, the caller's job would stand still until the last one.
-TEST(runner_record, quick_take_overs_wait_for_a_silent_runner_once)
+// Coordinators follow each other every two seconds while a runner with a task is cut off. Guards
+// against each of them waiting for a whole lease: the caller's job would stand still until the last
+// coordinator.
+TEST(runner_record, quick_takeovers_wait_for_an_unresponsive_runner_once)
 {
     c.hosts.behaviour.run_time = 2s;
     c.hosts.add("p");
@@ -80,19 +81,21 @@
     c.put_job(c.make_job_on_each("a", 2));
     c.time.run_for(400ms);
     c.hosts.cut("m1", 60s);
-    CHECK(c.time.run_until([this] { return is_told("m1"); }, 2s));
+    CHECK(c.time.run_until([this] { return has_lease_end("m1"); }, 2s));
     for (int i = 0; i < 3; ++i)
     {
-        hand_over();
+        replace_leader();
         c.time.run_for(1s);
     }
-    LONGS_EQUAL(3, c.hosts.starts); // the cut-off task has begun again by now
+    LONGS_EQUAL(
+        3, c.hosts.starts); // the task of the runner that is cut off has been started again by now
     CHECK(c.ends("a", job_state::completed, 3s));
     STRCMP_EQUAL("", c.breaches().c_str());
 }
 
-// A runner is cut off, told in the record, and comes back with its task. The next coordinator, too,
-// must wait for it as for any other: a lease was granted anew meanwhile.
+// A runner is cut off, the record states the end of its leases, and the runner returns with its
+// task. The next coordinator must wait for it as for any other runner, because a new lease was
+// granted meanwhile.
 TEST(runner_record, a_runner_that_came_back_is_waited_for_again)
 {
     c.hosts.behaviour.run_time = 8s;
@@ -102,17 +105,17 @@
     c.put_job(c.make_job_on_each("a", 2));
     c.time.run_for(400ms);
     c.hosts.cut("m1", 2s);
-    CHECK(c.time.run_until([this] { return is_told("m1"); }, 2s));
-    CHECK(c.time.run_until([this] { return !is_told("m1"); }, 2s));
+    CHECK(c.time.run_until([this] { return has_lease_end("m1"); }, 2s));
+    CHECK(c.time.run_until([this] { return !has_lease_end("m1"); }, 2s));
     c.hosts.cut("m1", 60s);
-    hand_over();
+    replace_leader();
     CHECK(c.ends("a", job_state::completed, 20s));
     STRCMP_EQUAL("", c.breaches().c_str());
 }
 
-// A runner of one pool is cut off when the coordinator dies. Jobs of another pool run on runners
-// that all answer: they go on at once.
-TEST(runner_record, a_silent_runner_holds_up_its_own_pool_only)
+// A runner of one pool is cut off when the coordinator dies. Jobs of another pool, whose runners
+// all answer, must continue at once.
+TEST(runner_record, an_unresponsive_runner_delays_its_own_pool_only)
 {
     c.hosts.add("p");
     c.hosts.add("q");
@@ -121,13 +124,13 @@
     auto j = c.make_job("a", 2, 2);
     c.put_job(j);
     c.time.run_for(100ms);
-    hand_over();
+    replace_leader();
     CHECK(c.ends("a", job_state::completed, 1500ms));
     STRCMP_EQUAL("", c.breaches().c_str());
 }
 
-// The list of runners goes on naming one that ended long ago. It never answered this coordinator,
-// so it runs nothing; a successor that found it in the record would keep all jobs waiting for it.
+// The list of runners still names a runner that ended long ago. It never answered this coordinator,
+// so it runs nothing; a successor that found it in the record would let all jobs wait for it.
 TEST(runner_record, a_listed_runner_that_never_answered_is_not_recorded)
 {
     c.hosts.add("p");
@@ -138,8 +141,8 @@
     CHECK(!stored().contains(runner_of("m2")));
 }
 
-// The record is damaged when the coordinator dies: which runners hold tasks is not known. Inherited
-// tasks wait until every lease has ended, new jobs don't.
+// The record is damaged when the coordinator dies, so it is not known which runners hold tasks.
+// Inherited tasks wait until every lease has ended; new jobs do not wait.
 TEST(runner_record, a_damaged_record_holds_inherited_jobs_until_all_leases_end)
 {
     c.hosts.behaviour.run_time = 5s;
--- a/libs/hosted/tests/slowed_owner_tests.cpp
+++ b/libs/hosted/tests/slowed_owner_tests.cpp
@@ -32,7 +32,7 @@
 
     explicit slowed_world(int nodes, double share = share_of_a_node)
     {
-        c.share = share;
+        c.processor_share = share;
         c.hosts.behaviour.run_time = 300ms;
         for (int i = 0; i < 80; ++i)
         {
@@ -90,7 +90,7 @@
         count_anew();
         serve(how_long);
         CHECK(longest < 1s);
-        LONGS_EQUAL(0, c.hosts.lapsed);
+        LONGS_EQUAL(0, c.hosts.expired_runs);
         STRCMP_EQUAL("", c.breaches().c_str());
     }
 
@@ -182,7 +182,7 @@
 TEST(slowed_owner, a_hand_over_that_is_lost_on_the_way_costs_the_lease)
 {
     slowed_world w(1);
-    w.c.plant = [&](node& n)
+    w.c.customize_node = [&](node& n)
     {
         n.ctx.store.end_lease = [](ports::lease_id, const auto& done)
         {
@@ -192,7 +192,7 @@
     auto& owner = w.c.add_node();
     w.c.nodes.front().process.dead = true;
     CHECK(w.c.time.run_until([&] { return w.c.leader() == &owner; }, 5s));
-    w.c.plant = nullptr;
+    w.c.customize_node = nullptr;
     w.c.add_node();
     w.serve(3s);
     w.slow(owner);
@@ -232,7 +232,7 @@
     CHECK(w.said("leadership_handed_over") >= 1);
     CHECK(w.said("leadership_handed_over") <= 5);
     CHECK(w.leaderless < 8s);
-    LONGS_EQUAL(0, w.c.hosts.lapsed);
+    LONGS_EQUAL(0, w.c.hosts.expired_runs);
     STRCMP_EQUAL("", w.c.breaches().c_str());
 }
 
@@ -245,7 +245,7 @@
     slowed_world w(1, 0.06);
     auto& small = w.c.nodes.front();
     CHECK(w.c.leader() == &small);
-    w.c.share = 0.5;
+    w.c.processor_share = 0.5;
     auto& large = w.c.add_node();
     w.c.add_node();
     w.serve(6s);
@@ -272,7 +272,7 @@
     w.serve(60s);
     CHECK(w.said("leadership_handed_over") <= 5);
     CHECK(w.leaderless < 10s);
-    LONGS_EQUAL(0, w.c.hosts.lapsed);
+    LONGS_EQUAL(0, w.c.hosts.expired_runs);
     STRCMP_EQUAL("", w.c.breaches().c_str());
 }
 
@@ -283,11 +283,11 @@
     slowed_world w(3);
     for (int i = 0; i < 3; ++i)
     {
-        w.c.leader()->cpu->stand_still(600ms);
+        w.c.leader()->cpu->stall_for(600ms);
         w.serve(4s);
     }
     LONGS_EQUAL(0, w.said("leadership_lost"));
-    LONGS_EQUAL(0, w.c.hosts.lapsed);
+    LONGS_EQUAL(0, w.c.hosts.expired_runs);
     STRCMP_EQUAL("", w.c.breaches().c_str());
 }
 
@@ -297,7 +297,7 @@
 TEST(slowed_owner, a_node_that_can_not_read_the_jobs_lets_another_try)
 {
     slowed_world w(1);
-    w.c.plant = [&](node& n)
+    w.c.customize_node = [&](node& n)
     {
         n.ctx.store.range = [&n, real = n.ctx.store.range](
                                 const auto& prefix, const auto& after, const auto& done)
@@ -316,7 +316,7 @@
     auto& stuck = w.c.add_node();
     w.c.nodes.front().process.dead = true;
     CHECK(w.c.time.run_until([&] { return w.c.leader() == &stuck; }, 5s));
-    w.c.plant = nullptr;
+    w.c.customize_node = nullptr;
     w.c.add_node();
     w.serve(6s);
     CHECK(w.c.leader() != &stuck);
@@ -339,7 +339,7 @@
         bool keep = false;
         std::vector<std::function<void(ports::poll_answer)>> kept;
         int answered = 0;
-        w.c.plant = [&](node& n)
+        w.c.customize_node = [&](node& n)
         {
             n.ctx.runners.poll = [&, real = n.ctx.runners.poll](
                                      const auto& to, const auto& o, const auto& done)
--- a/libs/hosted/tests/store_silence_tests.cpp
+++ b/libs/hosted/tests/store_silence_tests.cpp
@@ -128,13 +128,13 @@
 // timers fire before the answers are read that came meanwhile: its own delay is no silence.
 TEST(store_silence, a_node_that_stood_still_does_not_blame_the_store)
 {
-    c.share = 0.25;
+    c.processor_share = 0.25;
     auto& slow = c.add_node();
     CHECK(c.has_leader());
     c.time.run_for(2s);
     for (int i = 0; i < 5; ++i)
     {
-        slow.cpu->stand_still(2s);
+        slow.cpu->stall_for(2s);
         c.time.run_for(3s);
     }
     LONGS_EQUAL(0, lines_of(slow, "store_silent").size());
@@ -146,7 +146,7 @@
 // node has read every job. Past its own lease it orders nothing, whatever comes.
 TEST(store_silence, an_owner_goes_on_when_the_store_is_back)
 {
-    c.store.leases_pause = true;
+    c.store.pauses_leases_while_down = true;
     c.hosts.add("p");
     c.hosts.add("p");
     CHECK(c.has_leader());
@@ -189,7 +189,7 @@
 // for quiet, that time would send the hosts off that callers need as soon as the store is back.
 TEST(store_silence, hosts_stay_through_a_silence)
 {
-    c.store.leases_pause = true;
+    c.store.pauses_leases_while_down = true;
     for (int i = 0; i < 6; ++i)
     {
         c.hosts.add("p");
--- a/libs/hosted/tests/take_over_tests.cpp
+++ b/libs/hosted/tests/take_over_tests.cpp
@@ -146,7 +146,7 @@
 {
     node* deaf = nullptr;
     core::millis first_runner_late{0};
-    c.plant = [&](node& n)
+    c.customize_node = [&](node& n)
     {
         const auto watch = n.ctx.store.watch;
         n.ctx.store.watch = [&, watch](const std::string& prefix, auto after, auto wait, auto done)
@@ -188,7 +188,7 @@
 TEST(take_over, leases_outlive_a_long_reading_of_jobs)
 {
     core::millis reading{0};
-    c.plant = [&](node& n)
+    c.customize_node = [&](node& n)
     {
         const auto range = n.ctx.store.range;
         n.ctx.store.range = [&, range](const std::string& prefix, const auto& after, auto done)
@@ -205,7 +205,7 @@
     c.leader()->process.dead = true;
     CHECK(c.has_leader());
     c.time.run_for(5s);
-    LONGS_EQUAL(0, c.hosts.lapsed);
+    LONGS_EQUAL(0, c.hosts.expired_runs);
     LONGS_EQUAL(4, c.running());
     LONGS_EQUAL(4, c.hosts.starts);
     STRCMP_EQUAL("", c.breaches().c_str());
@@ -245,7 +245,7 @@
 TEST(take_over, late_orders_run_nothing_twice)
 {
     begin(1, 3);
-    c.hosts.orders_late = 0.3;
+    c.hosts.late_order_share = 0.3;
     for (int i = 0; i < 10; ++i)
     {
         c.put_job(c.make_job("a" + std::to_string(i), 3));
@@ -262,7 +262,7 @@
 TEST(take_over, attempts_are_counted_once_over_terms)
 {
     begin(2, 2);
-    c.hosts.behaviour.fails = 1;
+    c.hosts.behaviour.failure_share = 1;
     c.put_job(c.make_job("a", 1));
     c.time.run_until([&] { return c.hosts.starts == 2; }, 5s);
     c.leader()->process.dead = true;
@@ -370,7 +370,7 @@
 // for those they have seen: callers' tasks would not start.
 TEST(take_over, each_owner_has_a_term_of_its_own)
 {
-    c.plant = [this](node& n)
+    c.customize_node = [this](node& n)
     {
         n.ctx.store.commit = [this, real = n.ctx.store.commit](const auto& t, const auto& done)
         {
--- a/libs/hosted/tests/termination_evidence_tests.cpp
+++ b/libs/hosted/tests/termination_evidence_tests.cpp
@@ -5,7 +5,7 @@
 using namespace camphorhitch;
 using namespace camphorhitch::hosted_fakes;
 
-TEST_GROUP(life_proofs)
+TEST_GROUP(termination_evidence)
 {
     cluster c;
 
@@ -21,9 +21,10 @@
     }
 };
 
-// Guards against taking the answer from an address that was handed on for the end of the runner
-// that had it: cut off, it works until its lease ends, and its task would run twice.
-TEST(life_proofs, another_runner_at_the_address_of_a_dark_one_ends_no_run)
+// Another runner answers at the address of one that is cut off, because the platform reused the
+// address. Guards against taking that answer as evidence that the first runner has ended: it works
+// until its lease ends, and its task would run twice.
+TEST(termination_evidence, another_runner_at_the_address_of_one_that_is_cut_off_ends_no_run)
 {
     begin(3);
     auto j = c.make_job_on_each("a", 3);
@@ -32,15 +33,15 @@
     c.time.run_for(1s);
     LONGS_EQUAL(3, c.running());
     c.hosts.cut("m1", 20s);
-    c.hosts.hand_on_address("m1");
+    c.hosts.transfer_address("m1");
     c.time.run_for(1s);
     STRCMP_EQUAL("", c.breaches().c_str());
     CHECK(c.time.run_until([&] { return c.hosts.starts == 4; }, 4s));
     STRCMP_EQUAL("", c.breaches().c_str());
 }
 
-// Guards against waiting for leases where the list of machines shows that the runner has ended.
-TEST(life_proofs, a_crashed_runner_whose_machine_is_back_is_not_waited_for)
+// Guards against waiting for the leases of a runner whose end the list of machines shows.
+TEST(termination_evidence, a_crashed_runner_whose_machine_is_back_is_not_waited_for)
 {
     begin(2);
     auto j = c.make_job("a", 2);
@@ -53,12 +54,12 @@
     STRCMP_EQUAL("", c.breaches().c_str());
 }
 
-// Guards against leaving a sound runner idle for good: once it was taken for ended, it was looked
-// at again only when some entry of the list of runners changed.
-TEST(life_proofs, a_runner_taken_for_ended_is_used_again)
+// Guards against leaving a healthy runner idle for good after it was taken for ended: it would be
+// considered again only when some entry of the list of runners changes.
+TEST(termination_evidence, a_runner_taken_for_ended_is_used_again)
 {
     bool other_answers = false;
-    c.plant = [&](node& n)
+    c.customize_node = [&](node& n)
     {
         n.ctx.runners.poll = [&, real = n.ctx.runners.poll](
                                  const auto& to, const auto& order, const auto& done)
--- a/libs/hosted/tests/tidier_tests.cpp
+++ b/libs/hosted/tests/tidier_tests.cpp
@@ -12,7 +12,7 @@
 
     void begin()
     {
-        c.settings.keep_finished = 20s;
+        c.settings.finished_job_retention = 20s;
         c.hosts.add("p");
         c.hosts.add("p");
         c.add_node();
--- a/libs/hosted/tests/unread_jobs_tests.cpp
+++ b/libs/hosted/tests/unread_jobs_tests.cpp
@@ -51,7 +51,7 @@
 
     void setup() override
     {
-        c.plant = [this](node& n)
+        c.customize_node = [this](node& n)
         {
             n.ctx.store.range = [this, &n, range = n.ctx.store.range](const std::string& prefix,
                                     const std::string& after,
@@ -277,12 +277,12 @@
     put_jobs("a", 4);
     c.time.run_for(60s);
     CHECK(lines("leadership_gained") <= 8);
-    LONGS_EQUAL(0, c.hosts.lapsed);
+    LONGS_EQUAL(0, c.hosts.expired_runs);
     LONGS_EQUAL(3, c.running());
     LONGS_EQUAL(3, c.hosts.starts);
     troubled.clear();
     CHECK(all_end("a", 4, 8s));
-    LONGS_EQUAL(0, c.hosts.lapsed);
+    LONGS_EQUAL(0, c.hosts.expired_runs);
     LONGS_EQUAL(7, c.hosts.starts);
     STRCMP_EQUAL("", c.breaches().c_str());
 }
--- a/programs/camphorhitchd/src/hosted_node.cpp
+++ b/programs/camphorhitchd/src/hosted_node.cpp
@@ -150,7 +150,7 @@
         hosted::registry_settings{},
         [this](std::vector<ports::relay_endpoint> all)
         {
-            best_other_share = hosted::best_share_but(all, settings.member);
+            best_other_share = hosted::max_other_share(all, settings.member);
             relays->set_relays(std::move(all));
         });
 }
@@ -185,11 +185,11 @@
             relays->begin();
             registry->follow();
         }
-        driver->begin(term, token);
+        driver->begin_term(term, token);
     };
     events.on_lost = [this](const std::string&)
     {
-        driver->end();
+        driver->end_term();
         if (relays)
         {
             relays->end();
@@ -202,7 +202,7 @@
     drive.rules.leader_lease = settings.timing.leader_lease;
     drive.processor_share = settings.processor_share;
     apply_policy(settings.policy, drive);
-    drive.keep_finished = settings.timing.keep_finished;
+    drive.finished_job_retention = settings.timing.keep_finished;
     driver = std::make_unique<hosted::fleet_driver>(ctx, formats, drive, *lead);
     desk = std::make_unique<hosted::entry_desk>(ctx, hosted::entry_settings{});
     follow_config();
@@ -427,7 +427,7 @@
     p.lead->start();
     if (p.registry)
     {
-        p.registry->offer({p.settings.member,
+        p.registry->advertise({p.settings.member,
             p.settings.listen.relay,
             p.settings.zone,
             p.settings.processor_share});
--- a/programs/camphorhitchd/src/hosted_policy.cpp
+++ b/programs/camphorhitchd/src/hosted_policy.cpp
@@ -43,10 +43,10 @@
 
 void apply_policy(const settings::hosted_policy& from, hosted::driver_settings& to)
 {
-    to.moves = from.moves;
-    to.hands_over = from.hands_over;
-    to.repeats_calls = from.repeats_calls;
-    to.sends_paces = from.paces;
+    to.moves_machines = from.moves;
+    to.hands_over_when_behind = from.hands_over;
+    to.repeats_overdue_calls = from.repeats_calls;
+    to.throttles_best_effort = from.paces;
     to.rules.placement = placement_of(from);
     take_demand(from, to.demand);
     take_moves(from, to.rebalance);
--- a/programs/camphorhitchd/tests/hosted_operators_tests.cpp
+++ b/programs/camphorhitchd/tests/hosted_operators_tests.cpp
@@ -163,7 +163,7 @@
 TEST(hosted_operators, a_coordinator_that_slept_explains_only_what_is_stored)
 {
     core::millis asleep{0};
-    c.plant = [&](node& n)
+    c.customize_node = [&](node& n)
     {
         n.ctx.boot_now = [&]
         {
@@ -185,7 +185,7 @@
 TEST(hosted_operators, a_coordinator_that_has_not_read_a_job_says_so)
 {
     bool blind = false;
-    c.plant = [&](node& n)
+    c.customize_node = [&](node& n)
     {
         n.ctx.store.watch = [&, real = n.ctx.store.watch](
                                 const std::string& prefix, auto after, auto wait, const auto& done)
--- a/testing/hosted_fakes/include/hosted_fakes/cluster.hpp
+++ b/testing/hosted_fakes/include/hosted_fakes/cluster.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Nodes of the system on a hosting platform of virtual time.
+/// Nodes of the system on a simulated hosting platform in virtual time.
 #pragma once
 
 #include "daemon_fakes/recorders.hpp"
@@ -22,14 +22,14 @@
 
 using namespace std::chrono_literals;
 
-/// One node: who may coordinate, and who answers callers.
+/// One node: it may coordinate, and it answers callers.
 struct node
 {
     daemon_fakes::process process;
     daemon_fakes::log_recorder log;
     hosted::formats formats;
     hosted::context ctx;
-    std::unique_ptr<processor> cpu; ///< none: what the node does takes no time
+    std::unique_ptr<processor> cpu; ///< null: the node's work takes no time
     std::unique_ptr<hosted::store_pulse> pulse;
     std::unique_ptr<hosted::leadership> lead;
     std::unique_ptr<hosted::fleet_driver> driver;
@@ -41,13 +41,14 @@
     daemon_fakes::virtual_time time;
     hosted_fakes::store store{time};
     hosted_fakes::hosts hosts;
-    std::list<node> nodes; ///< dead ones too: answers to them are still under way
+    std::list<node> nodes; ///< dead ones too: answers to them may still be in flight
     int last_node = 0;
     hosted::driver_settings settings;
     hosted::leadership_settings leadership;
-    double share = 0; ///< of a core, of each new node; 0: what it does takes no time
-    std::function<void(node&)> on_lost; ///< after a term's end, as a pool of relays hears of it
-    std::function<void(node&)> plant;   ///< changes a new node's ports: takes a safeguard out
+    double processor_share = 0; ///< share of a core for each new node; 0: its work takes no time
+    std::function<void(node&)> on_lost; ///< called after the end of a node's term
+    /// Changes a new node's ports, for example to inject faults or to disable a safeguard.
+    std::function<void(node&)> customize_node;
 
     explicit cluster(std::uint64_t seed = 1) : hosts(time, store, seed)
     {
@@ -67,9 +68,9 @@
         {
             return time.now();
         };
-        if (share > 0)
+        if (processor_share > 0)
         {
-            n.cpu = std::make_unique<processor>(time, n.process, share);
+            n.cpu = std::make_unique<processor>(time, n.process, processor_share);
             n.ctx = n.cpu->wrap(n.ctx);
         }
         n.pulse = std::make_unique<hosted::store_pulse>(
@@ -81,27 +82,27 @@
         };
         n.ctx.best_other_share = [this, &n]
         {
-            return best_share_but(n);
+            return max_other_share(n);
         };
-        if (plant)
+        if (customize_node)
         {
-            plant(n);
+            customize_node(n);
         }
         hosted::leadership_events events;
         events.on_gained = [&n](std::int64_t term, ports::revision token)
         {
-            n.driver->begin(term, token);
+            n.driver->begin_term(term, token);
         };
         events.on_lost = [this, &n](const std::string&)
         {
-            n.driver->end();
+            n.driver->end_term();
             if (on_lost)
             {
                 on_lost(n);
             }
         };
         n.lead = std::make_unique<hosted::leadership>(n.ctx, leadership, events);
-        settings.processor_share = share;
+        settings.processor_share = processor_share;
         n.driver = std::make_unique<hosted::fleet_driver>(n.ctx, n.formats, settings, *n.lead);
         n.desk = std::make_unique<hosted::entry_desk>(n.ctx, hosted::entry_settings{});
         n.lead->start();
@@ -121,8 +122,8 @@
         return nullptr;
     }
 
-    /// \return the largest share of a node but \p n.
-    double best_share_but(const node& n) const
+    /// \return the largest processor share of the nodes other than \p n.
+    double max_other_share(const node& n) const
     {
         double best = 0;
         for (const auto& it : nodes)
@@ -133,6 +134,7 @@
         return best;
     }
 
+    /// \return whether a node leads within the time.
     bool has_leader(core::millis bound = 5s)
     {
         return time.run_until([&] { return leader() != nullptr; }, bound);
@@ -161,7 +163,7 @@
         return j;
     }
 
-    /// As make_job of one step, with one task on each host.
+    /// As make_job() with one step, whose tasks run on distinct hosts.
     workflow::job make_job_on_each(const std::string& id, int hosts) const
     {
         auto j = make_job(id, hosts);
@@ -169,14 +171,14 @@
         return j;
     }
 
-    /// Puts a job into the store as an entry host would.
+    /// Puts a job into the store, as the node that accepts it from a caller would.
     void put_job(const workflow::job& j)
     {
         hosts.expect(j);
         store.put(hosted::job_key(j.id), workflow::write_job(j));
     }
 
-    /// \return the stored state; queued when none is stored.
+    /// \return the job's stored state; queued if none is stored.
     workflow::job_state state_of(const std::string& id) const
     {
         const auto* const it = store.find(hosted::state_key(id));
@@ -184,12 +186,13 @@
                              : core::value(workflow::read_progress_state(it->value));
     }
 
+    /// \return whether the job's stored state becomes \p state within the time.
     bool ends(const std::string& id, workflow::job_state state, core::millis bound)
     {
         return time.run_until([&] { return state_of(id) == state; }, bound);
     }
 
-    /// \return the runs of all runners.
+    /// \return the number of runs on all runners.
     std::size_t running() const
     {
         std::size_t n = 0;
@@ -200,10 +203,11 @@
         return n;
     }
 
+    /// \return all violations of promises so far, one per line; empty: there are none.
     std::string breaches() const
     {
         std::string out;
-        for (const auto& it : hosts.broken)
+        for (const auto& it : hosts.broken_promises)
         {
             out += it + "\n";
         }
--- a/testing/hosted_fakes/include/hosted_fakes/mutations.hpp
+++ b/testing/hosted_fakes/include/hosted_fakes/mutations.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Changes good JSON texts at random, by a seed: bytes, fields and values, as a faulty writer
-/// would.
+/// Mutates valid JSON texts at random from a seed: bytes, fields and values, as a faulty writer
+/// might.
 #pragma once
 
 #include <cstdint>
@@ -62,7 +62,7 @@
         return text;
     }
 
-    /// Changes one value or field; a text that is no JSON stays.
+    /// Changes one value or removes one field; a text that is not JSON is returned unchanged.
     std::string change_values(const std::string& text)
     {
         auto whole = nlohmann::json::parse(text, nullptr, false);
--- a/testing/hosted_fakes/include/hosted_fakes/processor.hpp
+++ b/testing/hosted_fakes/include/hosted_fakes/processor.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// The processor of one node: what the node sends and handles takes time, and the rest waits.
+/// Simulated processor of one node: sending calls and handling answers takes time, and other work
+/// waits meanwhile.
 #pragma once
 
 #include "daemon_fakes/virtual_time.hpp"
@@ -12,8 +13,8 @@
 namespace camphorhitch::hosted_fakes
 {
 
-/// Whole cores' time of each piece of work. Profiled with some 350 hosts, a start costs 0.7 ms with
-/// all that belongs to it, and a call to a runner and back 0.3 ms, half of it for the sending.
+/// Processor time of each unit of work on a whole core. Profiled with some 350 hosts, a start costs
+/// 0.7 ms in total, and a call to a runner with its answer 0.3 ms, half of it for sending.
 struct work_costs
 {
     core::micros send{150};
@@ -21,8 +22,8 @@
     core::micros timer{10}; ///< a wake-up and a small decision
 };
 
-/// Plays an event loop: each turn takes the timers that are due, then the calls to send, then the
-/// answers that have come; what comes during a turn waits for the next one.
+/// Simulates an event loop: each iteration runs the timers that are due, then sends calls, then
+/// handles the answers that have arrived; events during an iteration wait for the next one.
 class processor
 {
 public:
@@ -31,19 +32,20 @@
     processor(const processor&) = delete;
     processor& operator=(const processor&) = delete;
 
-    /// \return the ports as a node with this processor has them.
+    /// \return the context with ports whose calls, answers and timers take time on this processor.
     hosted::context wrap(hosted::context c);
 
-    /// Gets no time for so long, as under a quota or with its machine stopped.
-    void stand_still(core::millis how_long);
+    /// Gives the node no processor time for a duration, as under a quota or with a stopped machine.
+    void stall_for(core::millis how_long);
 
-    /// \return how long what comes now waits at least.
+    /// \return the least time that an event arriving now has to wait.
     core::micros delay() const;
 
     double share;
     work_costs costs;
-    /// Time-outs are judged before the answers that lie unread: an own delay passes for silence.
-    bool gives_up_unread = true;
+    /// Timeouts fire before unread answers are read, so the node's own delay looks like a call
+    /// without an answer.
+    bool times_out_unread_answers = true;
 
 private:
     struct work
@@ -54,15 +56,15 @@
     using queue = std::deque<work>;
 
     void add(queue& to, core::micros cost, std::function<void()> fn);
-    void turn();
-    void begin_turn();
+    void run_iteration();
+    void begin_iteration();
     ports::scheduler wrap(const ports::scheduler& real);
     ports::runners wrap(const ports::runners& real);
     ports::metadata_store wrap(const ports::metadata_store& real);
     template <class Answer>
     void call(std::function<void(std::function<void(Answer)>)> send,
         core::millis timeout,
-        Answer silence,
+        Answer unanswered,
         std::function<void(Answer)> done);
 
     daemon_fakes::virtual_time& time_;
@@ -70,12 +72,12 @@
     queue timers_;
     queue sends_;
     queue answers_;
-    queue now_; ///< of this turn
+    queue current_; ///< work of the present iteration
     std::set<ports::timer_id> live_;
     ports::timer_id last_timer_ = 0;
     core::mono_time free_at_;
-    core::micros used_{0}; ///< as a clock of the process shows it
-    bool awake_ = false;
+    core::micros used_{0}; ///< processor time used, as the process's clock shows it
+    bool is_scheduled_ = false;
 };
 
 } // namespace camphorhitch::hosted_fakes
--- a/testing/hosted_fakes/include/hosted_fakes/relays.hpp
+++ b/testing/hosted_fakes/include/hosted_fakes/relays.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Calls to runners through other nodes, as the coordinator's pool of relays makes them.
+/// Calls to runners that other nodes relay, as through the coordinator's pool of relays.
 #pragma once
 
 #include "core/rendezvous.hpp"
@@ -8,12 +8,12 @@
 namespace camphorhitch::hosted_fakes
 {
 
-/// One coordinator's relays: every other node that lives. A relay that is paused keeps the orders
-/// and carries them out, old as they are, when it goes on; one that dies loses them.
+/// Relays of one coordinator: every other node whose process lives. A paused relay keeps the orders
+/// and sends them, however old they are, once it continues; a relay that dies loses them.
 class relayed_runners
 {
 public:
-    /// \p c and \p own outlive it
+    /// \param c, own must outlive this object
     relayed_runners(cluster& c, node& own) : c_(c), own_(own)
     {
     }
@@ -21,9 +21,10 @@
     ports::runners port();
 
 private:
-    /// Silence after which the pool gives a relay up, and the bound of any order.
-    static constexpr core::millis longest_silence{700};
-    static constexpr core::millis longest_order{1900};
+    /// Time without an answer after which the pool stops using a relay.
+    static constexpr core::millis unresponsive_timeout{700};
+    /// Time after which any order without an answer has failed.
+    static constexpr core::millis order_timeout{1900};
 
     static ports::runner_answer lost(ports::runner_answer)
     {
@@ -40,8 +41,8 @@
         double best_score = 0;
         for (auto& it : c_.nodes)
         {
-            const bool well = !it.process.dead && !given_up_.contains(it.ctx.member);
-            if (!well || &it == &own_)
+            const bool usable = !it.process.dead && !abandoned_.contains(it.ctx.member);
+            if (!usable || &it == &own_)
             {
                 continue;
             }
@@ -88,30 +89,30 @@
                     { c_.time.after(daemon_fakes::wire_delay, [=] { once(a); }); });
             };
             c_.time.after(daemon_fakes::wire_delay, [relay, call] { relay->process.enter(call); });
-            c_.time.after(longest_silence,
+            c_.time.after(unresponsive_timeout,
                 [this, relay, answered, once]
                 {
-                    const bool silent = relay->process.dead || relay->process.paused;
-                    if (!*answered && silent)
+                    const bool unresponsive = relay->process.dead || relay->process.paused;
+                    if (!*answered && unresponsive)
                     {
-                        give_up(relay->ctx.member);
+                        abandon(relay->ctx.member);
                         once(lost(Answer{}));
                     }
                 });
-            c_.time.after(longest_order, [once] { once(lost(Answer{})); });
+            c_.time.after(order_timeout, [once] { once(lost(Answer{})); });
         };
     }
 
-    void give_up(const std::string& member)
+    void abandon(const std::string& member)
     {
-        given_up_.insert(member);
-        constexpr core::millis pause{1000};
-        c_.time.after(pause, [this, member] { given_up_.erase(member); });
+        abandoned_.insert(member);
+        constexpr core::millis abandon_time{1000};
+        c_.time.after(abandon_time, [this, member] { abandoned_.erase(member); });
     }
 
     cluster& c_;
     node& own_;
-    std::set<std::string> given_up_;
+    std::set<std::string> abandoned_;
 };
 
 inline ports::runners relayed_runners::port()
--- a/testing/hosted_fakes/include/hosted_fakes/store.hpp
+++ b/testing/hosted_fakes/include/hosted_fakes/store.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The metadata store in memory: transactions, leases, watches with history, and its faults.
+/// In-memory metadata store: transactions, leases, watches with a change log, and faults.
 #pragma once
 
 #include "daemon_fakes/virtual_time.hpp"
@@ -23,25 +23,25 @@
     /// \return the port as \p p sees it; \p p and this object outlive it.
     ports::metadata_store port(daemon_fakes::process& p);
 
-    /// Writes or removes a key as an operator or a runner would.
+    /// Writes or removes a key, as an operator or a runner would.
     ports::revision put(const std::string& key, const std::string& value);
     void remove(const std::string& key);
     const ports::stored_item* find(const std::string& key) const;
-    /// Takes a key away with its lease, as the platform may at any time.
+    /// Removes a key while its lease continues, as the platform may at any time.
     void revoke(const std::string& key);
-    /// Forgets what changed until now: watches from before can't go on.
+    /// Truncates the change log: watches from an earlier revision fail.
     void compact();
 
-    bool down = false;          ///< nothing answers
-    core::millis timeout{1000}; ///< after so long without an answer a call counts as unanswered
-    bool leases_pause = false;  ///< while it is down, leases pause; else they run on
-    bool busy = false;          ///< every call is refused
-    int answers_to_lose = 0;    ///< of the next writes, which take effect
-    int writes_to_delay = 0;    ///< the next writes get no answer and take effect seconds later
-    core::millis late_by{3000}; ///< for those
+    bool down = false;                     ///< no call is answered
+    core::millis timeout{1000};            ///< time after which a call without an answer fails
+    bool pauses_leases_while_down = false; ///< false: leases expire while the store is down
+    bool busy = false;                     ///< every call is refused
+    int answers_to_lose = 0; ///< number of next writes that take effect but get no answer
+    int writes_to_delay = 0; ///< number of next writes that get no answer and take effect later
+    core::millis delayed_write_time{3000}; ///< time after which these take effect
     std::size_t page_size = 500;
     std::int64_t writes = 0; ///< transactions that were answered
-    std::int64_t reads = 0;  ///< calls that read, waiting ones included
+    std::int64_t reads = 0;  ///< read calls, including watches
 
 private:
     struct lease
@@ -56,8 +56,9 @@
         std::function<void(ports::changes_read)> answer;
     };
 
-    /// Carries a call to the store and its answer back. \p lost makes the answer of a call that was
-    /// not answered, \p refused of one that was refused.
+    /// Delivers a call to the store and its answer back to the process.
+    /// \param lost reported for a call that gets no answer
+    /// \param refused reported for a call that the store refuses
     template <class Answer>
     void call(daemon_fakes::process& p,
         std::function<Answer()> serve,
@@ -71,7 +72,7 @@
     ports::page_read range(const std::string& prefix, const std::string& after);
     bool answer_watch(const waiter& w);
     void watch(daemon_fakes::process& p, waiter w, core::millis wait);
-    void note(const ports::stored_change& change);
+    void record_change(const ports::stored_change& change);
     void expire(ports::lease_id id, std::uint64_t renewals);
     void end_lease(ports::lease_id id);
 
@@ -79,7 +80,7 @@
     std::map<std::string, ports::stored_item> items_;
     std::vector<ports::stored_change> history_;
     ports::revision revision_ = 1;
-    ports::revision compacted_ = 0; ///< history up to here is gone
+    ports::revision compacted_ = 0; ///< the change log up to this revision is truncated
     std::map<ports::lease_id, lease> leases_;
     ports::lease_id last_lease_ = 0;
     std::map<std::uint64_t, waiter> waiters_;
--- a/testing/hosted_fakes/src/host_crashes.cpp
+++ b/testing/hosted_fakes/src/host_crashes.cpp
@@ -10,13 +10,14 @@
 namespace
 {
 
-/// Runners that a task may crash, and how often it may start after that.
-constexpr int most_crashes = 3;
-constexpr int most_starts_after = 2;
-/// Crashes under one task after which its job may be given up.
+/// Maximum number of runners that a task may crash.
+constexpr int max_crashes = 3;
+/// Maximum number of starts of a task that has crashed max_crashes runners.
+constexpr int max_starts_after_crashes = 2;
+/// Number of crashes by one task from which on its job may fail.
 constexpr int crashes_to_fail = 2;
 
-int count_of(const std::map<std::string, int>& of, const std::string& task)
+int find_count(const std::map<std::string, int>& of, const std::string& task)
 {
     const auto it = of.find(task);
     return it == of.end() ? 0 : it->second;
@@ -26,18 +27,18 @@
 
 int hosts::crashes_of(const std::string& task) const
 {
-    return count_of(crashed_, task);
+    return find_count(crashed_, task);
 }
 
 void hosts::check_crashes(const std::string& task)
 {
-    if (crashes_of(task) >= most_crashes && ++starts_past_crashes_[task] > most_starts_after)
+    if (crashes_of(task) >= max_crashes && ++starts_past_crashes_[task] > max_starts_after_crashes)
     {
-        breach("starts again and again after it crashed its runners: " + task);
+        record_violation("starts repeatedly after it crashed its runners: " + task);
     }
 }
 
-void hosts::crash_later(const fake_host& h, const ports::start_order& o)
+void hosts::schedule_crash(const fake_host& h, const ports::start_order& o)
 {
     if (!crashes.task || !crashes.task(core::value(workflow::read_task_name(o.task))))
     {
@@ -53,12 +54,12 @@
             {
                 ++crashed_[task];
                 crash(machine, crashes.down);
-                break_gang(task);
+                end_gang(task);
             }
         });
 }
 
-void hosts::break_gang(const std::string& task)
+void hosts::end_gang(const std::string& task)
 {
     const auto name = core::value(workflow::read_task_name(task));
     const auto& s = jobs_.at(name.job).steps[static_cast<std::size_t>(name.step)];
@@ -73,7 +74,7 @@
             const auto other = workflow::write_task_name({name.job, name.occurrence, name.step, i});
             if (h.up && h.runs.contains(other))
             {
-                end(h, other, ports::run_end::member_ended);
+                end_run(h, other, ports::run_end::member_ended);
             }
         }
     }
@@ -95,12 +96,12 @@
         for (std::size_t i = 0; i < tasks * static_cast<std::size_t>(occurrence_count(j)); ++i)
         {
             const auto task = workflow::write_task_name(workflow::name_of_task(j, i));
-            cause = cause || count_of(ended_failed_, task) >= j.max_attempts ||
-                    count_of(crashed_, task) >= crashes_to_fail;
+            cause = cause || find_count(ended_failed_, task) >= j.max_attempts ||
+                    find_count(crashed_, task) >= crashes_to_fail;
         }
         if (!cause)
         {
-            out.push_back("shown as failed without cause: " + id);
+            out.push_back("stored as failed without cause: " + id);
         }
     }
     return out;
--- a/testing/hosted_fakes/src/hosts.cpp
+++ b/testing/hosted_fakes/src/hosts.cpp
@@ -20,19 +20,19 @@
 
 constexpr core::millis call_timeout{700};
 constexpr core::millis stop_time{100};
-constexpr core::millis shortest_late{2000};
-constexpr core::millis longest_late{6000};
-constexpr core::millis longest_way_back{650}; // within a call's time-out
-constexpr core::millis entry_expires{4500};
+constexpr core::millis min_late_delay{2000};
+constexpr core::millis max_late_delay{6000};
+constexpr core::millis max_answer_delay{650}; // within call_timeout
+constexpr core::millis entry_lifetime{4500};
 constexpr core::millis move_time{1500};
-/// A start beyond a room that has shrunk is no fault before this.
-constexpr core::millis shrinking_is_known{4500};
+/// Time for which a start beyond a reduced capacity is no violation.
+constexpr core::millis capacity_change_delay{4500};
 constexpr core::millis machine_call_timeout{1500};
-constexpr int whole = 100;
-/// An answer lists no more; the others come once these are acknowledged.
-constexpr std::size_t most_ends_listed = 500;
+constexpr int percent_of_whole = 100;
+/// Maximum number of ends in one answer; the others follow once these are acknowledged.
+constexpr std::size_t max_listed_ends = 500;
 
-/// "pool address state", and the room where it has changed
+/// \return "pool address state", followed by the capacity in milli-cores where it has changed.
 std::string write_entry(const fake_host& h)
 {
     const auto usual = fake_host{}.capacity.cpu;
@@ -40,14 +40,15 @@
            (h.capacity.cpu == usual ? std::string{} : ' ' + std::to_string(h.capacity.cpu));
 }
 
-/// \return the room of an entry's fourth word; the usual one without it, nothing if it is none.
-std::optional<std::int64_t> read_room(const std::string& text)
+/// \return the capacity in an entry's fourth word, the default without that word, and nothing if
+/// the word is not a capacity.
+std::optional<std::int64_t> read_capacity(const std::string& text)
 {
     std::int64_t cpu = fake_host{}.capacity.cpu;
     const auto* const end = text.data() + text.size();
     const auto [stop, ec] = std::from_chars(text.data(), end, cpu);
-    const bool whole = text.empty() || (ec == std::errc{} && stop == end && cpu > 0);
-    return whole ? std::optional{cpu} : std::nullopt;
+    const bool is_valid = text.empty() || (ec == std::errc{} && stop == end && cpu > 0);
+    return is_valid ? std::optional{cpu} : std::nullopt;
 }
 
 } // namespace
@@ -67,9 +68,9 @@
     return static_cast<std::int64_t>(static_cast<double>(clock()) * h.clock_rate);
 }
 
-void hosts::breach(const std::string& what)
+void hosts::record_violation(const std::string& what)
 {
-    broken.push_back(std::to_string(clock()) + " " + what);
+    broken_promises.push_back(std::to_string(clock()) + " " + what);
 }
 
 void hosts::publish(const fake_host& h)
@@ -77,9 +78,9 @@
     store_.put("runner/" + h.runner, write_entry(h));
 }
 
-void hosts::begin_life(fake_host& h)
+void hosts::begin_incarnation(fake_host& h)
 {
-    h.runner = "r" + std::to_string(++last_life_);
+    h.runner = "r" + std::to_string(++last_incarnation_);
     h.up = true;
     h.draining = false;
     h.fence = 0;
@@ -89,7 +90,7 @@
     h.ends.clear();
     h.last_end = 0;
     h.ended_at.clear();
-    h.void_through = 0;
+    h.ends_void_through = 0;
     h.polls.clear();
     publish(h);
 }
@@ -101,11 +102,11 @@
     h.machine = name;
     h.pool = pool;
     h.address = "10.0.0." + std::to_string(machines.size()) + ":80";
-    begin_life(h);
+    begin_incarnation(h);
     return name;
 }
 
-std::string hosts::hand_on_address(const std::string& machine)
+std::string hosts::transfer_address(const std::string& machine)
 {
     auto name = add(machines.at(machine).pool);
     auto& h = machines.at(name);
@@ -124,14 +125,14 @@
     h.up = false;
     h.runs.clear();
     const auto old = h.runner;
-    time_.after(entry_expires, [this, old] { store_.remove("runner/" + old); });
-    time_.after(down, [this, machine] { begin_life(machines.at(machine)); });
+    time_.after(entry_lifetime, [this, old] { store_.remove("runner/" + old); });
+    time_.after(down, [this, machine] { begin_incarnation(machines.at(machine)); });
 }
 
 void hosts::cut(const std::string& machine, core::millis how_long)
 {
-    machines.at(machine).dark = true;
-    time_.after(how_long, [this, machine] { machines.at(machine).dark = false; });
+    machines.at(machine).cut_off = true;
+    time_.after(how_long, [this, machine] { machines.at(machine).cut_off = false; });
 }
 
 void hosts::drain(const std::string& machine)
@@ -141,28 +142,29 @@
     publish(h);
 }
 
-void hosts::hand_on_address(const std::string& from, const std::string& to, core::millis dark)
+void hosts::transfer_address(
+    const std::string& from, const std::string& to, core::millis cut_off_time)
 {
     auto& old = machines.at(from);
     auto& next = machines.at(to);
-    if (from == to || !old.up || !next.up || old.dark || next.dark)
+    if (from == to || !old.up || !next.up || old.cut_off || next.cut_off)
     {
         return;
     }
-    cut(from, dark);
+    cut(from, cut_off_time);
     next.up = false;
     next.runs.clear();
     store_.remove("runner/" + next.runner);
     next.address = std::exchange(old.address, "10.0.1." + std::to_string(++last_address_) + ":80");
-    begin_life(next);
-    time_.after(dark,
+    begin_incarnation(next);
+    time_.after(cut_off_time,
         [this, from, runner = old.runner]
         {
             auto& h = machines.at(from);
             if (h.up && h.runner == runner)
             {
                 store_.remove("runner/" + runner);
-                begin_life(h);
+                begin_incarnation(h);
             }
         });
 }
@@ -172,8 +174,8 @@
     auto& h = machines.at(machine);
     if (cpu < h.capacity.cpu)
     {
-        h.cpu_before = h.capacity.cpu;
-        h.shrunk_at = time_.now();
+        h.cpu_before_reduction = h.capacity.cpu;
+        h.capacity_reduced_at = time_.now();
     }
     h.capacity.cpu = cpu;
     publish(h);
@@ -184,12 +186,12 @@
     jobs_[j.id] = j;
 }
 
-fake_host* hosts::at(const ports::runner_ref& r)
+fake_host* hosts::find_host(const ports::runner_ref& r)
 {
     fake_host* found = nullptr;
     for (auto& [name, h] : machines)
     {
-        if (h.address == r.address && (found == nullptr || found->dark))
+        if (h.address == r.address && (found == nullptr || found->cut_off))
         {
             found = &h;
         }
@@ -197,13 +199,13 @@
     return found;
 }
 
-void hosts::check_told(const std::string& task)
+void hosts::check_reported_end(const std::string& task)
 {
-    const auto it = told_.find(task);
-    if (told_counts_after.count() > 0 && it != told_.end() &&
-        time_.now() - it->second >= told_counts_after)
+    const auto it = reported_done_.find(task);
+    if (reported_end_binding_after.count() > 0 && it != reported_done_.end() &&
+        time_.now() - it->second >= reported_end_binding_after)
     {
-        breach("starts after its owner was told of its end: " + task);
+        record_violation("starts after its end was reported to the coordinator: " + task);
     }
 }
 
@@ -214,7 +216,7 @@
     const auto job = jobs_.find(name.job);
     if (job == jobs_.end())
     {
-        breach("a task that nobody submitted: " + o.task);
+        record_violation("a task of an unknown job: " + o.task);
         return;
     }
     const auto& s = job->second.steps[static_cast<std::size_t>(name.step)];
@@ -222,14 +224,14 @@
     {
         if (other.up && other.runs.contains(o.task))
         {
-            breach("runs twice: " + o.task + " on " + machine + " and " + h.machine);
+            record_violation("runs twice: " + o.task + " on " + machine + " and " + h.machine);
         }
     }
-    if (done.contains(o.task))
+    if (completed_tasks.contains(o.task))
     {
-        breach("starts after its end was taken note of: " + o.task);
+        record_violation("starts after its end was acknowledged: " + o.task);
     }
-    check_told(o.task);
+    check_reported_end(o.task);
     for (const int before : s.depends_on)
     {
         for (int i = 0; i < job->second.steps[static_cast<std::size_t>(before)].tasks; ++i)
@@ -237,7 +239,7 @@
             const auto needed = workflow::write_task_name({name.job, name.occurrence, before, i});
             if (!ended_done_.contains(needed))
             {
-                breach("starts before " + needed + ": " + o.task);
+                record_violation("starts before " + needed + ": " + o.task);
             }
         }
     }
@@ -247,20 +249,20 @@
         const auto other = core::value(workflow::read_task_name(task));
         cpu += jobs_.at(other.job).steps[static_cast<std::size_t>(other.step)].need.cpu;
     }
-    // Who orders may not know yet that the room has shrunk.
-    const bool known = time_.now() - h.shrunk_at >= shrinking_is_known;
-    if (cpu > (known ? h.capacity.cpu : h.cpu_before))
+    // The coordinator may not know yet that the capacity was reduced.
+    const bool known = time_.now() - h.capacity_reduced_at >= capacity_change_delay;
+    if (cpu > (known ? h.capacity.cpu : h.cpu_before_reduction))
     {
-        breach("over its room: " + h.machine + " with " + o.task);
+        record_violation("over its capacity: " + h.machine + " with " + o.task);
     }
     if (failures_[o.task] >= job->second.max_attempts && !s.long_running)
     {
-        breach("over its budget of attempts: " + o.task);
+        record_violation("over its budget of attempts: " + o.task);
     }
     check_crashes(o.task);
     if (h.pool != job->second.pool)
     {
-        breach("on a host of another pool: " + o.task);
+        record_violation("on a host of another pool: " + o.task);
     }
 }
 
@@ -269,11 +271,11 @@
     if (until > h.lease_until_ms)
     {
         h.lease_until_ms = until;
-        watch_lease(h.machine, h.runner);
+        schedule_lease_end(h.machine, h.runner);
     }
 }
 
-void hosts::watch_lease(const std::string& machine, const std::string& runner)
+void hosts::schedule_lease_end(const std::string& machine, const std::string& runner)
 {
     const auto& of = machines.at(machine);
     const auto left = std::max<std::int64_t>(of.lease_until_ms - clock_of(of), 0) + 1;
@@ -289,16 +291,16 @@
             while (!h.runs.empty())
             {
                 const auto task = h.runs.begin()->first;
-                lapsed += h.dark ? 0 : 1;
-                end(h, task, run_end::lease_lapsed);
+                expired_runs += h.cut_off ? 0 : 1;
+                end_run(h, task, run_end::lease_lapsed);
             }
-            h.void_through = h.last_end;
+            h.ends_void_through = h.last_end;
         });
 }
 
 ports::runner_answer hosts::start(fake_host& h, const ports::start_order& o)
 {
-    if (checks_fences && o.fencing_token < h.fence)
+    if (checks_fencing_tokens && o.fencing_token < h.fence)
     {
         return {runner_verdict::fenced, clock_of(h)};
     }
@@ -313,8 +315,9 @@
         grant(h, o.lease_until_ms);
         return {runner_verdict::superseded, clock_of(h)};
     }
-    const auto lease_end =
-        takes_starts_by_any_lease ? std::max(o.lease_until_ms, h.lease_until_ms) : o.lease_until_ms;
+    const auto lease_end = accepts_starts_under_any_lease
+                               ? std::max(o.lease_until_ms, h.lease_until_ms)
+                               : o.lease_until_ms;
     if (lease_end <= clock_of(h))
     {
         return {runner_verdict::lease_over, clock_of(h)};
@@ -325,20 +328,20 @@
     grant(h, o.lease_until_ms);
     h.runs[o.task] = {o.run, time_.now(), false};
     const auto name = core::value(workflow::read_task_name(o.task));
-    begun.insert(name.job);
-    crash_later(h, o);
+    started_jobs.insert(name.job);
+    schedule_crash(h, o);
     const auto& s = jobs_.at(name.job).steps[static_cast<std::size_t>(name.step)];
     if (!s.long_running)
     {
-        const auto spread = std::uniform_int_distribution<int>(50, 150)(random_);
-        time_.after(behaviour.run_time * spread / whole,
+        const auto percent_of_run_time = std::uniform_int_distribution<int>(50, 150)(random_);
+        time_.after(behaviour.run_time * percent_of_run_time / percent_of_whole,
             [this, machine = h.machine, task = o.task, run = o.run]
-            { finish(machine, task, run); });
+            { finish_run(machine, task, run); });
     }
     return {runner_verdict::done, clock_of(h)};
 }
 
-void hosts::finish(const std::string& machine, const std::string& task, std::int64_t run)
+void hosts::finish_run(const std::string& machine, const std::string& task, std::int64_t run)
 {
     auto& h = machines.at(machine);
     const auto it = h.runs.find(task);
@@ -346,22 +349,22 @@
     {
         return;
     }
-    const bool fails = std::uniform_real_distribution<>(0, 1)(random_) < behaviour.fails;
-    end(h, task, fails ? run_end::failed : run_end::done);
+    const bool fails = std::uniform_real_distribution<>(0, 1)(random_) < behaviour.failure_share;
+    end_run(h, task, fails ? run_end::failed : run_end::done);
 }
 
-void hosts::end(fake_host& h, const std::string& task, run_end how)
+void hosts::end_run(fake_host& h, const std::string& task, run_end outcome)
 {
     const auto run = h.runs.at(task).number;
     h.runs.erase(task);
     h.refused_through[task] = std::max(h.refused_through[task], run);
-    h.ends.push_back({++h.last_end, task, run, how, {}});
+    h.ends.push_back({++h.last_end, task, run, outcome, {}});
     h.ended_at[h.last_end] = time_.now();
-    if (how == run_end::done)
+    if (outcome == run_end::done)
     {
         ended_done_.insert(task);
     }
-    ended_failed_[task] += how == run_end::failed ? 1 : 0;
+    ended_failed_[task] += outcome == run_end::failed ? 1 : 0;
     const auto polls = std::exchange(h.polls, {});
     for (const auto& it : polls)
     {
@@ -371,7 +374,7 @@
 
 ports::runner_answer hosts::stop(fake_host& h, const ports::stop_order& o)
 {
-    if (checks_fences && o.fencing_token < h.fence)
+    if (checks_fencing_tokens && o.fencing_token < h.fence)
     {
         return {runner_verdict::fenced, clock_of(h)};
     }
@@ -387,48 +390,48 @@
                 auto& at = machines.at(machine);
                 if (at.runner == runner && at.up && at.runs.contains(task))
                 {
-                    end(at, task, run_end::stopped);
+                    end_run(at, task, run_end::stopped);
                 }
             });
     }
     return {runner_verdict::done, clock_of(h)};
 }
 
-ports::poll_answer hosts::look(const fake_host& h)
+ports::poll_answer hosts::list_runs(const fake_host& h)
 {
     ports::poll_answer out;
     out.call = {runner_verdict::done, clock_of(h)};
     for (const auto& [task, run] : h.runs)
     {
-        out.running.push_back({task, run.number, {}, whole, 0});
+        out.running.push_back({task, run.number, {}, percent_of_whole, 0});
     }
-    const auto listed = std::min(h.ends.size(), most_ends_listed);
-    out.ends_truncated = listed == most_ends_listed;
+    const auto listed = std::min(h.ends.size(), max_listed_ends);
+    out.ends_truncated = listed == max_listed_ends;
     out.ended.assign(h.ends.begin(), h.ends.begin() + static_cast<std::ptrdiff_t>(listed));
     for (const auto& it : out.ended)
     {
         if (it.outcome == run_end::done)
         {
-            told_.try_emplace(it.task, time_.now());
+            reported_done_.try_emplace(it.task, time_.now());
         }
     }
     return out;
 }
 
-/// A start between a run's end and the note taken of it is one too many, like a start after both.
-void hosts::take_note(const fake_host& h, const ports::reported_end& it)
+/// A start between a run's end and its acknowledgement is a violation, like a start after both.
+void hosts::acknowledge_end(const fake_host& h, const ports::reported_end& it)
 {
-    done.insert(it.task);
+    completed_tasks.insert(it.task);
     const auto started = started_.find(it.task);
     if (started != started_.end() && started->second > h.ended_at.at(it.number))
     {
-        breach("started between its end and the note taken of it: " + it.task);
+        record_violation("started between its end and its acknowledgement: " + it.task);
     }
 }
 
 ports::poll_answer hosts::poll(fake_host& h, const ports::poll_order& o)
 {
-    if (checks_fences && o.fencing_token < h.fence)
+    if (checks_fencing_tokens && o.fencing_token < h.fence)
     {
         ports::poll_answer out;
         out.call = {runner_verdict::fenced, clock_of(h)};
@@ -441,9 +444,9 @@
         {
             continue;
         }
-        if (it.outcome == run_end::done && it.number > h.void_through)
+        if (it.outcome == run_end::done && it.number > h.ends_void_through)
         {
-            take_note(h, it);
+            acknowledge_end(h, it);
         }
         failures_[it.task] += it.outcome == run_end::failed ? 1 : 0;
     }
@@ -452,22 +455,22 @@
     {
         grant(h, o.lease_until_ms);
     }
-    return look(h);
+    return list_runs(h);
 }
 
-bool hosts::is_late(bool order)
+bool hosts::draws_late(bool order)
 {
-    const auto share = order ? orders_late : polls_late;
-    // Without late polls they draw nothing: what a seed plays stays the same.
+    const auto share = order ? late_order_share : late_poll_share;
+    // Polls draw no random number unless some are late, so that the sequence of a seed is stable.
     return (order || share > 0) && std::uniform_real_distribution<>(0, 1)(random_) < share;
 }
 
-core::millis hosts::way_back()
+core::millis hosts::draw_answer_delay()
 {
-    const bool slow =
-        answers_slow > 0 && std::uniform_real_distribution<>(0, 1)(random_) < answers_slow;
+    const bool slow = slow_answer_share > 0 &&
+                      std::uniform_real_distribution<>(0, 1)(random_) < slow_answer_share;
     return slow ? core::millis{std::uniform_int_distribution<std::int64_t>(
-                      wire_delay.count(), longest_way_back.count())(random_)}
+                      wire_delay.count(), max_answer_delay.count())(random_)}
                 : wire_delay;
 }
 
@@ -493,8 +496,8 @@
     };
     const auto carry_out = [this, to, serve, answer_of]() -> std::pair<bool, Answer>
     {
-        auto* const h = at(to);
-        if (h == nullptr || !h->up || h->dark)
+        auto* const h = find_host(to);
+        if (h == nullptr || !h->up || h->cut_off)
         {
             return {false, answer_of(runner_verdict::unknown)};
         }
@@ -513,14 +516,14 @@
             };
             if (p.paused)
             {
-                // The call never left; its own time-out tells so once the process goes on.
+                // The call was never sent; it times out once the process continues.
                 time_.after(call_timeout, give_up);
                 return;
             }
-            if (is_late(order))
+            if (draws_late(order))
             {
                 const core::millis late{std::uniform_int_distribution<std::int64_t>(
-                    shortest_late.count(), longest_late.count())(random_)};
+                    min_late_delay.count(), max_late_delay.count())(random_)};
                 time_.after(late, [carry_out] { carry_out(); });
                 time_.after(call_timeout, give_up);
                 return;
@@ -531,8 +534,8 @@
                 time_.after(call_timeout, give_up);
                 return;
             }
-            time_.after(
-                way_back(), [&p, done, answer = answer] { p.enter([=] { done(answer); }); });
+            time_.after(draw_answer_delay(),
+                [&p, done, answer = answer] { p.enter([=] { done(answer); }); });
         });
 }
 
@@ -563,8 +566,9 @@
                    const ports::poll_order& o,
                    const std::function<void(ports::poll_answer)>& done)
     {
-        // A wait for an end is played as a look after the wait, or at the next end.
-        const auto tell = [this, &p, to, o, done](ports::poll_answer first)
+        // A poll that waits for an end is simulated by listing the runs after the wait or at the
+        // next end.
+        const auto on_answer = [this, &p, to, o, done](ports::poll_answer first)
         {
             if (first.call.verdict != runner_verdict::done || !first.ended.empty() ||
                 o.wait.count() == 0)
@@ -580,16 +584,16 @@
                     return;
                 }
                 call<ports::poll_answer>(
-                    p, to, false, [this](fake_host& h) { return look(h); }, done);
+                    p, to, false, [this](fake_host& h) { return list_runs(h); }, done);
             };
-            if (auto* const h = at(to); h != nullptr && h->runner == to.id)
+            if (auto* const h = find_host(to); h != nullptr && h->runner == to.id)
             {
                 h->polls.push_back(again);
             }
             time_.after(o.wait, again);
         };
         call<ports::poll_answer>(
-            p, to, false, [this, o](fake_host& h) { return poll(h, o); }, tell);
+            p, to, false, [this, o](fake_host& h) { return poll(h, o); }, on_answer);
     };
     return out;
 }
@@ -618,7 +622,7 @@
                    const std::function<void(ports::machine_verdict)>& done)
     {
         order_machine(
-            p, [this, machine, pool] { return take_down(machine, pool); }, done);
+            p, [this, machine, pool] { return shut_down(machine, pool); }, done);
     };
     out.maintain = [this, &p](const std::string& machine,
                        std::int64_t wave,
@@ -631,7 +635,7 @@
             {
                 return ports::machine_verdict::done;
             }
-            const auto verdict = take_down(machine, machines.at(machine).pool);
+            const auto verdict = shut_down(machine, machines.at(machine).pool);
             if (verdict == ports::machine_verdict::done)
             {
                 maintained_.insert({wave, machine});
@@ -643,7 +647,7 @@
     return out;
 }
 
-ports::machine_verdict hosts::take_down(const std::string& machine, const std::string& pool)
+ports::machine_verdict hosts::shut_down(const std::string& machine, const std::string& pool)
 {
     auto& h = machines.at(machine);
     if (!h.up)
@@ -654,11 +658,11 @@
     h.runs.clear();
     store_.remove("runner/" + h.runner);
     h.pool = pool;
-    time_.after(move_time, [this, machine] { begin_life(machines.at(machine)); });
+    time_.after(move_time, [this, machine] { begin_incarnation(machines.at(machine)); });
     return ports::machine_verdict::done;
 }
 
-/// Orders of a dead or paused process are never carried out.
+/// Carries out an order for a machine; an order of a dead or paused process is never carried out.
 void hosts::order_machine(process& p,
     std::function<ports::machine_verdict()> carry_out,
     std::function<void(ports::machine_verdict)> done)
@@ -705,8 +709,9 @@
         const auto rest = second == std::string::npos ? "" : text.substr(second + 1);
         const auto third = rest.find(' ');
         const auto state = rest.substr(0, third);
-        const auto room = read_room(third == std::string::npos ? "" : rest.substr(third + 1));
-        if (first == 0 || (state != "ready" && state != "draining") || !room)
+        const auto capacity_cpu =
+            read_capacity(third == std::string::npos ? "" : rest.substr(third + 1));
+        if (first == 0 || (state != "ready" && state != "draining") || !capacity_cpu)
         {
             return core::error{core::error_code::invalid, "damaged runner entry"};
         }
@@ -715,7 +720,7 @@
         h.ref = {id, text.substr(first + 1, second - first - 1), {}};
         h.draining = state == "draining";
         h.capacity = fake_host{}.capacity;
-        h.capacity.cpu = *room;
+        h.capacity.cpu = *capacity_cpu;
         return h;
     };
     out.check_job_id = [](const std::string& id)
--- a/testing/hosted_fakes/src/processor.cpp
+++ b/testing/hosted_fakes/src/processor.cpp
@@ -12,13 +12,13 @@
 namespace
 {
 
-// As the clients of the platform have them.
+// Timeouts of the platform's clients.
 constexpr core::millis order_timeout{900};
 constexpr core::millis store_timeout{1200};
 constexpr core::millis page_timeout{3000};
 constexpr core::millis lease_timeout{900};
-constexpr core::millis wait_slack{700}; ///< on top of a call's own wait
-/// Virtual time passes in these steps.
+constexpr core::millis wait_slack{700}; ///< added to a call's own wait
+/// Step in which virtual time advances.
 constexpr core::millis tick{1};
 
 } // namespace
@@ -31,48 +31,48 @@
 void processor::add(queue& to, core::micros cost, std::function<void()> fn)
 {
     to.push_back({cost, std::move(fn)});
-    if (!awake_)
+    if (!is_scheduled_)
     {
-        awake_ = true;
-        time_.after(core::millis{0}, [this] { process_.enter([this] { turn(); }); });
+        is_scheduled_ = true;
+        time_.after(core::millis{0}, [this] { process_.enter([this] { run_iteration(); }); });
     }
 }
 
-void processor::begin_turn()
+void processor::begin_iteration()
 {
     for (auto* const from : {&timers_, &sends_, &answers_})
     {
-        std::move(from->begin(), from->end(), std::back_inserter(now_));
+        std::move(from->begin(), from->end(), std::back_inserter(current_));
         from->clear();
     }
 }
 
-void processor::turn()
+void processor::run_iteration()
 {
     free_at_ = std::max(free_at_, time_.now());
     while (!process_.paused && !process_.dead && free_at_ < time_.now() + tick)
     {
-        if (now_.empty())
+        if (current_.empty())
         {
-            begin_turn();
+            begin_iteration();
         }
-        if (now_.empty())
+        if (current_.empty())
         {
-            awake_ = false;
+            is_scheduled_ = false;
             return;
         }
-        const auto it = std::move(now_.front());
-        now_.pop_front();
-        const auto took = static_cast<double>(it.cost.count()) / share;
-        free_at_ += core::micros{static_cast<std::int64_t>(took)};
+        const auto it = std::move(current_.front());
+        current_.pop_front();
+        const auto duration = static_cast<double>(it.cost.count()) / share;
+        free_at_ += core::micros{static_cast<std::int64_t>(duration)};
         used_ += it.cost;
         it.fn();
     }
     const auto wait = std::chrono::floor<core::millis>(free_at_ - time_.now());
-    time_.after(std::max(wait, tick), [this] { process_.enter([this] { turn(); }); });
+    time_.after(std::max(wait, tick), [this] { process_.enter([this] { run_iteration(); }); });
 }
 
-void processor::stand_still(core::millis how_long)
+void processor::stall_for(core::millis how_long)
 {
     free_at_ = std::max(free_at_, time_.now() + how_long);
 }
@@ -85,21 +85,23 @@
 template <class Answer>
 void processor::call(std::function<void(std::function<void(Answer)>)> send,
     core::millis timeout,
-    Answer silence,
+    Answer unanswered,
     std::function<void(Answer)> done)
 {
     add(sends_,
         costs.send,
-        [this, send = std::move(send), timeout, silence, done = std::move(done)]
+        [this, send = std::move(send), timeout, unanswered, done = std::move(done)]
         {
             const auto give_up = time_.now() + timeout;
             send(
-                [this, give_up, silence, done](Answer it)
+                [this, give_up, unanswered, done](Answer it)
                 {
                     add(answers_,
                         costs.answer,
-                        [this, give_up, silence, done, it = std::move(it)]
-                        { done(gives_up_unread && time_.now() > give_up ? silence : it); });
+                        [this, give_up, unanswered, done, it = std::move(it)] {
+                            done(times_out_unread_answers && time_.now() > give_up ? unanswered
+                                                                                   : it);
+                        });
                 });
         });
 }
@@ -107,7 +109,7 @@
 ports::scheduler processor::wrap(const ports::scheduler& real)
 {
     auto out = real;
-    // The real timers by the ids that are told.
+    // Ids of the underlying timers by the ids that callers get.
     const auto known = std::make_shared<std::map<ports::timer_id, ports::timer_id>>();
     out.after = [this, known](core::millis delay, std::function<void()> fn)
     {
@@ -195,17 +197,17 @@
             {unknown, 0, {}, false},
             done);
     };
-    ports::kv_lease silence;
-    silence.status = unknown;
+    ports::kv_lease unanswered;
+    unanswered.status = unknown;
     out.grant_lease = [=, this](core::millis ttl, const auto& done)
     {
         call<ports::kv_lease>(
-            [=](const auto& d) { real.grant_lease(ttl, d); }, lease_timeout, silence, done);
+            [=](const auto& d) { real.grant_lease(ttl, d); }, lease_timeout, unanswered, done);
     };
     out.keep_alive = [=, this](ports::lease_id id, const auto& done)
     {
         call<ports::kv_lease>(
-            [=](const auto& d) { real.keep_alive(id, d); }, lease_timeout, silence, done);
+            [=](const auto& d) { real.keep_alive(id, d); }, lease_timeout, unanswered, done);
     };
     out.end_lease = [=, this](ports::lease_id id, const auto& done)
     {
--- a/testing/hosted_fakes/src/store.cpp
+++ b/testing/hosted_fakes/src/store.cpp
@@ -60,7 +60,7 @@
         });
 }
 
-void store::note(const ports::stored_change& change)
+void store::record_change(const ports::stored_change& change)
 {
     history_.push_back(change);
     const auto waiting = waiters_;
@@ -92,7 +92,7 @@
 
 void store::revoke(const std::string& key)
 {
-    remove(key); // its lease goes on, and its renewals show nothing
+    remove(key); // its lease continues, and renewals do not reveal the removal
 }
 
 void store::compact()
@@ -104,7 +104,7 @@
     {
         if (!answer_watch(w))
         {
-            w.answer(with_status<ports::changes_read>(kv_status::unknown)); // it is cut
+            w.answer(with_status<ports::changes_read>(kv_status::unknown)); // the watch ends
         }
     }
 }
@@ -160,7 +160,7 @@
     }
     for (const auto& it : changes)
     {
-        note(it);
+        record_change(it);
     }
     return out;
 }
@@ -173,7 +173,7 @@
     if (writes_to_delay > 0 && !down && !busy && !p.store_cut)
     {
         --writes_to_delay;
-        time_.after(late_by, [this, t] { commit(t); });
+        time_.after(delayed_write_time, [this, t] { commit(t); });
         time_.after(timeout, [&p, unknown, done] { p.enter([=] { done(unknown); }); });
         return;
     }
@@ -184,16 +184,19 @@
         ++writes;
         return commit(t);
     };
-    auto tell = done;
+    auto on_answer = done;
     if (lose)
     {
-        tell = [this, &p, unknown, done](const ports::commit_result&)
+        on_answer = [this, &p, unknown, done](const ports::commit_result&)
         {
             time_.after(timeout, [&p, unknown, done] { p.enter([=] { done(unknown); }); });
         };
     }
-    call<ports::commit_result>(
-        p, serve, unknown, with_status<ports::commit_result>(kv_status::rejected), std::move(tell));
+    call<ports::commit_result>(p,
+        serve,
+        unknown,
+        with_status<ports::commit_result>(kv_status::rejected),
+        std::move(on_answer));
 }
 
 ports::page_read store::range(const std::string& prefix, const std::string& after)
@@ -240,12 +243,12 @@
             read.changes.push_back(it);
         }
     }
-    const bool news = !read.changes.empty();
-    if (news)
+    const bool has_changes = !read.changes.empty();
+    if (has_changes)
     {
         w.answer(read);
     }
-    return news;
+    return has_changes;
 }
 
 void store::watch(process& p, waiter w, core::millis wait)
@@ -254,7 +257,7 @@
     if (down || p.store_cut || busy)
     {
         const auto s = busy && !down ? kv_status::rejected : kv_status::unknown;
-        // Not answered at once, however short the wait: that is found out by a time-out.
+        // The caller notices only by its timeout, however short the wait.
         time_.after(
             std::max(wait, timeout), [w, s] { w.answer(with_status<ports::changes_read>(s)); });
         return;
@@ -286,7 +289,7 @@
     const auto it = leases_.find(id);
     if (it != leases_.end() && it->second.renewals == renewals)
     {
-        if (down && leases_pause)
+        if (down && pauses_leases_while_down)
         {
             time_.after(it->second.ttl, [this, id, renewals] { expire(id, renewals); });
             return;
