--- a/libs/hosted/src/pending_watch.cpp
+++ b/libs/hosted/src/pending_watch.cpp
@@ -12,7 +12,7 @@
 {
 
 /// Between two lines of records with the same counts. Others have a line each: they are as rare as
-/// driver_settings::pending_every makes them.
+/// driver_settings::pending_record_interval makes them.
 constexpr core::millis repeat_every{1000};
 
 int sum_of(const std::map<std::string, int>& by_queue)
--- a/libs/hosted/src/tidier.hpp
+++ b/libs/hosted/src/tidier.hpp
@@ -16,7 +16,7 @@
 public:
     explicit tidier(term& t);
 
-    /// Begins; looks every driver_settings::tidy_every from then on.
+    /// Begins; looks every driver_settings::cleanup_interval from then on.
     void start();
 
 private:
