--- a/libs/core/include/core/base64.hpp
+++ b/libs/core/include/core/base64.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Base64 with padding (RFC 4648), for bytes inside JSON.
+/// Base64 with padding (RFC 4648), used to embed binary data in JSON.
 #pragma once
 
 #include <optional>
@@ -11,7 +11,7 @@
 
 std::string to_base64(std::string_view bytes);
 
-/// \return nothing when \p text isn't base64.
+/// \return the decoded bytes, or nothing when \p text is not valid base64.
 std::optional<std::string> from_base64(std::string_view text);
 
 } // namespace camphorhitch::core
--- a/libs/core/include/core/findings.hpp
+++ b/libs/core/include/core/findings.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Findings: everything wrong with an input, each with its place, reported together.
+/// Findings: all problems of an input, reported together, each with its position.
 #pragma once
 
 #include <string>
@@ -8,28 +8,30 @@
 namespace camphorhitch::core
 {
 
-/// Where a finding is. Fields that are not known stay empty or zero.
+/// Position of a finding. Unknown fields are empty or zero.
 struct place
 {
-    std::string document; ///< a file's or document's name
-    std::string pointer;  ///< JSON pointer inside the document
+    std::string document; ///< name of the file or document
+    std::string pointer;  ///< JSON pointer into the document
     int line = 0;         ///< 1-based
     int column = 0;       ///< 1-based
 };
 
+/// One problem of an input.
 struct finding
 {
     place where;
-    std::string text;
-    std::string suggestion; ///< a near miss, or empty
+    std::string text;       ///< description of the problem
+    std::string suggestion; ///< a valid name close to the given one; empty: none
 };
 
 using findings = std::vector<finding>;
 
-/// \return one line a finding: `document:line:column pointer: text (did you mean ...?)`.
+/// \return one line for each finding: `document:line:column pointer: text (did you mean ...?)`.
 std::string to_text(const findings& all);
 
-/// \return the name in \p known closest to \p word within two edits, or an empty string.
+/// \return the name in \p known that is closest to \p word by edit distance, at most 2, or an empty
+/// string.
 std::string nearest_name(const std::string& word, const std::vector<std::string>& known);
 
 } // namespace camphorhitch::core
--- a/libs/core/include/core/invariant.hpp
+++ b/libs/core/include/core/invariant.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Invariants asserted inside the program, in release builds too.
+/// Run-time checks of invariants, active in release builds too.
 #pragma once
 
 #include <functional>
@@ -8,11 +8,11 @@
 namespace camphorhitch::core
 {
 
-/// Called with the text of a broken invariant. The default prints it and aborts.
+/// Called with the text of a violated invariant. The default handler prints the text and aborts.
 using invariant_handler = std::function<void(const std::string& text)>;
 
-/// Replaces the handler, so that a test can show that a check can fail.
-/// \return the handler before.
+/// Replaces the handler, so that a test can observe a failing check.
+/// \return the previous handler.
 invariant_handler set_invariant_handler(invariant_handler next);
 
 /// Calls the handler when \p holds is false.
--- a/libs/core/include/core/names.hpp
+++ b/libs/core/include/core/names.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tables of names for enum classes.
+/// Tables that map the values of an enum class to their names.
 #pragma once
 
 #include <array>
@@ -10,6 +10,7 @@
 namespace camphorhitch::core
 {
 
+/// One enum value and its name.
 template <class E>
 struct name_entry
 {
@@ -17,10 +18,11 @@
     std::string_view name;
 };
 
+/// All values of an enum class with their names.
 template <class E, std::size_t N>
 using name_table = std::array<name_entry<E>, N>;
 
-/// \return the name of \p v, or "?" when the table lacks it.
+/// \return the name of \p v, or "?" when the table does not contain it.
 template <class E, std::size_t N>
 constexpr std::string_view name_of(const name_table<E, N>& table, E v)
 {
@@ -34,6 +36,7 @@
     return "?";
 }
 
+/// \return the value called \p name, or nothing when the table does not contain it.
 template <class E, std::size_t N>
 constexpr std::optional<E> value_of(const name_table<E, N>& table, std::string_view name)
 {
--- a/libs/core/include/core/rendezvous.hpp
+++ b/libs/core/include/core/rendezvous.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Rendezvous hashing: every process ranks the same members for a key in the same order.
+/// Rendezvous hashing: for a given key, every process ranks the same members in the same order.
 #pragma once
 
 #include <cstdint>
@@ -12,14 +12,14 @@
 /// \return a 64-bit hash that is the same on every host and in every version.
 std::uint64_t stable_hash(std::string_view text, std::uint64_t seed = 0);
 
-/// \param members identities; the order does not matter to the outcome.
-/// \return indices into \p members, the best for \p key first.
+/// \param members unique names; their order does not affect the ranking
+/// \return indices into \p members, ordered by descending rank for \p key.
 std::vector<std::size_t> rendezvous_order(
     std::string_view key, const std::vector<std::string_view>& members);
 
-/// Of members scored for the same key, the one with the highest score takes the key, and each gets
-/// keys in proportion to its weight. A member that comes or goes moves only its own keys.
-/// \param weight above 0
+/// \return the score of a member for a key. When each key is assigned to the member with the
+/// highest score, every member receives keys in proportion to its weight, and adding or removing a
+/// member moves only the keys of that member. \param weight greater than 0
 double weighted_score(std::string_view key, std::string_view member, double weight);
 
 } // namespace camphorhitch::core
--- a/libs/core/include/core/result.hpp
+++ b/libs/core/include/core/result.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Results: a value or an error, as a std::variant.
+/// Results of functions that may fail: a std::variant of a value and an error.
 #pragma once
 
 #include <string>
@@ -9,26 +9,27 @@
 namespace camphorhitch::core
 {
 
-/// The kinds of error that callers of a function can act upon.
+/// Kinds of error that the callers of a function can handle differently.
 enum class error_code
 {
-    invalid,       ///< the input is wrong; repeating it cannot help
-    not_found,     ///< the thing named does not exist
-    conflict,      ///< somebody else's change came first
-    unavailable,   ///< certainly had no effect; may work later
-    unknown_effect ///< may or may not have had its effect
+    invalid,       ///< the input is wrong; a repeat fails again
+    not_found,     ///< the named object does not exist
+    conflict,      ///< a concurrent change took effect first
+    unavailable,   ///< the call certainly had no effect; a repeat may succeed later
+    unknown_effect ///< the call may have taken effect
 };
 
-/// An error with a sentence for a person.
+/// An error with a message for people.
 struct error
 {
     error_code code = error_code::invalid;
     std::string message;
 };
 
-/// Nothing, as the value of a result that only tells success.
+/// The empty value of a result that only indicates success.
 using done = std::monostate;
 
+/// A value, or the error that prevented it.
 template <class T>
 using result = std::variant<T, error>;
 
@@ -38,7 +39,7 @@
     return r.index() == 0;
 }
 
-/// \return the value; \p r must be ok.
+/// \return the value. Throws std::bad_variant_access when \p r is an error.
 template <class T>
 const T& value(const result<T>& r)
 {
@@ -51,7 +52,7 @@
     return std::get<0>(r);
 }
 
-/// \return the error; \p r must not be ok.
+/// \return the error. Throws std::bad_variant_access when \p r is a value.
 template <class T>
 const error& failure(const result<T>& r)
 {
--- a/libs/core/include/core/time.hpp
+++ b/libs/core/include/core/time.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Clocks of the decisions: time is always passed in, so these clocks have no now().
+/// Clock types for decisions. Time is always passed in as a parameter, so these clocks have no
+/// now().
 #pragma once
 
 #include <chrono>
@@ -11,7 +12,7 @@
 using millis = std::chrono::milliseconds;
 using micros = std::chrono::microseconds;
 
-/// The local monotonic clock of one process. Its points mean nothing to another process.
+/// The monotonic clock of one process. Its time points are meaningless to other processes.
 struct monotonic_clock
 {
     using duration = std::chrono::microseconds;
@@ -21,7 +22,7 @@
     static constexpr bool is_steady = true;
 };
 
-/// Wall time, for people and records only; no decision compares two hosts' wall times.
+/// Wall time, for people and records only. No decision compares the wall times of two hosts.
 struct wall_clock
 {
     using duration = std::chrono::milliseconds;
@@ -34,13 +35,13 @@
 using mono_time = monotonic_clock::time_point;
 using wall_time = wall_clock::time_point;
 
-/// \return milliseconds since 1970, for documents and logs.
+/// \return milliseconds since 1970 (UTC), for documents and logs.
 inline std::int64_t to_unix_ms(wall_time t)
 {
     return t.time_since_epoch().count();
 }
 
-/// \param ms milliseconds since 1970.
+/// \param ms milliseconds since 1970 (UTC)
 inline wall_time from_unix_ms(std::int64_t ms)
 {
     return wall_time{millis{ms}};
