--- a/libs/ports/include/ports/http.hpp
+++ b/libs/ports/include/ports/http.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Ports for HTTP: requests that callers send us, and requests that we send to targets.
+/// Ports for HTTP: a server for the requests of callers, and a client for requests to targets.
 #pragma once
 
 #include "core/time.hpp"
@@ -14,10 +14,10 @@
 namespace camphorhitch::ports
 {
 
-/// Header fields in order; names compare without case.
+/// Header fields in order. Names are compared case-insensitively.
 using http_fields = std::vector<std::pair<std::string, std::string>>;
 
-/// \return the first value of \p name, or nullptr.
+/// \return the value of the first field called \p name, or nullptr.
 const std::string* find_field(const http_fields& fields, std::string_view name);
 
 struct http_request
@@ -36,33 +36,33 @@
     std::string body;
 };
 
-/// Names one open exchange of a server; never used twice.
+/// Identifies one exchange (request and answer) of a server; never reused.
 using exchange_id = std::uint64_t;
 
-/// What a server tells its owner. The owner answers each exchange once, through http_server.
+/// Callbacks of a server. Its user answers each exchange once through http_server::respond.
 struct http_events
 {
     std::function<void(exchange_id, http_request)> on_request;
-    /// The caller went away before its answer; the exchange is over.
+    /// The caller closed the connection before the answer; the exchange is over.
     std::function<void(exchange_id)> on_gone;
 };
 
 struct http_server
 {
     std::function<void(exchange_id, http_response)> respond;
-    /// Takes no new connection; open exchanges go on.
+    /// Stops accepting connections; open exchanges continue.
     std::function<void()> stop_accepting;
-    std::function<std::size_t()> open_exchanges;
-    std::uint16_t port = 0; ///< the port in use, also when 0 was asked for
+    std::function<std::size_t()> open_exchanges; ///< number of exchanges without an answer
+    std::uint16_t port = 0; ///< the port in use, also when port 0 was requested
 };
 
 /// How a call to a target ended.
 enum class call_end
 {
-    answered,     ///< the whole answer came
+    answered,     ///< the complete answer was received
     not_sent,     ///< no byte of the request left this process
-    interrupted,  ///< some byte may have left and no whole answer came
-    answer_broken ///< an answer came but was malformed, truncated or too large
+    interrupted,  ///< part of the request may have been sent; no complete answer was received
+    answer_broken ///< the answer was malformed, truncated or too large
 };
 
 struct http_call
@@ -71,31 +71,33 @@
     http_request request;
     core::millis connect_timeout{1000};
     core::millis total_timeout{10000};
-    /// Checked when a connection stands, just before the first byte: later it is not sent. A call
-    /// may wait for a connection, or its process be paused, longer than the right to send lasts.
+    /// The request is not sent after this time. The client compares it with the clock when the
+    /// connection is established, just before the first byte: the call may have waited for a
+    /// connection, or the process may have been paused, for longer than the permission to send is
+    /// valid.
     core::mono_time latest_start = core::mono_time::max();
-    std::size_t largest_answer = 8u << 20; ///< bytes
-    bool fresh_connection = false;         ///< never a connection that has been idle
+    std::size_t largest_answer = 8u << 20; ///< bytes; a larger answer ends as answer_broken
+    bool fresh_connection = false;         ///< no idle connection is reused
 };
 
 struct http_outcome
 {
     call_end end = call_end::not_sent;
     http_response response;
-    std::string detail; ///< for logs
-    bool new_connection = false;
+    std::string detail;          ///< for logs
+    bool new_connection = false; ///< the call opened a connection
     core::micros elapsed{0};
-    std::uint64_t bytes_sent = 0;     ///< of HTTP, header included
-    std::uint64_t bytes_received = 0; ///< of HTTP, header included
+    std::uint64_t bytes_sent = 0;     ///< HTTP bytes, including the header
+    std::uint64_t bytes_received = 0; ///< HTTP bytes, including the header
 };
 
-/// Names one call; 0 is none.
+/// Identifies one call; 0: none.
 using call_id = std::uint64_t;
 
 struct http_client
 {
     std::function<call_id(http_call, std::function<void(http_outcome)>)> send;
-    /// Gives up a call. Its callback is not called any more.
+    /// Aborts a call. Its callback is not called any more.
     std::function<void(call_id)> cancel;
 };
 
--- a/libs/ports/include/ports/peer.hpp
+++ b/libs/ports/include/ports/peer.hpp
@@ -1,5 +1,9 @@
 /// \file
-/// Port between the system's own processes: typed messages and the two sides of each call.
+/// Port between the members of the system: typed messages, and the two sides of each call.
+///
+/// A member is one process of the system; its incarnation changes with each restart. The owner of
+/// a pool is the member that dispatches its requests. The holders of a slot are the two members
+/// that remember the claims of its keys. A roster names the members, and its version is the epoch.
 #pragma once
 
 #include "core/time.hpp"
@@ -12,7 +16,7 @@
 namespace camphorhitch::ports
 {
 
-/// The class of a request, the most urgent first.
+/// The class of a request, beginning with the most urgent one.
 enum class request_class : std::uint8_t
 {
     quick,
@@ -20,7 +24,7 @@
     long_running
 };
 
-/// Number of the roster document's version under which a message was sent.
+/// Version of the roster document under which a message was sent.
 using epoch_number = std::uint64_t;
 
 // ---- membership, configuration and freshness ----
@@ -29,13 +33,13 @@
 {
     std::string member;
     std::string incarnation;
-    epoch_number epoch = 0;                ///< newest roster adopted
-    std::int64_t config_version = 0;       ///< newest configuration in force here
-    bool store_reachable = false;          ///< the key-value service confirmed us lately
-    bool fresh = false;                    ///< the sender is fresh by its own rule
-    std::int64_t sequence = 0;             ///< of the sender, to match the reply
-    std::vector<std::string> silent_peers; ///< members that the sender has not heard for too long
-    /// Attached only for a peer that was seen to be behind.
+    epoch_number epoch = 0;          ///< newest roster that the sender has adopted
+    std::int64_t config_version = 0; ///< newest configuration in force at the sender
+    bool store_reachable = false;    ///< the key-value service has answered the sender recently
+    bool fresh = false;              ///< the sender considers itself fresh
+    std::int64_t sequence = 0;       ///< chosen by the sender to match the reply
+    std::vector<std::string> silent_peers; ///< members whose messages are overdue
+    /// The documents are attached only for a peer whose versions are older.
     std::string roster_document;
     std::string config_document;
 };
@@ -45,24 +49,24 @@
 struct permit_request
 {
     epoch_number epoch = 0;
-    std::string member;        ///< who will send
-    std::string incarnation;   ///< of that member
+    std::string member;        ///< the member that will send the request
+    std::string incarnation;   ///< incarnation of that member
     std::uint64_t request = 0; ///< unique within the incarnation
     std::string pool;
-    std::string zone; ///< the sender's, preferred
+    std::string zone; ///< zone of the sender; targets in it are preferred
     request_class klass = request_class::normal;
-    core::millis time_left{0};
-    core::millis expected{0};       ///< expected run time; 0: not known
-    std::vector<std::string> avoid; ///< hosts that failed this request already
-    bool retry = false;
+    core::millis time_left{0};      ///< until the deadline of the request
+    core::millis expected{0};       ///< expected run time; 0: unknown
+    std::vector<std::string> avoid; ///< hosts on which this request has already failed
+    bool retry = false;             ///< an earlier attempt was made
 };
 
 enum class permit_verdict : std::uint8_t
 {
     granted,
-    refused,     ///< certainly not run; see reason and retry_after
-    wrong_owner, ///< ask the owner of a newer roster
-    not_ready    ///< the owner is still collecting reports after a take-over
+    refused,     ///< the request certainly does not run; see reason and retry_after
+    wrong_owner, ///< the replier does not own the pool; ask the owner in a newer roster
+    not_ready    ///< the owner is still collecting the held permits after a takeover
 };
 
 struct permit_reply
@@ -71,9 +75,9 @@
     std::uint64_t permit = 0; ///< unique within the owner's incarnation
     std::string host;
     std::string address; ///< of the target, "ip:port"
-    std::string reason;  ///< the rule that decided
+    std::string reason;  ///< name of the rule that decided
     core::millis retry_after{0};
-    core::millis waited{0}; ///< at the owner from the ask's arrival to the grant, rounded down
+    core::millis waited{0}; ///< from the request's arrival at the owner to the grant, rounded down
 };
 
 enum class permit_outcome : std::uint8_t
@@ -81,7 +85,7 @@
     unused,   ///< nothing was sent
     answered, ///< the target answered
     failed,   ///< the target answered with a failure of its own, or could not be reached
-    silent    ///< sent, and no answer came
+    silent    ///< the request was sent, and the target did not answer
 };
 
 struct permit_return
@@ -93,41 +97,42 @@
     std::string pool;
     std::string host;
     permit_outcome outcome = permit_outcome::unused;
-    core::micros elapsed{0};
+    core::micros elapsed{0}; ///< from sending the request to its outcome
 };
 
-/// Permits held by a member, told to a new owner of their pool.
+/// A permit held by a member, reported to a new owner of its pool.
 struct held_permit
 {
     std::string pool;
     std::string host;
     std::uint64_t request = 0;
-    core::millis age{0};
+    core::millis age{0}; ///< time since the request was sent
 };
 
 struct held_query
 {
     epoch_number epoch = 0;
-    std::string member; ///< who asks
+    std::string member; ///< the member that asks
     std::vector<std::string> pools;
 };
 
 struct held_reply
 {
-    epoch_number epoch = 0;  ///< adopted by the replier; permits of older owners are refused since
-    std::string member;      ///< the replier; another process at the same address proves nothing
-    std::string incarnation; ///< of that member
+    /// Epoch that the replier has adopted. From then on it refuses permits of earlier owners.
+    epoch_number epoch = 0;
+    std::string member;      ///< id of the replier, to detect another process at its address
+    std::string incarnation; ///< incarnation of the replier
     std::vector<held_permit> permits;
 };
 
-// ---- claims: at most once for requests with an idempotency key ----
+// ---- claims: requests with an idempotency key run at most once ----
 
 enum class claim_state : std::uint8_t
 {
-    claimed, ///< an executor may be running it
-    done,    ///< ran, and its answer is remembered
-    unknown, ///< may have run; never runs again while remembered
-    released ///< its attempt was never sent and never will be; another attempt may claim the key
+    claimed, ///< an executor may be running the request
+    done,    ///< the request ran, and its answer is remembered
+    unknown, ///< the request may have run; it does not run again while the entry exists
+    released ///< the attempt was not and will not be sent; another attempt may claim the key
 };
 
 struct claim_entry
@@ -135,15 +140,16 @@
     std::string key;
     std::uint64_t body_hash = 0;
     claim_state state = claim_state::claimed;
-    std::string executor; ///< member/incarnation
+    std::string executor; ///< "member/incarnation"
     std::uint64_t attempt = 0;
-    core::millis age{0};
-    int status = 0; ///< of the remembered answer
+    core::millis age{0}; ///< time since the last change of the entry
+    int status = 0;      ///< HTTP status of the remembered answer
     std::vector<std::pair<std::string, std::string>> fields;
     std::string body;
-    bool answer_kept = false;   ///< false: too large to remember, only that it ran
-    epoch_number epoch = 0;     ///< of the first holder that changed the entry last
-    std::uint64_t sequence = 0; ///< counts that holder's changes; (epoch, sequence) tells the newer
+    bool answer_kept = false;   ///< false: the answer was too large to keep
+    epoch_number epoch = 0;     ///< epoch in which the first holder last changed the entry
+    std::uint64_t sequence = 0; ///< counts that holder's changes; a newer entry has a higher
+                                ///< (epoch, sequence)
 };
 
 struct claim_request
@@ -157,13 +163,13 @@
 
 enum class claim_verdict : std::uint8_t
 {
-    granted,     ///< the executor, and nobody else, may send it
-    known,       ///< see entry: done, unknown, or claimed by another attempt
-    other_body,  ///< the same key came with another body
-    wrong_epoch, ///< ask by a newer roster
-    not_ready,   ///< the slot has not heard from a former holder yet
-    quarantined, ///< both former holders are lost; an earlier run can't be ruled out
-    full         ///< no room to remember one more key
+    granted,     ///< this executor alone may send the request
+    known,       ///< the key exists, see entry: done, unknown, or claimed by another attempt
+    other_body,  ///< the key was used with another body
+    wrong_epoch, ///< the roster of the request is outdated; ask again under a newer one
+    not_ready,   ///< the slot has not received the state of its previous holders yet
+    quarantined, ///< both previous holders are lost; an earlier run can't be ruled out
+    full         ///< the slot can't remember another key
 };
 
 struct claim_reply
@@ -180,33 +186,34 @@
     std::string key;
     std::string executor;
     std::uint64_t attempt = 0;
-    bool not_run = false; ///< the claim is released: it was never sent
-    claim_entry entry;    ///< state done or unknown otherwise
+    bool not_run = false; ///< true: the attempt was never sent, and the claim is released
+    claim_entry entry;    ///< when not_run is false: the new entry, in state done or unknown
 };
 
-/// From a slot's first holder to its second: remember this, if the epoch still stands. With an
-/// empty key it only asks whether the epoch still stands.
+/// Copies a changed entry from a slot's first holder to its second one, which accepts it only in
+/// the same epoch. With an empty key, the message only asks whether the epoch is still the same.
 struct claim_copy
 {
     epoch_number epoch = 0;
     std::uint32_t slot = 0;
-    bool erase = false;
+    bool erase = false; ///< the entry is removed instead of stored
     claim_entry entry;
 };
 
-/// What a member knows of one slot.
+/// The state of one slot at one member.
 struct slot_state
 {
     std::uint32_t slot = 0;
-    epoch_number complete_through = 0; ///< last epoch in which it held the slot whole; 0: never
-    epoch_number refused_through = 0;  ///< promises to accept no copy of this or an older epoch
-    /// After quarantine_left, what was granted through this epoch is forgotten or among the
-    /// entries.
+    epoch_number complete_through = 0; ///< last epoch in which it had all entries; 0: never
+    epoch_number refused_through = 0;  ///< it accepts no copy of this or an older epoch
+    /// Claims granted up to this epoch may be missing from the entries until quarantine_left has
+    /// passed. After that time they have expired.
     epoch_number quarantined_through = 0;
     core::millis quarantine_left{0};
     std::vector<claim_entry> entries;
 };
 
+/// Asks another member for its state of some slots.
 struct slot_pull
 {
     epoch_number epoch = 0;
@@ -216,16 +223,16 @@
 
 struct slot_pull_reply
 {
-    bool adopted = false;    ///< the replier has adopted that epoch; without it the reply is void
-    std::string member;      ///< the replier; another process at the same address proves nothing
-    std::string incarnation; ///< of that member
+    bool adopted = false;    ///< the replier has adopted the epoch; false: the reply is void
+    std::string member;      ///< id of the replier, to detect another process at its address
+    std::string incarnation; ///< incarnation of the replier
     std::vector<slot_state> slots;
 };
 
 /// Asks a peer for its recorded decisions about one request, job or host.
 struct explain_query
 {
-    std::string kind;
+    std::string kind; ///< kind of the object, for example "host"
     std::string id;
 };
 
@@ -234,12 +241,12 @@
     std::vector<std::string> lines;
 };
 
-/// How a call to a peer ended, beside its reply.
+/// How a call to a peer ended.
 enum class peer_status
 {
     ok,
-    refused,    ///< connection refused: no process listens at that address any more
-    unreachable ///< timed out or broken; the call may have had its effect
+    refused,    ///< connection refused: no process listens at that address
+    unreachable ///< timed out or disconnected; the call may have taken effect
 };
 
 template <class Reply>
@@ -250,7 +257,7 @@
     bool accepted = false;
 };
 
-/// The calling side; \p address is "ip:port".
+/// The calling side. \p address is "ip:port".
 struct peer_client
 {
     template <class Request, class Reply>
@@ -267,7 +274,8 @@
     call<explain_query, explain_reply> explain;
 };
 
-/// The answering side. Each handler answers once, now or later, through its callback.
+/// The answering side. Each handler replies exactly once through its callback, immediately or
+/// later.
 struct peer_handlers
 {
     template <class Request, class Reply>
--- a/libs/ports/include/ports/platform.hpp
+++ b/libs/ports/include/ports/platform.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Port to the platform: the lagging live list, reboots, and tasks on workers.
+/// Port to the platform: the live list (which lags behind), reboots, and tasks on workers.
 #pragma once
 
 #include "core/names.hpp"
@@ -16,7 +16,7 @@
 enum class live_state
 {
     live,
-    leaving, ///< the platform is about to take the host away
+    leaving, ///< the platform is about to remove the host
     down
 };
 
@@ -30,7 +30,7 @@
 {
     std::string id;
     live_state state = live_state::down;
-    std::int64_t boot_count = 0; ///< grows with every boot
+    std::int64_t boot_count = 0; ///< increases with every boot
 };
 
 struct live_list
@@ -42,23 +42,23 @@
 enum class platform_status
 {
     ok,
-    refused, ///< certainly not done
-    unknown  ///< may have been done
+    refused, ///< the command was certainly not carried out
+    unknown  ///< the command may have been carried out
 };
 
-/// A task as the platform runs it.
+/// An order to start a task on a worker.
 struct task_order
 {
     std::string host;
-    std::string task; ///< unique for ever; the worker starts a task name once only
-    double processors = 0;
-    double memory_gb = 0;
-    int accelerators = 0;
-    core::millis run_time{0};  ///< declared
-    core::millis lease_ttl{0}; ///< the worker stops the task when its lease lapses
-    bool resume = false;       ///< go on from the last checkpoint
-    std::string checkpoint;    ///< name of the checkpoint to go on from
-    std::string payload;       ///< what to run, opaque
+    std::string task;          ///< never reused; the worker starts a task name at most once
+    double processors = 0;     ///< required processor cores
+    double memory_gb = 0;      ///< required memory in gigabytes
+    int accelerators = 0;      ///< required accelerators
+    core::millis run_time{0};  ///< declared run time
+    core::millis lease_ttl{0}; ///< the worker stops the task when its lease expires
+    bool resume = false;       ///< the task continues from a checkpoint
+    std::string checkpoint;    ///< name of the checkpoint to resume from
+    std::string payload;       ///< program and input of the task, opaque
 };
 
 enum class task_state
@@ -67,7 +67,7 @@
     finished,
     failed,
     stopped,
-    lapsed
+    lapsed ///< the lease expired, and the worker stopped the task
 };
 
 inline constexpr core::name_table<task_state, 5> task_state_names{{
@@ -83,21 +83,21 @@
     std::string host;
     std::string task;
     task_state state = task_state::running;
-    double processors_used = 0; ///< measured, late
-    double memory_gb_used = 0;  ///< measured, late
-    std::string checkpoint;     ///< name of the newest checkpoint, or empty
-    std::string detail;
+    double processors_used = 0; ///< measured; the measurement lags behind
+    double memory_gb_used = 0;  ///< measured; the measurement lags behind
+    std::string checkpoint;     ///< name of the newest checkpoint; empty: none
+    std::string detail;         ///< for logs
 };
 
 struct task_reports
 {
-    bool known = false;
+    bool known = false; ///< false: the tasks could not be read
     std::vector<task_report> tasks;
 };
 
 enum class task_action
 {
-    renew,
+    renew, ///< extend the lease
     checkpoint,
     throttle,
     unthrottle,
@@ -115,11 +115,11 @@
 struct platform
 {
     std::function<void(std::function<void(live_list)>)> read_live_list;
-    /// \p command makes a repeat have its effect once.
+    /// \p command identifies the call: a repeat with the same text has no further effect.
     std::function<void(std::string host, std::string command, std::function<void(platform_status)>)>
         reboot;
     std::function<void(task_order, std::function<void(platform_status)>)> start_task;
-    /// One call for many tasks of one host.
+    /// Applies one action to several tasks of a host.
     std::function<void(std::string host,
         std::vector<std::string> tasks,
         task_action,
--- a/libs/ports/include/ports/scheduler.hpp
+++ b/libs/ports/include/ports/scheduler.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Port to time and to the one thread on which all decisions run.
+/// Port to the clocks and to the event loop, whose single thread runs all decisions.
 #pragma once
 
 #include "core/time.hpp"
@@ -10,16 +10,18 @@
 namespace camphorhitch::ports
 {
 
-/// A timer's handle; 0 is none.
+/// Handle of a timer; 0: none.
 using timer_id = std::uint64_t;
 
-/// Time and the event loop. All callbacks of all ports run on this loop's thread.
+/// Clocks and the event loop. The callbacks of all ports run on the loop's thread.
 struct scheduler
 {
     std::function<core::mono_time()> now;
     std::function<core::wall_time()> wall_now;
-    /// Runs \p fn soon on the loop; the only member that other threads may call.
+    /// Runs \p fn in one of the next iterations of the loop. This is the only member that other
+    /// threads may call.
     std::function<void(std::function<void()> fn)> post;
+    /// Runs \p fn once when \p delay has passed.
     std::function<timer_id(core::millis delay, std::function<void()> fn)> after;
     std::function<void(timer_id)> cancel;
 };
--- a/libs/ports/include/ports/telemetry.hpp
+++ b/libs/ports/include/ports/telemetry.hpp
@@ -30,29 +30,31 @@
     {log_level::error, "error"},
 }};
 
-/// The pairs of one event's line, in order.
+/// The key=value pairs of one log line, in order.
 using log_fields = std::vector<std::pair<std::string, std::string>>;
 
 /// Labels of a metric, in order.
 using metric_labels = std::vector<std::pair<std::string, std::string>>;
 
-/// One hop's span. finish() ends it; copies share it.
+/// The trace span of one hop. finish() ends it; copies refer to the same span.
 struct span
 {
-    std::string traceparent; ///< W3C text to hand to the next hop
+    std::string traceparent; ///< W3C trace context header for the next hop
     std::function<void(std::string key, std::string value)> tag;
     std::function<void()> finish;
 };
 
 struct telemetry
 {
-    /// One line of key=value pairs, `event=` first.
+    /// Writes one line of key=value pairs that begins with `event=`.
     std::function<void(log_level, std::string event, log_fields)> log;
+    /// Increases a counter by \p by.
     std::function<void(std::string name, metric_labels, double by)> count;
+    /// Sets a gauge.
     std::function<void(std::string name, metric_labels, double value)> gauge;
-    /// \p value in seconds for times.
+    /// Adds a value to a summary; times are in seconds.
     std::function<void(std::string name, metric_labels, double value)> observe;
-    /// Starts a span; \p parent is a traceparent, or empty for a new trace.
+    /// Starts a span. \p parent is a traceparent; empty: a new trace begins.
     std::function<span(std::string name, std::string parent)> start_span;
 };
 
