--- a/bench/placement_days/src/main.cpp
+++ b/bench/placement_days/src/main.cpp
@@ -82,7 +82,7 @@
     all.push_back(it);
     it = all.front();
     it.name = "declared_times";
-    it.placement.learns_times = false;
+    it.placement.uses_measured_run_times = false;
     all.push_back(it);
     it = all.front();
     it.name = "no_foresight";
--- a/libs/coordinator/include/coordinator/fleet.hpp
+++ b/libs/coordinator/include/coordinator/fleet.hpp
@@ -1,5 +1,11 @@
 /// \file
-/// What the coordinator believes: jobs, their runs, and the hosts that run them.
+/// State that the coordinator keeps: the jobs, their runs, and the runners that execute them.
+///
+/// In this library a host_entry stands for one runner process; a machine is the server of the
+/// platform on which that process lives. The runner id identifies one incarnation of a runner:
+/// after a restart the runner has another id. A term is the time during which one coordinator
+/// leads; the coordinators of earlier terms are called previous coordinators. All core::mono_time
+/// values are read from the clock of this process.
 #pragma once
 
 #include "coordinator/learning.hpp"
@@ -23,12 +29,13 @@
 namespace camphorhitch::coordinator
 {
 
+/// What the coordinator knows about the progress of one run on its runner.
 enum class run_phase
 {
-    ordered,   ///< the start order is out and unanswered
-    unsettled, ///< its answer was lost: it may run, or start seconds later
-    running,   ///< the runner said so
-    stopping   ///< a stop is wanted; it takes room until its end is certain
+    ordered,   ///< the start order was sent and has no answer yet
+    unsettled, ///< the answer was lost: the run may be active, or may still start seconds later
+    running,   ///< the runner confirmed the run
+    stopping   ///< a stop was requested; the run occupies its resources until its end is certain
 };
 
 inline constexpr core::name_table<run_phase, 4> run_phase_names{{
@@ -38,183 +45,197 @@
     {run_phase::stopping, "stopping"},
 }};
 
-/// One start of a task on one host.
+/// One start of a task on one runner.
 struct run_entry
 {
-    std::int64_t number = 0;
-    std::string host; ///< id of the runner's life
+    std::int64_t number = 0; ///< unique among the runs of the task; members of a gang share it
+    std::string host;        ///< id of the runner
     run_phase phase = run_phase::ordered;
-    core::mono_time ordered_at;
-    bool adopted = false;   ///< begun by a former owner: when is not known
-    bool resumed = false;   ///< from a checkpoint: it takes less than a whole run
-    bool confirmed = false; ///< the runner has said that it runs
-    bool watched = false;   ///< earlier runs were lost with their hosts
-    bool trial = false;     ///< of a suspect: nothing else is placed on its host
-    bool sole = false;      ///< no other task on its host is suspected
-    /// A poll that began before this says nothing about the present phase.
-    core::mono_time changed_at;
-    bool stop_in_flight = false;
-    bool stop_confirmed = false; ///< the runner will not start this run any more
-    core::mono_time stop_again;  ///< earliest repeat of an unanswered stop
-    int percent = 0;             ///< of its work, as last reported
-    std::int64_t figure = 0;     ///< as ports::reported_run::figure
-    int pace = 100;              ///< percent ordered last
+    core::mono_time ordered_at; ///< when the start was ordered; for an adopted run, when found
+    bool adopted = false;       ///< a previous coordinator started it: its start time is unknown
+    bool resumed = false;       ///< started from a checkpoint, so shorter than a complete run
+    bool confirmed = false;     ///< the runner has reported this run as active
+    bool after_loss = false;    ///< earlier runs of the task were lost together with their runners
+    bool isolated = false;      ///< run of a suspect: its host receives no other task meanwhile
+    bool only_suspect = false;  ///< no other task on its host is suspected of crashing hosts
+    /// When the phase last changed. A poll that was sent before this time does not show whether the
+    /// run has ended.
+    core::mono_time phase_changed_at;
+    bool stop_in_flight = false;   ///< a stop order was sent and has no answer yet
+    bool stop_confirmed = false;   ///< the runner accepted the stop: it never starts this run
+    core::mono_time stop_retry_at; ///< an unanswered stop is not repeated before this time
+    int progress_percent = 0;      ///< share of the work that is done, as last reported, 0 to 100
+    std::int64_t load_metric = 0;  ///< latest ports::reported_run::load_metric
+    int cpu_percent = 100;         ///< share of processor time that was last ordered, 0 to 100
 };
 
+/// One task of a job, with its active runs.
 struct task_entry
 {
     workflow::task_progress progress;
-    std::int64_t last_run = 0; ///< highest number that any runner may have seen
+    std::int64_t highest_run_number = 0; ///< no runner can have received a higher run number
     std::vector<run_entry> runs;
-    std::vector<std::string> failed_on; ///< hosts; avoided while there are others
-    core::mono_time not_before;         ///< a start was refused; it is ordered again after this
-    core::mono_time lost_at; ///< when this owner noted the newest lost run; zero: it noted none
-    /// A former owner may have ordered a run that nobody has seen, and that was lost. It counts
-    /// once one is known to be lost.
-    bool unseen_start = false;
-    /// Number of the trial that is entered among the lost runs before it starts, so that a
-    /// successor knows of it; 0: none.
-    std::int64_t reserved = 0;
-    bool told_withheld = false; ///< since the newest lost run
+    std::vector<std::string> failed_on; ///< runner ids that are avoided while others are available
+    core::mono_time not_before; ///< after a refused start, the task does not start before this time
+    /// When the newest loss was recorded in this term, or, for losses of earlier terms only, when
+    /// this coordinator first evaluated them; zero: neither has happened.
+    core::mono_time last_loss_at;
+    /// A previous coordinator may have ordered a run that was lost before anyone saw it. The
+    /// possible run counts as a loss once the task has at least one known lost run.
+    bool may_have_unseen_start = false;
+    /// Number of the isolated run that is stored among the lost runs before it starts, so that the
+    /// next coordinator counts it if it crashes its host; 0: none.
+    std::int64_t reserved_run_number = 0;
+    bool withheld_logged = false; ///< start_withheld was logged since the newest lost run
 };
 
-/// Runs that were lost if the life of a silent runner has ended.
-struct loss_doubt
+/// Runs that are lost if an unresponsive runner has crashed, which is not yet certain.
+struct uncertain_loss
 {
-    std::string machine;   ///< whose life it was; empty: not known
-    core::mono_time since; ///< when its runs were given up; zero: in a former term
-    std::vector<std::pair<workflow::task_name, std::int64_t>> runs;
+    std::string machine;   ///< machine of the runner; empty: unknown
+    core::mono_time since; ///< when its runs were abandoned; zero: in a previous term
+    std::vector<std::pair<workflow::task_name, std::int64_t>> runs; ///< task and run number
 };
 
-/// Leave to run a step's tasks on one host.
+/// Permission of the platform's advice service to run the tasks of a step on one runner.
 struct host_ticket
 {
-    std::string text;
-    core::mono_time until;
+    std::string text;      ///< opaque; sent with the start order
+    core::mono_time until; ///< not used from this time on
 };
 
-/// What the platform's advice has said of one step.
+/// What the platform's advice service has answered for one step.
 struct step_advice
 {
-    std::map<std::string, host_ticket> good; ///< by runner id
-    std::set<std::string> bad;               ///< runners that never may run it
-    bool asking = false;
-    core::mono_time not_before; ///< of the next call
+    std::map<std::string, host_ticket> tickets; ///< by runner id
+    std::set<std::string> rejected_hosts;       ///< ids of runners that may never run the step
+    bool request_in_flight = false;
+    core::mono_time not_before; ///< the next request is not sent before this time
 };
 
 /// Counts over the tasks of one step of one occurrence.
 struct step_entry
 {
     int done = 0;
-    int idle = 0; ///< neither done nor with a run
-    /// The last of the steps before was done then, in this term; zero: none was.
+    int idle = 0; ///< tasks that are neither done nor have a run
+    /// When the last task of the steps it depends on became done in this term; zero: the step
+    /// depends on none, or they were done before this term.
     core::mono_time ready_at;
 };
 
+/// A job that the coordinator has read from the store.
 struct job_entry
 {
     workflow::job spec;
     workflow::job_state state = workflow::job_state::queued;
-    bool cancelled = false;       ///< a cancel was accepted
-    bool inherited = false;       ///< accepted before this term: a former owner may have started it
-    bool dirty = false;           ///< the stored progress is older than this entry
-    ports::revision accepted = 0; ///< revision at which the store took the job
-    ports::revision stored = 0;   ///< revision of the stored progress; 0: none
-    core::mono_time taken_at;     ///< when it came into view; zero: not told
-    std::int64_t ended_unix_ms = 0; ///< wall time at which its end was first written; 0: not yet
-    std::vector<task_entry> tasks;  ///< by workflow::task_place; empty once final
-    std::vector<step_entry> steps;  ///< by occurrence and step
-    std::map<std::size_t, step_advice> advice; ///< by place in steps; jobs under advice only
+    bool cancelled = false; ///< a cancel was accepted
+    bool inherited = false; ///< accepted before this term: a previous coordinator may have run it
+    bool dirty = false;     ///< the stored progress is older than this entry
+    ports::revision accepted_revision = 0; ///< store revision at which the job was accepted
+    ports::revision stored_revision = 0;   ///< store revision of the stored progress; 0: none
+    core::mono_time added_at;       ///< when the coordinator first read the job; zero: unknown
+    std::int64_t ended_unix_ms = 0; ///< wall time at which its end was first stored; 0: not yet
+    /// By workflow::task_index(); empty when the final state is stored and no run is left.
+    std::vector<task_entry> tasks;
+    std::vector<step_entry> steps; ///< by occurrence and step
+    /// By the index in steps; only for jobs that need advice.
+    std::map<std::size_t, step_advice> advice;
     std::size_t live_runs = 0;
     std::size_t done_tasks = 0;
-    int losses = 0; ///< lost runs of all tasks
-    /// Losses noted by this owner; those in the newest write of the progress; those that are
-    /// stored.
-    std::int64_t losses_noted = 0;
+    int losses = 0; ///< entries in workflow::task_progress::lost_runs over all tasks
+    /// Number of losses and reservations that this coordinator recorded, how many of them the
+    /// newest write of the progress contains, and how many are stored. A task with lost runs
+    /// starts only when all are stored, since the next coordinator counts from the store.
+    std::int64_t losses_recorded = 0;
     std::int64_t losses_written = 0;
     std::int64_t losses_stored = 0;
 };
 
-/// Why no new task may start on a host, beside its own state.
-enum class host_use
+/// Whether the coordinator itself has closed a host to new tasks.
+enum class host_availability
 {
     open,
     closed_for_maintenance,
-    closed_for_move
+    closed_for_move ///< the host is moving to another pool
 };
 
-/// host_entry::asked from which silence counts as the host's own.
-inline constexpr int surely_asked = 2;
+/// From this host_entry::contact_score on, a missing answer is attributed to the runner.
+inline constexpr int min_contact_score = 2;
 
+/// One runner, as the coordinator sees it.
 struct host_entry
 {
     ports::runner_ref ref;
     std::string pool;
     std::string zone;
     std::string rack;
-    std::string machine;              ///< as the list of machines showed it; empty: not yet
-    core::mono_time machine_known_at; ///< when that list was asked for, or the record read
+    std::string machine;              ///< id of its machine, from the machine list; empty: unknown
+    core::mono_time machine_known_at; ///< when that list was requested or the record was read
     std::vector<std::string> labels;
     workflow::resources capacity;
-    bool listed = false;    ///< in the newest list of runners
-    bool entry_odd = false; ///< it is listed at another address, or in another pool
-    bool draining = false;  ///< about to leave
-    host_use use = host_use::open;
-    core::mono_time closed_at; ///< when use left open
-    /// A successor will find it among the runners in use, with nothing said of the end of its
-    /// leases. Others are granted no lease and no start.
+    bool listed = false;          ///< the newest list of runners contains it
+    bool entry_conflicts = false; ///< its listed address or pool differs from the known one
+    bool draining = false;        ///< the platform is about to take the host away
+    host_availability availability = host_availability::open;
+    core::mono_time closed_at; ///< when availability last changed from open to closed
+    /// The stored record of runners in use contains it without an end of its leases, so the next
+    /// coordinator waits for them. Only such runners are granted leases and receive starts.
     bool recorded = false;
 
-    bool prior = false; ///< a former owner may have ordered runs here that we have not seen
-    /// How surely it was asked in this term: an answer, or none to a call that left, counts 2; a
-    /// call that did not leave counts 1, for the fault may be on this side, or on a node between.
-    int asked = 0;
-    bool reachable = false;
-    bool address_lost = false;    ///< another runner answered there last
-    core::mono_time silent_since; ///< when it left reachable
+    /// A previous coordinator may have ordered runs here that this one has not seen in a poll.
+    bool inherited = false;
+    /// How certain it is that the runner was asked in this term. A call that was sent adds 2,
+    /// answered or not. A call that was not sent adds 1, since the fault may be in this process or
+    /// in a relay. Compared with min_contact_score.
+    int contact_score = 0;
+    bool reachable = false;             ///< the latest poll or renewal was answered
+    bool address_lost = false;          ///< the latest answer from its address was another runner's
+    core::mono_time unresponsive_since; ///< when reachable became false
     core::mono_time added_at;
-    core::mono_time last_answer;     ///< to a poll; zero: none in this term
-    core::mono_time polled_at;       ///< when the latest poll was sent; zero: none in this term
-    std::int64_t clock_ms = -1;      ///< the runner's clock in its newest answer; -1: none yet
-    core::mono_time clock_at;        ///< when that answer arrived
-    std::int64_t lease_until_ms = 0; ///< latest end of a lease that anyone may have granted
-    core::mono_time prior_lapse_at;  ///< a former owner's leases have certainly ended by then
-
-    workflow::resources used;    ///< by all runs, stopping and unsettled ones included
-    std::size_t strays = 0;      ///< runs of jobs that are not known; they take unknown room
-    std::int64_t seen_end = 0;   ///< highest end that was taken in
-    std::int64_t stored_end = 0; ///< ends up to here are stored and may be acknowledged
-    int fillers = 0;             ///< runs of steps that fill
-    int watched = 0;             ///< runs of tasks of which earlier runs were lost
-    int trials = 0;              ///< runs of suspects; with any, the host takes no other task
-    core::mono_time paced_at;    ///< latest look at their pace
-    int recent_failures = 0;     ///< failed runs less finished ones, not below 0
-    /// Tasks with a run here; key: workflow::write_task_name.
+    core::mono_time last_answer_at; ///< latest answer to a poll or renewal; zero: none in this term
+    core::mono_time polled_at;      ///< when the latest poll was sent; zero: none in this term
+    std::int64_t clock_ms = -1;     ///< the runner's clock in its newest answer; -1: none yet
+    core::mono_time clock_read_at;  ///< when that answer arrived
+    std::int64_t lease_until_ms = 0; ///< latest possible end of its leases, on the runner's clock
+    /// By this time all leases granted by previous coordinators have certainly ended.
+    core::mono_time inherited_leases_end_at;
+
+    workflow::resources used;          ///< by all runs, including stopping and unsettled ones
+    std::size_t orphaned_runs = 0;     ///< reported runs without an open task; resources unknown
+    std::int64_t last_applied_end = 0; ///< highest number of an end that was applied
+    std::int64_t last_stored_end = 0;  ///< ends up to this number are stored and acknowledged
+    int best_effort_runs = 0;          ///< runs of best-effort steps
+    int runs_after_loss = 0;           ///< runs of tasks that lost earlier runs with their hosts
+    int isolated_runs = 0;             ///< runs of suspects; above 0 the host takes no other task
+    core::mono_time throttled_at;      ///< when throttling of its runs was last evaluated
+    int recent_failures = 0;           ///< failed runs minus finished ones, not below 0
+    /// Tasks with a run here, by workflow::write_task_name().
     std::map<std::string, workflow::task_name> runs;
 };
 
-/// A run that has to be stopped although no entry stands for it.
-struct stray_run
+/// A reported run that must be stopped because no open task has an entry for it.
+struct orphaned_run
 {
-    std::string host;
-    std::string task;
+    std::string host; ///< id of the runner
+    std::string task; ///< name as the runner reported it
     std::int64_t number = 0;
 };
 
-/// A start that was given up with its host's leases, and may be carried out once it has one anew.
-struct given_up_start
+/// A start that was abandoned when all leases of its runner had ended, without an answer to the
+/// order. The runner could still carry the order out under a new lease, so it is stopped first.
+struct abandoned_start
 {
     workflow::task_name task;
     std::int64_t number = 0;
     bool stop_in_flight = false;
-    core::mono_time stop_again; ///< earliest repeat of an unanswered stop
+    core::mono_time stop_retry_at; ///< an unanswered stop is not repeated before this time
 };
 
-/// Which host with room a short task takes.
+/// Which of the hosts with free capacity receives a short task.
 enum class host_choice
 {
-    fullest,   ///< others stay empty and can move to another pool at once
-    least_used ///< few tasks are lost with a host
+    fullest,   ///< other hosts stay empty and can move to another pool at once
+    least_used ///< few tasks are lost with one host
 };
 
 inline constexpr core::name_table<host_choice, 2> host_choice_names{{
@@ -222,10 +243,10 @@
     {host_choice::least_used, "least_used"},
 }};
 
-/// Which job is served first when there is no room for all.
+/// Which job is served first when there is not enough capacity for all.
 enum class job_order
 {
-    in_time_first, ///< those that can still meet their objective
+    in_time_first, ///< jobs that can still meet their objective come first
     first_come     ///< in the order of acceptance
 };
 
@@ -234,59 +255,66 @@
     {job_order::first_come, "first_come"},
 }};
 
-/// How tasks are placed; bench/placement_days compares.
+/// How tasks are placed on hosts; bench/placement_days compares the variants.
 struct placement_policy
 {
     host_choice hosts = host_choice::fullest;
     job_order jobs = job_order::in_time_first;
-    bool learns_times = true; ///< false: declared run times are believed
+    bool uses_measured_run_times = true; ///< false: only declared run times are used
 };
 
 /// Times and bounds of the coordinator.
 struct coordinator_settings
 {
     placement_policy placement;
-    /// Longest lease granted to a runner. Long enough to bridge a take-over (lease of the leader,
-    /// election, first poll), short enough that work on a silent host restarts soon.
+    /// Duration of a lease granted to a runner. Long enough to outlast a takeover (the leader's
+    /// lease, the election, the first poll), short enough that the work of an unresponsive host
+    /// restarts soon.
     core::millis runner_lease{2500};
-    /// Lease of the leader itself: how long a former owner may have gone on granting leases.
+    /// Duration of the leader's own lease: for so long a previous coordinator may have continued to
+    /// grant leases.
     core::millis leader_lease{1200};
-    /// Share by which a runner's clock may be slow.
+    /// Largest share by which the clock of another process may run slower than this one's.
     double clock_drift = 0.02;
-    /// Beyond a lease's computed end, for delays that neither clock shows.
-    core::millis lapse_margin{250};
-    /// Calls to the advice service at once; it handles one at a time for each node.
-    int most_asks = 4;
-    /// Runners named in one call, at most: each takes the service's time.
-    std::size_t most_asked = 12;
-    /// Runners asked about beyond the tasks that wait.
-    std::size_t more_asked = 2;
-    /// After a call without an answer.
-    core::millis ask_pause{300};
-    /// A ticket is not used so shortly before its end: the order takes its time.
+    /// Added to the computed end of a lease, for delays that neither clock shows.
+    core::millis lease_expiry_margin{250};
+    /// Concurrent calls to the advice service, which handles one at a time for each node.
+    int max_advice_requests = 4;
+    /// Runners named in one advice request; each takes processing time of the service.
+    std::size_t max_runners_per_request = 12;
+    /// Runners named in an advice request beyond the number of waiting tasks, since some of them
+    /// may be rejected.
+    std::size_t extra_runners_asked = 2;
+    /// Delay before the next advice request for a step after one without an answer.
+    core::millis advice_retry_delay{300};
+    /// A ticket is not used within this time before its end, since the order takes time to arrive.
     core::millis ticket_margin{150};
-    /// Between a refused start and the next of the same task.
-    core::millis refusal_pause{150};
-    /// Between repeats of an unanswered stop.
-    core::millis stop_repeat{400};
-    /// How long the list of runners may still name one that has ended: three missed reports, and
-    /// as much again while the store is away.
-    core::millis ended_memory{30000};
-    /// A runner silent for so long has the end of its leases stored for a successor. Moves and
-    /// maintenance end a runner within less, and prove it.
-    core::millis silence_told{300};
-    /// Lost runs of a task after which it starts only once in a while, and not at all when they are
-    /// certain.
-    int most_losses = 5;
-    /// That while: an innocent task must not be held back for ever for what can't be cleared up.
+    /// Delay between a refused start and the next start of the same task.
+    core::millis refused_start_delay{150};
+    /// Delay before an unanswered stop is repeated.
+    core::millis stop_retry_delay{400};
+    /// How long the list of runners may still contain a runner that has ended: the time for three
+    /// missed reports, and the same again while the store is unavailable.
+    core::millis ended_runner_retention{30000};
+    /// When a runner has been unresponsive for this long, the end of its leases is stored for the
+    /// next coordinator. Moves and maintenance end a runner in less time, with proof of its end.
+    core::millis lease_end_record_delay{300};
+    /// From this number of lost runs on, a task starts only after last_resort_wait, and never again
+    /// when all of its losses are certain.
+    int last_resort_losses = 5;
+    /// Delay between the starts of such a task. It is finite because a task that crashes no host
+    /// must not be withheld forever when the cause of its losses can't be determined.
     core::millis last_resort_wait{15000};
-    /// With several lost runs that are not certain, the next start waits so long for certainty.
-    core::millis doubt_wait{6000};
-    /// A run that has worked for so long shows that its task isn't what crashes hosts.
-    core::millis trial_time{5000};
-    /// A suspect waits so long for an empty host before it is tried on the least used one.
-    core::millis trial_patience{1500};
-    /// Runs of one task within one term of ownership.
+    /// A task with several lost runs, not all of them certain, waits this long before its next
+    /// start for evidence of whether they were lost.
+    core::millis uncertain_loss_wait{6000};
+    /// A run that has been active for this long shows that its task does not crash hosts.
+    core::millis isolation_time{5000};
+    /// A suspect waits this long for an empty host, then its isolated run is placed on the least
+    /// used host.
+    core::millis isolation_max_wait{1500};
+    /// Run numbers reserved for each task in one term: the numbers of a term start above those of
+    /// all earlier terms.
     std::int64_t runs_per_term = 1000;
 };
 
@@ -294,50 +322,54 @@
 struct finished_job
 {
     std::string id;
-    ports::revision stored = 0; ///< of its state
+    ports::revision stored_revision = 0; ///< store revision of the final state
 };
 
+/// The whole state of the coordinator during one term.
 struct fleet
 {
     coordinator_settings settings;
-    std::int64_t term = 0;          ///< counts owners; 0 is the first
-    ports::revision term_began = 0; ///< store revision of this term's begin; the fencing token
-    /// Until then no inherited task starts: the record of former owners' runners is damaged.
+    std::int64_t term = 0;                   ///< number of terms before this one
+    ports::revision term_start_revision = 0; ///< store revision at its start; the fencing token
+    /// No inherited task starts before this time, because the stored record of the previous
+    /// coordinator's runners is damaged; zero: the record was readable.
     core::mono_time inherited_not_before;
-    std::unordered_map<std::string, std::unique_ptr<job_entry>> jobs;
-    std::unordered_set<std::string> open_jobs; ///< not final, or with live runs
+    std::unordered_map<std::string, std::unique_ptr<job_entry>> jobs; ///< by job id
+    std::unordered_set<std::string> open_jobs; ///< ids of jobs that are not final or have live runs
     std::map<std::string, host_entry> hosts;   ///< by runner id
-    coordinator::learnt learnt;                ///< from runs of this term
-    /// Runners whose life has certainly ended, and when that was learnt; the list of runners may
-    /// name them for a while.
-    std::map<std::string, core::mono_time> ended;
-    /// By runner id; until each is confirmed as stopped the runner gets no lease and no start.
-    std::map<std::string, std::vector<given_up_start>> given_up;
-    int asks_out = 0;                         ///< calls to the advice service
-    std::vector<stray_run> strays;            ///< to be stopped
-    std::map<std::string, loss_doubt> doubts; ///< by id of the silent runner
-    std::set<std::string> lost_prior_hosts;   ///< pools with hosts that ended before the first look
-    /// Since when suspects of a pool have waited for an empty host.
-    std::map<std::string, core::mono_time> trials_wait;
-    std::vector<std::string> dirty; ///< jobs whose progress has to be stored
-    /// Jobs whose final state is stored, by the wall time of their end in milliseconds.
-    std::multimap<std::int64_t, finished_job> finished;
-    std::set<std::string> stray_cancels; ///< of jobs that were final before their cancel came
+    coordinator::learnt run_time_estimates;    ///< from runs of this term
+    /// Runners that have certainly ended, by runner id, with the time at which this became known.
+    /// The list of runners may still contain them for ended_runner_retention.
+    std::map<std::string, core::mono_time> ended_runners;
+    /// By runner id. The runner receives no lease and no start until all of these are confirmed as
+    /// stopped.
+    std::map<std::string, std::vector<abandoned_start>> abandoned_starts;
+    int advice_requests_in_flight = 0;
+    std::vector<orphaned_run> orphaned_runs;                ///< runs that must be stopped
+    std::map<std::string, uncertain_loss> uncertain_losses; ///< by id of the unresponsive runner
+    /// Pools with an inherited host that ended or expired before this coordinator saw its runs.
+    std::set<std::string> pools_with_lost_hosts;
+    /// By pool: since when its suspects have been waiting for an empty host.
+    std::map<std::string, core::mono_time> isolation_wait_since;
+    std::vector<std::string> dirty_jobs; ///< ids of jobs whose progress must be stored
+    /// Jobs whose final state is stored, by the wall time of their end in milliseconds since 1970.
+    std::multimap<std::int64_t, finished_job> finished_jobs;
+    std::set<std::string> late_cancels; ///< ids of jobs that were final when their cancel arrived
 };
 
-/// What happened to a task, for the log.
+/// Something that happened to a task, for the log.
 struct task_event
 {
-    std::string what; ///< the decision or the belief that changed
-    std::string task;
-    std::int64_t run = 0;
-    std::string host;
-    std::string reason; ///< the inputs that decided
+    std::string event;    ///< name of the log event
+    std::string task;     ///< task, step or job; empty: none
+    std::int64_t run = 0; ///< run number; 0: none
+    std::string host;     ///< id of the runner; empty: none
+    std::string reason;   ///< the inputs of the decision
 };
 
 using task_events = std::vector<task_event>;
 
-/// A runner as the platform lists it.
+/// A runner as it is listed in the store.
 struct host_listing
 {
     ports::runner_ref ref;
@@ -346,20 +378,21 @@
     std::string rack;
     std::vector<std::string> labels;
     workflow::resources capacity;
-    bool draining = false;
+    bool draining = false; ///< the platform is about to take the host away
 
     bool operator==(const host_listing&) const = default;
 };
 
-/// A runner that a former owner used.
-struct prior_host
+/// A runner that previous coordinators used, as it was stored.
+struct inherited_host
 {
     ports::runner_ref ref;
-    std::string machine; ///< whose life it is; empty: not known
-    std::string pool;    ///< that its runs are of; empty: not known
-    /// All leases that were ever granted end within this time after the record was read, by the
-    /// clock of the one who stored it; nothing: leases may still be granted by a former owner.
-    std::optional<core::millis> rest;
+    std::string machine; ///< id of its machine; empty: unknown
+    std::string pool;    ///< pool of its runs; empty: unknown
+    /// All leases that were ever granted to the runner end within this time after the record was
+    /// read, measured by the clock of the coordinator that stored it. Empty: a previous coordinator
+    /// may still grant leases.
+    std::optional<core::millis> remaining;
 };
 
 } // namespace camphorhitch::coordinator
--- a/libs/coordinator/include/coordinator/intake.hpp
+++ b/libs/coordinator/include/coordinator/intake.hpp
@@ -25,7 +25,7 @@
 
 /// Runners that a former owner used: each has to be examined, or its leases to have lapsed, before
 /// an inherited task of its pool starts anywhere.
-void add_prior_hosts(fleet& f, const std::vector<prior_host>& all, core::mono_time now);
+void add_prior_hosts(fleet& f, const std::vector<inherited_host>& all, core::mono_time now);
 
 /// As add_prior_hosts when it can't be read which runners those were: all inherited tasks wait
 /// until every lease has lapsed.
--- a/libs/coordinator/src/advice.cpp
+++ b/libs/coordinator/src/advice.cpp
@@ -38,8 +38,8 @@
     {
         return nullptr;
     }
-    const auto it = a->good.find(host);
-    return it == a->good.end() || now >= it->second.until ? nullptr : &it->second.text;
+    const auto it = a->tickets.find(host);
+    return it == a->tickets.end() || now >= it->second.until ? nullptr : &it->second.text;
 }
 
 ask_action plan_ask(fleet& f,
@@ -52,27 +52,28 @@
     const auto& s = f.settings;
     ask_action out{{j.spec.id, occurrence, step, 0}, {}};
     auto& a = advice_of(j, occurrence, step);
-    if (a.asking || now < a.not_before || f.asks_out >= s.most_asks)
+    if (a.request_in_flight || now < a.not_before ||
+        f.advice_requests_in_flight >= s.max_advice_requests)
     {
         return out;
     }
     // Each runner that is named costs time: no more of them than the step has tasks waiting, and a
     // few for those that may not.
     const int waiting = step_of(j, occurrence, step).idle;
-    const auto wanted = static_cast<std::size_t>(waiting) + s.more_asked;
+    const auto wanted = static_cast<std::size_t>(waiting) + s.extra_runners_asked;
     for (const auto* const h : hosts)
     {
-        const bool settled = a.bad.contains(h->ref.id) ||
+        const bool settled = a.rejected_hosts.contains(h->ref.id) ||
                              find_ticket(j, occurrence, step, h->ref.id, now) != nullptr;
-        if (!settled && out.runners.size() < std::min(wanted, s.most_asked))
+        if (!settled && out.runners.size() < std::min(wanted, s.max_runners_per_request))
         {
             out.runners.push_back(h->ref.id);
         }
     }
     if (!out.runners.empty())
     {
-        a.asking = true;
-        ++f.asks_out;
+        a.request_in_flight = true;
+        ++f.advice_requests_in_flight;
     }
     return out;
 }
@@ -83,30 +84,30 @@
     core::mono_time now,
     task_events& out)
 {
-    --f.asks_out;
+    --f.advice_requests_in_flight;
     auto* const j = find_job(f, asked.step.job);
     if (j == nullptr || workflow::is_final(j->state))
     {
         return;
     }
     auto& a = advice_of(*j, asked.step.occurrence, asked.step.step);
-    a.asking = false;
+    a.request_in_flight = false;
     out.push_back({"advice",
         write_step_name(asked.step),
         0,
         "",
-        "asked=" + std::to_string(asked.runners.size()) +
-            " good=" + std::to_string(answer.good.size()) + (answer.known ? "" : " unanswered=1")});
+        "asked=" + std::to_string(asked.runners.size()) + " good=" +
+            std::to_string(answer.tickets.size()) + (answer.known ? "" : " unanswered=1")});
     if (!answer.known)
     {
-        a.not_before = now + f.settings.ask_pause;
+        a.not_before = now + f.settings.advice_retry_delay;
         return;
     }
-    a.bad.insert(asked.runners.begin(), asked.runners.end());
-    for (const auto& it : answer.good)
+    a.rejected_hosts.insert(asked.runners.begin(), asked.runners.end());
+    for (const auto& it : answer.tickets)
     {
-        a.bad.erase(it.runner);
-        a.good[it.runner] = {it.ticket, now + answer.validity - f.settings.ticket_margin};
+        a.rejected_hosts.erase(it.runner);
+        a.tickets[it.runner] = {it.ticket, now + answer.validity - f.settings.ticket_margin};
     }
 }
 
@@ -118,7 +119,7 @@
 {
     if (auto* const j = find_job(f, step.job))
     {
-        advice_of(*j, step.occurrence, step.step).good.erase(host);
+        advice_of(*j, step.occurrence, step.step).tickets.erase(host);
     }
 }
 
--- a/libs/coordinator/src/answers.cpp
+++ b/libs/coordinator/src/answers.cpp
@@ -30,7 +30,7 @@
     if (answer.clock_ms >= 0)
     {
         h.clock_ms = answer.clock_ms;
-        h.clock_at = now;
+        h.clock_read_at = now;
     }
 }
 
@@ -52,7 +52,7 @@
     if (run.phase == run_phase::ordered || run.phase == run_phase::unsettled)
     {
         run.phase = run_phase::running;
-        run.changed_at = now;
+        run.phase_changed_at = now;
     }
     run.confirmed = true;
     note_begun(j);
@@ -70,7 +70,7 @@
     auto* const t = find_task(f, name);
     const auto place = place_of_run(*t, host, number);
     // Ordered again at once, a start that is refused each time would keep the process busy.
-    t->not_before = now + f.settings.refusal_pause;
+    t->not_before = now + f.settings.refused_start_delay;
     t->failed_on.push_back(host);
     note(out, "start_refused", name, number, host, verdict_text(answer));
     if (answer.verdict == runner_verdict::bad_ticket)
@@ -82,14 +82,14 @@
 
 void see_stray(fleet& f, host_entry& h, const ports::reported_run& it, task_events& out)
 {
-    ++h.strays;
-    const auto same = [&](const stray_run& known)
+    ++h.orphaned_runs;
+    const auto same = [&](const orphaned_run& known)
     {
         return known.host == h.ref.id && known.task == it.task && known.number == it.run;
     };
-    if (std::none_of(f.strays.begin(), f.strays.end(), same))
+    if (std::none_of(f.orphaned_runs.begin(), f.orphaned_runs.end(), same))
     {
-        f.strays.push_back({h.ref.id, it.task, it.run});
+        f.orphaned_runs.push_back({h.ref.id, it.task, it.run});
         out.push_back({"stray_run", it.task, it.run, h.ref.id, "no such open task"});
     }
 }
@@ -111,7 +111,7 @@
     run.phase = wanted ? run_phase::running : run_phase::stopping;
     run.ordered_at = now;
     run.adopted = true;
-    run.changed_at = now;
+    run.phase_changed_at = now;
     add_run(f, j, name, run);
     see_later_run(t, it.run);
     adopt_trial(t, it.run);
@@ -136,8 +136,8 @@
     }
     auto& run = t->runs[place_of_run(*t, h.ref.id, it.run)];
     confirm_running(j, run, now);
-    run.percent = it.percent;
-    run.figure = it.figure;
+    run.progress_percent = it.progress_percent;
+    run.load_metric = it.load_metric;
     clear_if_proven(f, h, j, *name, run, out);
     if (!it.checkpoint.empty())
     {
@@ -152,13 +152,13 @@
     core::mono_time now,
     task_events& out)
 {
-    const auto seen = h.seen_end;
+    const auto seen = h.last_applied_end;
     for (const auto& it : ended)
     {
         if (it.number > seen)
         {
             take_end(f, h, it, now, out);
-            h.seen_end = std::max(h.seen_end, it.number);
+            h.last_applied_end = std::max(h.last_applied_end, it.number);
         }
     }
 }
@@ -176,7 +176,7 @@
     for (std::size_t i = t.runs.size(); i-- > 0;)
     {
         auto& run = t.runs[i];
-        if (run.host != h.ref.id || run.changed_at >= begun)
+        if (run.host != h.ref.id || run.phase_changed_at >= begun)
         {
             continue;
         }
@@ -186,7 +186,7 @@
             // only then the task may start elsewhere.
             note(out, "order_unsettled", name, run.number, h.ref.id, "not listed; stopping it");
             run.phase = run_phase::stopping;
-            run.changed_at = now;
+            run.phase_changed_at = now;
         }
         else if (run.phase == run_phase::running || run.stop_confirmed)
         {
@@ -216,7 +216,7 @@
     core::mono_time now,
     task_events& out)
 {
-    h.asked += answer.verdict == runner_verdict::not_sent ? 1 : surely_asked;
+    h.contact_score += answer.verdict == runner_verdict::not_sent ? 1 : min_contact_score;
     if (answer.verdict == runner_verdict::fenced)
     {
         return false;
@@ -230,21 +230,21 @@
         if (h.reachable)
         {
             out.push_back({"host_silent", "", 0, h.ref.id, verdict_text(answer)});
-            h.silent_since = now;
+            h.unresponsive_since = now;
         }
         h.reachable = false;
         return true;
     }
     if (!h.reachable)
     {
-        const auto* const why = h.prior ? "first look of this term" : "";
+        const auto* const why = h.inherited ? "first look of this term" : "";
         out.push_back({"host_answers", "", 0, h.ref.id, why});
     }
     h.reachable = true;
     h.address_lost = false;
-    h.last_answer = now;
+    h.last_answer_at = now;
     note_clock(h, answer, now);
-    if (!f.doubts.empty())
+    if (!f.uncertain_losses.empty())
     {
         withdraw_losses(f, h.ref.id, out);
     }
@@ -310,7 +310,7 @@
         if (it->phase == run_phase::ordered)
         {
             it->phase = run_phase::unsettled;
-            it->changed_at = now;
+            it->phase_changed_at = now;
         }
         return true;
     }
@@ -352,11 +352,11 @@
     if (confirmed)
     {
         it->stop_confirmed = true;
-        it->changed_at = now;
+        it->phase_changed_at = now;
     }
     else
     {
-        it->stop_again = now + f.settings.stop_repeat;
+        it->stop_retry_at = now + f.settings.stop_retry_delay;
     }
     return true;
 }
@@ -378,24 +378,24 @@
         return *over;
     }
     take_ends(f, *h, answer.ended, now, out);
-    h->strays = 0;
+    h->orphaned_runs = 0;
     std::set<std::string> listed;
     for (const auto& it : answer.running)
     {
         see_running(f, *h, it, now, out);
         listed.insert(it.task);
     }
-    if (h->prior)
+    if (h->inherited)
     {
         // A former owner's lease may reach further than this owner's first.
         note_lease(*h, h->clock_ms + (f.settings.runner_lease + f.settings.leader_lease).count());
     }
     // With ends left out a run that is not listed may have ended, and be told of in a later answer:
     // started again now, its task would have run twice by then.
-    if (!answer.ends_left_out)
+    if (!answer.ends_truncated)
     {
         judge_all_missing(f, *h, listed, begun, now, out);
-        h->prior = false; // a first look is over once it has seen all
+        h->inherited = false; // a first look is over once it has seen all
     }
     return true;
 }
--- a/libs/coordinator/src/bookkeeping.cpp
+++ b/libs/coordinator/src/bookkeeping.cpp
@@ -22,7 +22,7 @@
     {
         return nullptr;
     }
-    return &j->tasks[workflow::task_place(j->spec, name.occurrence, name.step, name.index)];
+    return &j->tasks[workflow::task_index(j->spec, name.occurrence, name.step, name.index)];
 }
 
 host_entry* find_host(fleet& f, const std::string& id)
@@ -45,7 +45,7 @@
 
 bool is_step_ready(const job_entry& j, int occurrence, int step)
 {
-    const auto& before = j.spec.steps[static_cast<std::size_t>(step)].after;
+    const auto& before = j.spec.steps[static_cast<std::size_t>(step)].depends_on;
     return std::all_of(before.begin(),
         before.end(),
         [&](int it)
@@ -58,7 +58,7 @@
 workflow::resources room_of(const workflow::step& s)
 {
     auto room = s.need;
-    if (s.fills)
+    if (s.best_effort)
     {
         room.cpu = 0;
     }
@@ -85,7 +85,8 @@
 
 bool is_empty(const host_entry& h)
 {
-    return !h.prior && h.runs.empty() && h.strays == 0 && h.stored_end >= h.seen_end;
+    return !h.inherited && h.runs.empty() && h.orphaned_runs == 0 &&
+           h.last_stored_end >= h.last_applied_end;
 }
 
 namespace
@@ -98,7 +99,7 @@
 
 task_entry& task_of(job_entry& j, const workflow::task_name& name)
 {
-    return j.tasks[workflow::task_place(j.spec, name.occurrence, name.step, name.index)];
+    return j.tasks[workflow::task_index(j.spec, name.occurrence, name.step, name.index)];
 }
 
 bool runs_on(const task_entry& t, const std::string& host)
@@ -122,12 +123,12 @@
         h->used.cpu += room.cpu;
         h->used.memory_mb += room.memory_mb;
         h->used.gpus += room.gpus;
-        h->fillers += step_spec(j, name).fills ? 1 : 0;
-        h->watched += run.watched ? 1 : 0;
-        h->trials += run.trial ? 1 : 0;
+        h->best_effort_runs += step_spec(j, name).best_effort ? 1 : 0;
+        h->runs_after_loss += run.after_loss ? 1 : 0;
+        h->isolated_runs += run.isolated ? 1 : 0;
         h->runs.emplace(workflow::write_task_name(name), name);
     }
-    t.last_run = std::max(t.last_run, run.number);
+    t.highest_run_number = std::max(t.highest_run_number, run.number);
     ++j.live_runs;
     f.open_jobs.insert(j.spec.id);
     t.runs.push_back(std::move(run));
@@ -144,7 +145,7 @@
     }
     const auto number = t.runs[place].number;
     t.runs.erase(t.runs.begin() + static_cast<std::ptrdiff_t>(place));
-    if (t.reserved != 0 && t.reserved == number)
+    if (t.reserved_run_number != 0 && t.reserved_run_number == number)
     {
         release_trial(f, j, t, number);
     }
@@ -154,7 +155,7 @@
         h->used.cpu -= room.cpu;
         h->used.memory_mb -= room.memory_mb;
         h->used.gpus -= room.gpus;
-        h->fillers -= step_spec(j, name).fills ? 1 : 0;
+        h->best_effort_runs -= step_spec(j, name).best_effort ? 1 : 0;
         core::require(h->used.cpu >= 0 && h->used.memory_mb >= 0, "room in use is never negative");
         if (!runs_on(t, host))
         {
@@ -186,11 +187,12 @@
 
 void unwatch_run(host_entry& h, run_entry& run)
 {
-    h.watched -= run.watched ? 1 : 0;
-    h.trials -= run.trial ? 1 : 0;
-    core::require(h.watched >= 0 && h.trials >= 0, "watched runs are never negative");
-    run.watched = false;
-    run.trial = false;
+    h.runs_after_loss -= run.after_loss ? 1 : 0;
+    h.isolated_runs -= run.isolated ? 1 : 0;
+    core::require(
+        h.runs_after_loss >= 0 && h.isolated_runs >= 0, "watched runs are never negative");
+    run.after_loss = false;
+    run.isolated = false;
 }
 
 std::size_t place_of_run(const task_entry& t, const std::string& host, std::int64_t number)
@@ -208,7 +210,7 @@
     if (!j.dirty)
     {
         j.dirty = true;
-        f.dirty.push_back(j.spec.id);
+        f.dirty_jobs.push_back(j.spec.id);
     }
 }
 
@@ -231,7 +233,7 @@
             if (it.phase != run_phase::stopping)
             {
                 it.phase = run_phase::stopping;
-                it.changed_at = now;
+                it.phase_changed_at = now;
             }
         }
     }
--- a/libs/coordinator/src/demand.cpp
+++ b/libs/coordinator/src/demand.cpp
@@ -209,7 +209,7 @@
     for (std::size_t k = 0; k < j.steps.size(); ++k)
     {
         const auto& s = j.spec.steps[k % j.spec.steps.size()];
-        if (s.long_running || s.fills)
+        if (s.long_running || s.best_effort)
         {
             continue;
         }
@@ -219,7 +219,7 @@
         sum += cores * (s.tasks - j.steps[k].done - j.steps[k].idle);
         if (is_step_ready(j, occurrence, step))
         {
-            const auto time = std::min(expected_time(f.learnt, s), d.horizon);
+            const auto time = std::min(expected_time(f.run_time_estimates, s), d.horizon);
             sum += cores * j.steps[k].idle * static_cast<double>(time.count()) /
                    static_cast<double>(d.horizon.count());
         }
@@ -239,7 +239,7 @@
             continue;
         }
         to.lasting_cores += static_cast<double>(s.need.cpu * s.tasks) / milli;
-        const int each = s.most_per_host == 0 ? s.tasks : s.most_per_host;
+        const int each = s.max_per_host == 0 ? s.tasks : s.max_per_host;
         to.least_hosts = std::max(to.least_hosts, (s.tasks + each - 1) / each);
     }
 }
--- a/libs/coordinator/src/ends.cpp
+++ b/libs/coordinator/src/ends.cpp
@@ -29,7 +29,7 @@
 {
     for (std::size_t i = 0; i < j.spec.steps.size(); ++i)
     {
-        const auto& before = j.spec.steps[i].after;
+        const auto& before = j.spec.steps[i].depends_on;
         const auto step = static_cast<int>(i);
         if (std::find(before.begin(), before.end(), done) != before.end() &&
             is_step_ready(j, occurrence, step))
@@ -70,7 +70,7 @@
         if (it.phase != run_phase::stopping)
         {
             it.phase = run_phase::stopping;
-            it.changed_at = now;
+            it.phase_changed_at = now;
         }
     }
 }
@@ -115,7 +115,7 @@
     }
     failed.push_back(end.run);
     mark_dirty(f, j);
-    if (static_cast<int>(failed.size()) >= j.spec.most_attempts)
+    if (static_cast<int>(failed.size()) >= j.spec.max_attempts)
     {
         out.push_back({"job_failed",
             j.spec.id,
@@ -131,7 +131,7 @@
 /// \return whether this owner has ordered a run of the task with a higher number.
 bool was_ordered_since(const fleet& f, const task_entry& t, std::int64_t run)
 {
-    return run < t.last_run && t.last_run > f.term * f.settings.runs_per_term;
+    return run < t.highest_run_number && t.highest_run_number > f.term * f.settings.runs_per_term;
 }
 
 void score_host(host_entry& h, ports::run_end how)
@@ -153,15 +153,15 @@
 {
     const auto read = workflow::read_task_name(end.task);
     const auto* const name = std::get_if<workflow::task_name>(&read);
-    std::erase_if(f.strays,
-        [&](const stray_run& it)
+    std::erase_if(f.orphaned_runs,
+        [&](const orphaned_run& it)
         { return it.host == h.ref.id && it.task == end.task && it.number == end.run; });
     auto* const t = name == nullptr ? nullptr : find_task(f, *name);
     out.push_back({"run_ended",
         end.task,
         end.run,
         h.ref.id,
-        "how=" + std::string{core::name_of(ports::run_end_names, end.how)} +
+        "how=" + std::string{core::name_of(ports::run_end_names, end.outcome)} +
             " end=" + std::to_string(end.number) + (t == nullptr ? " task=unknown" : "")});
     if (t == nullptr)
     {
@@ -173,11 +173,13 @@
     if (place < t->runs.size())
     {
         const auto& run = t->runs[place];
-        const bool learns = f.settings.placement.learns_times;
-        if (learns && end.how == ports::run_end::done && !run.adopted && !run.resumed)
+        const bool learns = f.settings.placement.uses_measured_run_times;
+        if (learns && end.outcome == ports::run_end::done && !run.adopted && !run.resumed)
         {
             const auto took = std::chrono::duration_cast<core::millis>(now - run.ordered_at);
-            learn_time(f.learnt, j.spec.steps[static_cast<std::size_t>(name->step)].image, took);
+            learn_time(f.run_time_estimates,
+                j.spec.steps[static_cast<std::size_t>(name->step)].image,
+                took);
         }
         remove_run(f, j, *name, place);
     }
@@ -185,14 +187,14 @@
     {
         // This run was given up as lapsed and the task started anew. The newer run counts: taking
         // the old result in now would let two runs of one task both have an effect.
-        if (!h.prior)
+        if (!h.inherited)
         {
             return;
         }
     }
     see_later_run(*t, end.run);
     release_trial(f, j, *t, end.run);
-    score_host(h, end.how);
+    score_host(h, end.outcome);
     if (!end.checkpoint.empty())
     {
         t->progress.checkpoint = end.checkpoint;
@@ -201,11 +203,11 @@
     {
         return;
     }
-    if (end.how == ports::run_end::done)
+    if (end.outcome == ports::run_end::done)
     {
         end_done(f, j, *name, now, out);
     }
-    else if (end.how == ports::run_end::failed)
+    else if (end.outcome == ports::run_end::failed)
     {
         t->failed_on.push_back(h.ref.id);
         end_failed(f, j, *name, end, now, out);
--- a/libs/coordinator/src/explain.cpp
+++ b/libs/coordinator/src/explain.cpp
@@ -19,7 +19,7 @@
 std::string list_hosts(const job_entry& j, int occurrence, int step)
 {
     std::map<std::string, int> by_host;
-    const auto first = workflow::task_place(j.spec, occurrence, step, 0);
+    const auto first = workflow::task_index(j.spec, occurrence, step, 0);
     const auto tasks = static_cast<std::size_t>(j.spec.steps[static_cast<std::size_t>(step)].tasks);
     for (std::size_t i = first; i < first + tasks; ++i)
     {
@@ -44,7 +44,7 @@
 std::string steps_before(const job_entry& j, int occurrence, int step)
 {
     std::string out;
-    for (const int it : j.spec.steps[static_cast<std::size_t>(step)].after)
+    for (const int it : j.spec.steps[static_cast<std::size_t>(step)].depends_on)
     {
         const auto all = j.spec.steps[static_cast<std::size_t>(it)].tasks;
         if (step_of(j, occurrence, it).done < all)
@@ -101,8 +101,8 @@
                std::to_string(n.unfit) + " without the label, " + std::to_string(n.full) +
                " without room";
     }
-    return j.spec.advised ? "the advice service has named no host yet"
-                          : "the next plan starts them";
+    return j.spec.needs_advice ? "the advice service has named no host yet"
+                               : "the next plan starts them";
 }
 
 std::string why_waiting(const fleet& f,
@@ -169,7 +169,7 @@
     }
     const auto& j = *found->second;
     const int steps = static_cast<int>(j.spec.steps.size());
-    for (int k = 0; k < workflow::occurrences_of(j.spec); ++k)
+    for (int k = 0; k < workflow::occurrence_count(j.spec); ++k)
     {
         for (int s = 0; s < steps; ++s)
         {
--- a/libs/coordinator/src/gangs.cpp
+++ b/libs/coordinator/src/gangs.cpp
@@ -23,7 +23,7 @@
     auto trial = h;
     const auto room = room_of(s);
     int n = 0;
-    while (n < most && fits(trial, room) && (s.most_per_host == 0 || n < s.most_per_host))
+    while (n < most && fits(trial, room) && (s.max_per_host == 0 || n < s.max_per_host))
     {
         trial.used.cpu += room.cpu;
         trial.used.memory_mb += room.memory_mb;
@@ -60,7 +60,7 @@
     }
     for (const auto& [rack, its] : racks)
     {
-        auto out = s.one_rack ? divide(its, s) : std::vector<share>{};
+        auto out = s.prefers_one_rack ? divide(its, s) : std::vector<share>{};
         if (!out.empty())
         {
             return out;
--- a/libs/coordinator/src/given_up.cpp
+++ b/libs/coordinator/src/given_up.cpp
@@ -31,7 +31,7 @@
         {
             if (it.host == h.ref.id && may_be_carried_out(it))
             {
-                f.given_up[h.ref.id].push_back({name, it.number, false, {}});
+                f.abandoned_starts[h.ref.id].push_back({name, it.number, false, {}});
                 note(out, "start_given_up", name, it.number, h.ref.id, "no answer to its order");
             }
         }
@@ -40,7 +40,7 @@
 
 void stop_given_up(fleet& f, core::mono_time now, plan& to)
 {
-    for (auto& [host, starts] : f.given_up)
+    for (auto& [host, starts] : f.abandoned_starts)
     {
         const auto* const h = find_host(f, host);
         if (h == nullptr || !h->reachable)
@@ -49,7 +49,7 @@
         }
         for (auto& it : starts)
         {
-            if (it.stop_in_flight || now < it.stop_again)
+            if (it.stop_in_flight || now < it.stop_retry_at)
             {
                 continue;
             }
@@ -72,28 +72,28 @@
     ports::runner_verdict verdict,
     core::mono_time now)
 {
-    const auto found = f.given_up.find(host);
-    if (found == f.given_up.end())
+    const auto found = f.abandoned_starts.find(host);
+    if (found == f.abandoned_starts.end())
     {
         return;
     }
     auto& starts = found->second;
     const auto it = std::find_if(starts.begin(),
         starts.end(),
-        [&](const given_up_start& s) { return s.task == task && s.number == run; });
+        [&](const abandoned_start& s) { return s.task == task && s.number == run; });
     if (it == starts.end())
     {
         return;
     }
     it->stop_in_flight = false;
-    it->stop_again = now + f.settings.stop_repeat;
+    it->stop_retry_at = now + f.settings.stop_retry_delay;
     if (verdict == ports::runner_verdict::done)
     {
         starts.erase(it);
     }
     if (starts.empty())
     {
-        f.given_up.erase(found);
+        f.abandoned_starts.erase(found);
     }
 }
 
--- a/libs/coordinator/src/host_release.cpp
+++ b/libs/coordinator/src/host_release.cpp
@@ -18,7 +18,7 @@
 core::micros rest_of(
     const fleet& f, const workflow::step& s, const run_entry& it, core::mono_time now)
 {
-    return expected_time(f.learnt, s) - (now - it.ordered_at);
+    return expected_time(f.run_time_estimates, s) - (now - it.ordered_at);
 }
 
 /// \return how long the job's remaining steps may still be held up.
@@ -28,9 +28,9 @@
     const run_entry& it,
     core::mono_time now)
 {
-    const auto due = j.taken_at + objective_of(f.learnt, j.spec);
+    const auto due = j.added_at + objective_of(f.run_time_estimates, j.spec);
     const auto passed = now - it.ordered_at;
-    return due - now - (time_to_end(f.learnt, j.spec.steps, name.step) - passed);
+    return due - now - (time_to_end(f.run_time_estimates, j.spec.steps, name.step) - passed);
 }
 
 } // namespace
--- a/libs/coordinator/src/intake.cpp
+++ b/libs/coordinator/src/intake.cpp
@@ -16,7 +16,7 @@
 void count_steps(job_entry& j)
 {
     const auto& steps = j.spec.steps;
-    const auto occurrences = static_cast<std::size_t>(workflow::occurrences_of(j.spec));
+    const auto occurrences = static_cast<std::size_t>(workflow::occurrence_count(j.spec));
     j.steps.assign(steps.size() * occurrences, {});
     std::size_t place = 0;
     for (auto& counts : j.steps)
@@ -37,7 +37,7 @@
 {
     for (auto& it : j.tasks)
     {
-        it.last_run = std::max(it.last_run, f.term * f.settings.runs_per_term);
+        it.highest_run_number = std::max(it.highest_run_number, f.term * f.settings.runs_per_term);
     }
 }
 
@@ -61,7 +61,7 @@
 {
     auto& j = *find_job(f, name.job);
     auto run = find_task(f, name)->runs[place];
-    run.sole = run.sole || cause.single;
+    run.only_suspect = run.only_suspect || cause.single;
     note(out, cause.event, name, run.number, h.ref.id, cause.why);
     remove_run(f, j, name, place);
     if (cause.by_itself)
@@ -109,7 +109,7 @@
 core::millis longest_prior_lease(const fleet& f)
 {
     const auto& s = f.settings;
-    return by_slow_clock(f, s.runner_lease + s.leader_lease) + s.lapse_margin;
+    return by_slow_clock(f, s.runner_lease + s.leader_lease) + s.lease_expiry_margin;
 }
 
 /// One life has one address and one pool. An entry that says otherwise of a runner that has
@@ -117,7 +117,7 @@
 /// pass for proof that this runner has ended, and its tasks would run a second time.
 bool contradicts(const host_entry& h, const host_listing& it)
 {
-    const bool heard = h.prior || h.clock_ms >= 0;
+    const bool heard = h.inherited || h.clock_ms >= 0;
     return heard && (h.ref.address != it.ref.address || (!h.pool.empty() && h.pool != it.pool));
 }
 
@@ -129,15 +129,15 @@
 /// What a former owner ordered there may have been lost with it.
 void note_lost_prior(fleet& f, const host_entry& h)
 {
-    if (h.prior)
+    if (h.inherited)
     {
-        f.lost_prior_hosts.insert(h.pool);
+        f.pools_with_lost_hosts.insert(h.pool);
     }
 }
 
 void erase_strays(fleet& f, const std::string& host)
 {
-    std::erase_if(f.strays, [&](const stray_run& it) { return it.host == host; });
+    std::erase_if(f.orphaned_runs, [&](const orphaned_run& it) { return it.host == host; });
 }
 
 } // namespace
@@ -158,12 +158,12 @@
     j.spec = std::move(spec);
     j.state = progress.state;
     j.cancelled = progress.state == workflow::job_state::cancelled;
-    j.accepted = created;
-    j.stored = stored;
-    j.inherited = created < f.term_began;
+    j.accepted_revision = created;
+    j.stored_revision = stored;
+    j.inherited = created < f.term_start_revision;
     if (!workflow::is_final(j.state) || j.inherited)
     {
-        const auto occurrences = static_cast<std::size_t>(workflow::occurrences_of(j.spec));
+        const auto occurrences = static_cast<std::size_t>(workflow::occurrence_count(j.spec));
         j.tasks.resize(workflow::tasks_per_occurrence(j.spec) * occurrences);
         for (std::size_t i = 0; i < std::min(j.tasks.size(), progress.tasks.size()); ++i)
         {
@@ -189,7 +189,7 @@
     }
     if (workflow::is_final(j->state))
     {
-        f.stray_cancels.insert(id);
+        f.late_cancels.insert(id);
         return;
     }
     j->cancelled = true;
@@ -210,7 +210,7 @@
     j.spec.payload = {};
 }
 
-void add_prior_hosts(fleet& f, const std::vector<prior_host>& all, core::mono_time now)
+void add_prior_hosts(fleet& f, const std::vector<inherited_host>& all, core::mono_time now)
 {
     for (const auto& it : all)
     {
@@ -219,12 +219,13 @@
         h.machine = it.machine;
         h.machine_known_at = now;
         h.pool = it.pool;
-        h.prior = true;
+        h.inherited = true;
         h.added_at = now;
-        h.silent_since = now;
-        h.recorded = !it.rest.has_value();
+        h.unresponsive_since = now;
+        h.recorded = !it.remaining.has_value();
         // With a rest told, no owner has granted anything since.
-        h.prior_lapse_at = now + (it.rest ? by_slow_clock(f, *it.rest) : longest_prior_lease(f));
+        h.inherited_leases_end_at =
+            now + (it.remaining ? by_slow_clock(f, *it.remaining) : longest_prior_lease(f));
     }
 }
 
@@ -240,18 +241,18 @@
     {
         h.listed = false;
     }
-    std::erase_if(
-        f.ended, [&](const auto& it) { return now - it.second > f.settings.ended_memory; });
+    std::erase_if(f.ended_runners,
+        [&](const auto& it) { return now - it.second > f.settings.ended_runner_retention; });
     for (const auto& it : all)
     {
-        if (f.ended.contains(it.ref.id))
+        if (f.ended_runners.contains(it.ref.id))
         {
             continue;
         }
         auto [place, added] = f.hosts.try_emplace(it.ref.id);
         auto& h = place->second;
         const bool odd = !added && contradicts(h, it);
-        if (odd && !h.entry_odd)
+        if (odd && !h.entry_conflicts)
         {
             out.push_back({"host_entry_odd",
                 "",
@@ -259,7 +260,7 @@
                 it.ref.id,
                 "address=" + it.ref.address + " pool=" + it.pool});
         }
-        h.entry_odd = odd;
+        h.entry_conflicts = odd;
         if (odd)
         {
             continue;
@@ -267,7 +268,7 @@
         if (added)
         {
             h.added_at = now;
-            h.prior_lapse_at = now;
+            h.inherited_leases_end_at = now;
             out.push_back({"host_added", "", 0, it.ref.id, "pool=" + it.pool});
         }
         if (h.draining != it.draining)
@@ -288,8 +289,8 @@
 void end_host(
     fleet& f, const std::string& id, life_proof proof, core::mono_time now, task_events& out)
 {
-    f.ended[id] = now;
-    f.given_up.erase(id);
+    f.ended_runners[id] = now;
+    f.abandoned_starts.erase(id);
     const bool by_itself = proof == life_proof::other_life;
     const std::string text{core::name_of(life_proof_names, proof)};
     if (by_itself)
@@ -298,7 +299,7 @@
     }
     else if (proof != life_proof::address_taken)
     {
-        f.doubts.erase(id); // it may have been alive until then
+        f.uncertain_losses.erase(id); // it may have been alive until then
     }
     auto* const h = find_host(f, id);
     if (h == nullptr)
@@ -310,8 +311,8 @@
         0,
         id,
         text + " machine=" + h->machine + " runs=" + std::to_string(h->runs.size()) +
-            (h->reachable ? " since_answer_ms=" + std::to_string(ms_since(h->last_answer, now))
-                          : " silent_ms=" + std::to_string(ms_since(h->silent_since, now)))});
+            (h->reachable ? " since_answer_ms=" + std::to_string(ms_since(h->last_answer_at, now))
+                          : " silent_ms=" + std::to_string(ms_since(h->unresponsive_since, now)))});
     note_lost_prior(f, *h);
     drop_runs(f, *h, {"run_lost", "host ended: " + text, by_itself, true}, now, out);
     erase_strays(f, id);
@@ -328,24 +329,24 @@
         // Silence is proof only of one that was asked. An owner that is late itself, with thousands
         // of jobs to read, would else take runners for lapsed whose answers it has not read, and
         // start what ended there in time a second time.
-        const bool unasked = h.prior && h.asked < surely_asked;
+        const bool unasked = h.inherited && h.contact_score < min_contact_score;
         if (h.reachable || unasked || !has_lapsed(f, h, now))
         {
             continue;
         }
         if (!h.runs.empty())
         {
-            lapsed.push_back({id, h.runs.size(), h.last_answer, h.polled_at});
+            lapsed.push_back({id, h.runs.size(), h.last_answer_at, h.polled_at});
         }
         give_up_starts(f, h, out);
         const drop_cause cause{"run_lapsed", "no answer until every lease had ended", true, false};
         drop_runs(f, h, cause, now, out);
         erase_strays(f, id);
-        h.strays = 0;
-        if (h.prior)
+        h.orphaned_runs = 0;
+        if (h.inherited)
         {
             note_lost_prior(f, h);
-            h.prior = false;
+            h.inherited = false;
             out.push_back({"host_lapsed", "", 0, id, "leases of the former owner have ended"});
         }
         if (h.address_lost)
@@ -375,13 +376,13 @@
     {
         return -1;
     }
-    const auto passed = std::chrono::duration<double, std::milli>(now - h.clock_at).count();
+    const auto passed = std::chrono::duration<double, std::milli>(now - h.clock_read_at).count();
     return h.clock_ms + static_cast<std::int64_t>(passed * (1.0 - f.settings.clock_drift));
 }
 
 bool has_lapsed(const fleet& f, const host_entry& h, core::mono_time now)
 {
-    if (h.prior && now < h.prior_lapse_at)
+    if (h.inherited && now < h.inherited_leases_end_at)
     {
         return false;
     }
@@ -389,19 +390,19 @@
     {
         return h.lease_until_ms == 0;
     }
-    return least_clock(f, h, now) > h.lease_until_ms + f.settings.lapse_margin.count();
+    return least_clock(f, h, now) > h.lease_until_ms + f.settings.lease_expiry_margin.count();
 }
 
 core::millis time_to_lapse(const fleet& f, const host_entry& h, core::mono_time now)
 {
     core::millis rest{0};
-    if (h.prior && now < h.prior_lapse_at)
+    if (h.inherited && now < h.inherited_leases_end_at)
     {
-        rest = std::chrono::ceil<core::millis>(h.prior_lapse_at - now);
+        rest = std::chrono::ceil<core::millis>(h.inherited_leases_end_at - now);
     }
     if (h.clock_ms >= 0)
     {
-        const auto margin = f.settings.lapse_margin.count();
+        const auto margin = f.settings.lease_expiry_margin.count();
         const auto left = h.lease_until_ms + margin + 1 - least_clock(f, h, now);
         const auto slowest = 1.0 - f.settings.clock_drift;
         const auto worst = std::ceil(static_cast<double>(left) / slowest);
@@ -412,14 +413,14 @@
 
 bool may_hold_runs(const fleet& f, const host_entry& h, core::mono_time now)
 {
-    return h.prior || h.reachable || !h.runs.empty() || !has_lapsed(f, h, now);
+    return h.inherited || h.reachable || !h.runs.empty() || !has_lapsed(f, h, now);
 }
 
 std::int64_t lease_end_for(const fleet& f, const host_entry& h, core::mono_time now)
 {
     // A silent host gets none: each try might be carried out unheard, so its leases would never
     // certainly end and its tasks never start elsewhere.
-    const bool may = h.reachable && h.recorded && !f.given_up.contains(h.ref.id);
+    const bool may = h.reachable && h.recorded && !f.abandoned_starts.contains(h.ref.id);
     const auto clock = may ? least_clock(f, h, now) : -1;
     return clock < 0 ? 0 : clock + f.settings.runner_lease.count();
 }
@@ -448,7 +449,7 @@
     out.anywhere = now < f.inherited_not_before;
     for (const auto& [id, h] : f.hosts)
     {
-        if (h.prior)
+        if (h.inherited)
         {
             out.anywhere = out.anywhere || h.pool.empty();
             out.pools.insert(h.pool);
--- a/libs/coordinator/src/learning.cpp
+++ b/libs/coordinator/src/learning.cpp
@@ -27,7 +27,7 @@
 core::millis expected_time(const learnt& l, const workflow::step& s)
 {
     const auto it = l.images.find(s.image);
-    return it == l.images.end() ? s.estimate
+    return it == l.images.end() ? s.estimated_run_time
                                 : core::millis{static_cast<std::int64_t>(it->second.mean_ms)};
 }
 
@@ -36,9 +36,9 @@
     auto timed = steps;
     for (auto& it : timed)
     {
-        it.estimate = expected_time(l, it);
+        it.estimated_run_time = expected_time(l, it);
     }
-    return workflow::longest_chain(timed);
+    return workflow::critical_path(timed);
 }
 
 core::millis objective_of(const learnt& l, const workflow::job& j)
@@ -55,7 +55,7 @@
     for (std::size_t i = first; i < steps.size(); ++i)
     {
         core::millis begin{i == first ? 0 : -1};
-        for (const int before : steps[i].after)
+        for (const int before : steps[i].depends_on)
         {
             const auto it = static_cast<std::size_t>(before);
             begin = it < first ? begin : std::max(begin, ends[it]);
--- a/libs/coordinator/src/load.cpp
+++ b/libs/coordinator/src/load.cpp
@@ -80,7 +80,7 @@
         }
     }
     out.jobs_only_ordered = jobs_only_ordered(f);
-    out.jobs_dirty = static_cast<std::int64_t>(f.dirty.size());
+    out.jobs_dirty = static_cast<std::int64_t>(f.dirty_jobs.size());
     out.hosts = static_cast<std::int64_t>(f.hosts.size());
     for (const auto& [id, h] : f.hosts)
     {
@@ -103,7 +103,7 @@
     }
     const auto& j = *found->second;
     const auto first_run = f.term * f.settings.runs_per_term + 1;
-    const auto since = std::max(j.taken_at, step_of(j, name.occurrence, name.step).ready_at);
+    const auto since = std::max(j.added_at, step_of(j, name.occurrence, name.step).ready_at);
     if (run != first_run || since == core::mono_time{})
     {
         return {};
--- a/libs/coordinator/src/losses.cpp
+++ b/libs/coordinator/src/losses.cpp
@@ -32,7 +32,7 @@
 
 const task_entry& task_of(const job_entry& j, const workflow::task_name& name)
 {
-    return j.tasks[workflow::task_place(j.spec, name.occurrence, name.step, name.index)];
+    return j.tasks[workflow::task_index(j.spec, name.occurrence, name.step, name.index)];
 }
 
 /// What counts against a task, or against all members of a gang together.
@@ -45,8 +45,8 @@
 
 int losses_of(const task_entry& t)
 {
-    const int trial = t.reserved != 0 ? 1 : 0;
-    const int unseen = t.unseen_start && !t.progress.lost_runs.empty() ? 1 : 0;
+    const int trial = t.reserved_run_number != 0 ? 1 : 0;
+    const int unseen = t.may_have_unseen_start && !t.progress.lost_runs.empty() ? 1 : 0;
     return static_cast<int>(t.progress.lost_runs.size()) + unseen - trial;
 }
 
@@ -68,7 +68,7 @@
         const auto& t = task_of(j, {name.job, name.occurrence, name.step, i});
         for (const auto& it : t.progress.lost_runs)
         {
-            if (it.run != t.reserved)
+            if (it.run != t.reserved_run_number)
             {
                 runs.insert(it.run);
             }
@@ -77,8 +77,8 @@
                 certain.insert(it.run);
             }
         }
-        unseen = unseen || (t.unseen_start && !t.progress.lost_runs.empty());
-        out.newest = std::max(out.newest, t.lost_at);
+        unseen = unseen || (t.may_have_unseen_start && !t.progress.lost_runs.empty());
+        out.newest = std::max(out.newest, t.last_loss_at);
     }
     out.losses = static_cast<int>(runs.size()) + (unseen ? 1 : 0);
     out.certain = static_cast<int>(certain.size());
@@ -92,7 +92,7 @@
         return tally_of_gang(j, name);
     }
     const auto& t = task_of(j, name);
-    return {losses_of(t), certain_losses(t.progress.lost_runs), t.lost_at};
+    return {losses_of(t), certain_losses(t.progress.lost_runs), t.last_loss_at};
 }
 
 /// An innocent may lose its hosts more than once, to a rack's power or beside a task that crashes
@@ -100,7 +100,7 @@
 bool is_hopeless(const std::vector<lost_run>& all)
 {
     const auto sole = std::count_if(
-        all.begin(), all.end(), [](const lost_run& it) { return it.certain && it.sole; });
+        all.begin(), all.end(), [](const lost_run& it) { return it.certain && it.only_suspect; });
     const int certain = certain_losses(all);
     if (certain >= hopeless_anyhow || (certain >= hopeless_losses && sole >= hopeless_sole))
     {
@@ -116,8 +116,9 @@
 {
     return "losses=" + std::to_string(losses_of(t)) +
            " certain=" + std::to_string(certain_losses(t.progress.lost_runs)) +
-           " sole=" + (it.sole ? "1" : "0") +
-           (it.certain ? " proof=" + proof : std::string{it.ran ? " possible" : " unconfirmed"});
+           " sole=" + (it.only_suspect ? "1" : "0") +
+           (it.certain ? " proof=" + proof
+                       : std::string{it.confirmed ? " possible" : " unconfirmed"});
 }
 
 void give_up_if_hopeless(
@@ -144,15 +145,17 @@
     const host_entry& h)
 {
     const bool stopped = run.phase == run_phase::stopping && (run.confirmed || run.stop_confirmed);
-    const bool worked = run.confirmed && h.last_answer - run.ordered_at >= f.settings.trial_time;
-    const bool closed = h.use != host_use::open && h.closed_at <= h.last_answer;
+    const bool worked =
+        run.confirmed && h.last_answer_at - run.ordered_at >= f.settings.isolation_time;
+    const bool closed =
+        h.availability != host_availability::open && h.closed_at <= h.last_answer_at;
     const bool leaves = h.draining || closed;
     return !workflow::is_final(j.state) && !t.progress.done && !stopped && !worked && !leaves;
 }
 
 void add_loss(job_entry& j, task_entry& t, lost_run it)
 {
-    if (t.progress.lost_runs.size() < workflow::most_lost_runs)
+    if (t.progress.lost_runs.size() < workflow::max_lost_runs)
     {
         t.progress.lost_runs.push_back(std::move(it));
         ++j.losses;
@@ -162,8 +165,9 @@
 /// What was only supposed is stored with what is known from now on.
 void enter_unseen(const fleet& f, job_entry& j, task_entry& t)
 {
-    const bool lost = !t.progress.lost_runs.empty() || f.lost_prior_hosts.contains(j.spec.pool);
-    if (std::exchange(t.unseen_start, false) && lost)
+    const bool lost =
+        !t.progress.lost_runs.empty() || f.pools_with_lost_hosts.contains(j.spec.pool);
+    if (std::exchange(t.may_have_unseen_start, false) && lost)
     {
         add_loss(j, t, {f.term * f.settings.runs_per_term, {}, {}, false, false, false});
     }
@@ -176,7 +180,7 @@
     std::int64_t run,
     core::mono_time now)
 {
-    auto& it = f.doubts[host];
+    auto& it = f.uncertain_losses[host];
     it.machine = machine;
     it.since = now;
     it.runs.emplace_back(name, run);
@@ -213,17 +217,17 @@
         return start_rule::open;
     }
     // A successor that doesn't know of the loss would count from what was stored.
-    const bool stored = j.losses_stored == j.losses_noted;
+    const bool stored = j.losses_stored == j.losses_recorded;
     const bool doubtful = all.losses > all.certain;
-    const bool many = all.losses >= f.settings.most_losses;
+    const bool many = all.losses >= f.settings.last_resort_losses;
     if (!stored || (many && !doubtful))
     {
         return start_rule::withheld;
     }
     if (doubtful && all.losses >= doubtful_losses)
     {
-        const auto wait = many ? f.settings.last_resort_wait : f.settings.doubt_wait;
-        const auto since = many ? std::max(all.newest, j.taken_at) : all.newest;
+        const auto wait = many ? f.settings.last_resort_wait : f.settings.uncertain_loss_wait;
+        const auto since = many ? std::max(all.newest, j.added_at) : all.newest;
         return now - since >= wait ? start_rule::alone : start_rule::withheld;
     }
     return all.losses >= suspect_losses ? start_rule::alone : start_rule::watched;
@@ -246,11 +250,11 @@
     enter_unseen(f, j, t);
     const bool certain = !proof.empty() && run.confirmed;
     const lost_run lost{
-        run.number, h.ref.id, certain ? "" : h.machine, run.confirmed, certain, run.sole};
+        run.number, h.ref.id, certain ? "" : h.machine, run.confirmed, certain, run.only_suspect};
     add_loss(j, t, lost);
-    ++j.losses_noted;
-    t.lost_at = now;
-    t.told_withheld = false;
+    ++j.losses_recorded;
+    t.last_loss_at = now;
+    t.withheld_logged = false;
     mark_dirty(f, j);
     note(out, "run_lost_with_host", name, run.number, h.ref.id, loss_text(t, lost, proof));
     if (proof.empty())
@@ -266,7 +270,7 @@
     core::mono_time now,
     task_events& out)
 {
-    const auto found = f.doubts.extract(host);
+    const auto found = f.uncertain_losses.extract(host);
     if (found.empty())
     {
         return;
@@ -274,7 +278,7 @@
     for (const auto& [name, run] : found.mapped().runs)
     {
         auto* const it = find_lost(f, host, name, run);
-        if (it == nullptr || !it->ran)
+        if (it == nullptr || !it->confirmed)
         {
             continue; // a start without an answer may never have reached the runner
         }
@@ -290,7 +294,7 @@
 
 void withdraw_losses(fleet& f, const std::string& host, task_events& out)
 {
-    const auto found = f.doubts.extract(host);
+    const auto found = f.uncertain_losses.extract(host);
     if (found.empty())
     {
         return;
@@ -320,8 +324,8 @@
     task_events& out)
 {
     auto& t = *find_task(f, name);
-    const bool known = !t.progress.lost_runs.empty() || run.watched;
-    if (!known || h.last_answer - run.ordered_at < f.settings.trial_time)
+    const bool known = !t.progress.lost_runs.empty() || run.after_loss;
+    if (!known || h.last_answer_at - run.ordered_at < f.settings.isolation_time)
     {
         return;
     }
@@ -337,8 +341,8 @@
         t.progress.lost_runs.clear();
         mark_dirty(f, j);
     }
-    t.unseen_start = false;
-    t.reserved = 0;
+    t.may_have_unseen_start = false;
+    t.reserved_run_number = 0;
     unwatch_run(h, run);
 }
 
@@ -349,10 +353,11 @@
         auto& t = j.tasks[i];
         j.losses += static_cast<int>(t.progress.lost_runs.size());
         // With more than one, each further start is entered before it is made.
-        t.unseen_start = j.inherited && t.progress.lost_runs.size() <= 1 && !t.progress.done;
+        t.may_have_unseen_start =
+            j.inherited && t.progress.lost_runs.size() <= 1 && !t.progress.done;
         for (const auto& it : t.progress.lost_runs)
         {
-            if (!it.certain && it.ran && !t.progress.done)
+            if (!it.certain && it.confirmed && !t.progress.done)
             {
                 add_doubt(f, it.host, it.machine, workflow::name_of_task(j.spec, i), it.run, {});
             }
@@ -363,9 +368,9 @@
 void see_later_run(task_entry& t, std::int64_t run)
 {
     const auto& lost = t.progress.lost_runs;
-    if (t.unseen_start && (lost.empty() || run > lost.back().run))
+    if (t.may_have_unseen_start && (lost.empty() || run > lost.back().run))
     {
-        t.unseen_start = false;
+        t.may_have_unseen_start = false;
     }
 }
 
@@ -373,8 +378,8 @@
 {
     enter_unseen(f, j, t);
     add_loss(j, t, {number, {}, {}, false, false, false});
-    t.reserved = number;
-    ++j.losses_noted;
+    t.reserved_run_number = number;
+    ++j.losses_recorded;
     mark_dirty(f, j);
 }
 
@@ -384,14 +389,14 @@
     const bool entered = std::any_of(all.begin(),
         all.end(),
         [run](const lost_run& it) { return it.host.empty() && it.run == run; });
-    t.reserved = entered ? run : t.reserved;
+    t.reserved_run_number = entered ? run : t.reserved_run_number;
 }
 
 void release_trial(fleet& f, job_entry& j, task_entry& t, std::int64_t run)
 {
     const auto released = std::erase_if(t.progress.lost_runs,
         [run](const lost_run& it) { return it.host.empty() && it.run == run; });
-    t.reserved = t.reserved == run ? 0 : t.reserved;
+    t.reserved_run_number = t.reserved_run_number == run ? 0 : t.reserved_run_number;
     j.losses -= static_cast<int>(released);
     if (released > 0 && !workflow::is_final(j.state))
     {
@@ -401,7 +406,7 @@
 
 void sweep_doubts(fleet& f)
 {
-    std::erase_if(f.doubts,
+    std::erase_if(f.uncertain_losses,
         [&](const auto& it)
         {
             return std::none_of(it.second.runs.begin(),
--- a/libs/coordinator/src/machine_lives.cpp
+++ b/libs/coordinator/src/machine_lives.cpp
@@ -24,13 +24,13 @@
     sweep_doubts(f);
     for (const auto& [id, m] : list.machines)
     {
-        if (const auto it = f.doubts.find(m.runner); it != f.doubts.end())
+        if (const auto it = f.uncertain_losses.find(m.runner); it != f.uncertain_losses.end())
         {
             it->second.machine = id;
         }
     }
     std::vector<std::string> over;
-    for (auto& [id, it] : f.doubts)
+    for (auto& [id, it] : f.uncertain_losses)
     {
         const auto* const h = find_host(f, id);
         if (it.machine.empty() && h != nullptr)
--- a/libs/coordinator/src/pacing.cpp
+++ b/libs/coordinator/src/pacing.cpp
@@ -15,7 +15,7 @@
 
 bool serves(const workflow::step& s)
 {
-    return s.tail_target.count() > 0;
+    return s.tail_latency_target.count() > 0;
 }
 
 /// One run on a host with its step.
@@ -53,8 +53,8 @@
         if (serves(*it.step))
         {
             worst = std::max(worst,
-                static_cast<double>(it.run->figure) /
-                    static_cast<double>(it.step->tail_target.count()));
+                static_cast<double>(it.run->load_metric) /
+                    static_cast<double>(it.step->tail_latency_target.count()));
         }
     }
     return worst;
@@ -77,21 +77,21 @@
     std::vector<pace_action> actions;
     for (auto& [id, h] : f.hosts)
     {
-        if (h.fillers == 0 || !h.reachable || now - h.paced_at < s.period)
+        if (h.best_effort_runs == 0 || !h.reachable || now - h.throttled_at < s.period)
         {
             continue;
         }
-        h.paced_at = now;
+        h.throttled_at = now;
         const auto runs = runs_of(f, h);
         const double worst = worst_share(runs);
         for (const auto& it : runs)
         {
-            const int pace = next_pace(s, it.run->pace, worst);
-            if (!it.step->fills || pace == it.run->pace)
+            const int pace = next_pace(s, it.run->cpu_percent, worst);
+            if (!it.step->best_effort || pace == it.run->cpu_percent)
             {
                 continue;
             }
-            it.run->pace = pace;
+            it.run->cpu_percent = pace;
             actions.push_back({h.ref, it.task, it.run->number, pace});
             note(out,
                 "pace_ordered",
@@ -107,7 +107,7 @@
 
 int disturbing_runs(const fleet& f, const host_entry& h, const workflow::step& s)
 {
-    if (!s.fills && !serves(s))
+    if (!s.best_effort && !serves(s))
     {
         return 0;
     }
@@ -116,7 +116,7 @@
     {
         const auto j = f.jobs.find(name.job);
         const auto& other = j->second->spec.steps[static_cast<std::size_t>(name.step)];
-        n += (s.fills && serves(other)) || (serves(s) && other.fills) ? 1 : 0;
+        n += (s.best_effort && serves(other)) || (serves(s) && other.best_effort) ? 1 : 0;
     }
     return n;
 }
--- a/libs/coordinator/src/placement.cpp
+++ b/libs/coordinator/src/placement.cpp
@@ -46,7 +46,7 @@
     const learnt& l, job_entry& j, std::int64_t unix_ms, std::vector<waiting_step>& out)
 {
     const auto objective = objective_of(l, j.spec).count();
-    for (int k = 0; k < workflow::occurrences_of(j.spec); ++k)
+    for (int k = 0; k < workflow::occurrence_count(j.spec); ++k)
     {
         const auto due = due_at(j.spec, k);
         if (due > unix_ms && workflow::is_scheduled(j.spec))
@@ -76,7 +76,7 @@
         auto& j = *f.jobs.at(id);
         if (!workflow::is_final(j.state) && !(j.inherited && covers(unseen, j.spec.pool)))
         {
-            add_waiting_steps(f.learnt, j, unix_ms, out);
+            add_waiting_steps(f.run_time_estimates, j, unix_ms, out);
         }
     }
     const auto order = f.settings.placement.jobs;
@@ -93,9 +93,9 @@
 {
     if (t.progress.lost_runs.empty())
     {
-        return h.watched > 0 ? 1 : 0;
+        return h.runs_after_loss > 0 ? 1 : 0;
     }
-    return static_cast<std::int64_t>(h.runs.size()) + 2 * std::int64_t{h.watched};
+    return static_cast<std::int64_t>(h.runs.size()) + 2 * std::int64_t{h.runs_after_loss};
 }
 
 /// \return the host with the lowest cost, or nullptr when none may run the task.
@@ -120,7 +120,7 @@
         const bool failed_here =
             std::find(t.failed_on.begin(), t.failed_on.end(), h->ref.id) != t.failed_on.end();
         const bool suspect = h->recent_failures >= suspect_failures;
-        const bool far = !s.near_rack.empty() && h->rack != s.near_rack;
+        const bool far = !s.preferred_rack.empty() && h->rack != s.preferred_rack;
         const auto near = runs_at_risk(*h, t);
         const int disturbed = disturbing_runs(f, *h, s);
         // Short tasks fill one host after the other, so that some stay empty and can move to
@@ -228,7 +228,7 @@
             std::erase(hosts.open, hosts.set_aside);
         }
     }
-    std::erase_if(f.trials_wait,
+    std::erase_if(f.isolation_wait_since,
         [&](const auto& it)
         {
             const auto found = pools.find(it.first);
@@ -250,7 +250,7 @@
             for (auto& it : j.tasks[i].runs)
             {
                 if (it.phase != run_phase::stopping || it.stop_in_flight || it.stop_confirmed ||
-                    now < it.stop_again)
+                    now < it.stop_retry_at)
                 {
                     continue;
                 }
@@ -298,7 +298,7 @@
             break; // what comes later in the order of service would overtake
         }
         const auto& hosts = hosts_in(pools, f, it.job->spec.pool, now).open;
-        if (it.job->spec.advised)
+        if (it.job->spec.needs_advice)
         {
             auto ask = plan_ask(f, *it.job, it.occurrence, it.step, hosts, now);
             if (!ask.runners.empty())
@@ -328,7 +328,7 @@
         if (it.number == run && it.phase != run_phase::stopping)
         {
             it.phase = run_phase::stopping;
-            it.changed_at = now;
+            it.phase_changed_at = now;
             note(out, "stop_wanted", task, run, it.host, reason);
         }
     }
@@ -342,7 +342,7 @@
 {
     constexpr int whole = 100; // percent
     const auto h = f.hosts.find(it.host);
-    return it.phase == run_phase::running && it.percent >= whole && h != f.hosts.end() &&
+    return it.phase == run_phase::running && it.progress_percent >= whole && h != f.hosts.end() &&
            h->second.reachable;
 }
 
@@ -351,7 +351,7 @@
 int others_away(const fleet& f, const job_entry& j, const workflow::task_name& task)
 {
     int away = 0;
-    const auto first = workflow::task_place(j.spec, task.occurrence, task.step, 0);
+    const auto first = workflow::task_index(j.spec, task.occurrence, task.step, 0);
     const int tasks = j.spec.steps[static_cast<std::size_t>(task.step)].tasks;
     for (int i = 0; i < tasks; ++i)
     {
--- a/libs/coordinator/src/rebalance.cpp
+++ b/libs/coordinator/src/rebalance.cpp
@@ -145,7 +145,7 @@
     {
         return {false, 0, 0};
     }
-    return {h->prior || h->strays > 0, long_running_tasks(f, *h), h->used.cpu};
+    return {h->inherited || h->orphaned_runs > 0, long_running_tasks(f, *h), h->used.cpu};
 }
 
 /// Takes the cheapest host of a pool for a move.
@@ -171,7 +171,7 @@
             " wanted=" + std::to_string(from.wanted) + " to=" + to});
     if (auto* const h = find_host(f, m.runner))
     {
-        h->use = host_use::closed_for_move;
+        h->availability = host_availability::closed_for_move;
         h->closed_at = now;
         if (is_wanted && r.settings.stops_tasks_above.count() > 0)
         {
@@ -275,7 +275,8 @@
         return true; // it has left, or has moved: its runner works there
     }
     const auto* const h = find_host(f, m->second.runner);
-    return h == nullptr || (h->ref.id == move.runner && h->use == host_use::closed_for_move);
+    return h == nullptr ||
+           (h->ref.id == move.runner && h->availability == host_availability::closed_for_move);
 }
 
 /// Whoever was not closed for the move is judged anew.
@@ -374,7 +375,7 @@
     }
     if (auto* const h = find_host(f, it->second.runner))
     {
-        h->use = host_use::open;
+        h->availability = host_availability::open;
     }
     r.moves.erase(it);
 }
--- a/libs/coordinator/src/retention.cpp
+++ b/libs/coordinator/src/retention.cpp
@@ -11,18 +11,18 @@
     ports::revision stored,
     std::int64_t unix_ms)
 {
-    f.finished.emplace(ended_unix_ms > 0 ? ended_unix_ms : unix_ms, finished_job{id, stored});
+    f.finished_jobs.emplace(ended_unix_ms > 0 ? ended_unix_ms : unix_ms, finished_job{id, stored});
 }
 
 std::vector<finished_job> take_expired(
     fleet& f, core::millis keep, std::int64_t unix_ms, std::size_t most)
 {
     std::vector<finished_job> out;
-    while (!f.finished.empty() && out.size() < most &&
-           f.finished.begin()->first + keep.count() <= unix_ms)
+    while (!f.finished_jobs.empty() && out.size() < most &&
+           f.finished_jobs.begin()->first + keep.count() <= unix_ms)
     {
-        out.push_back(std::move(f.finished.begin()->second));
-        f.finished.erase(f.finished.begin());
+        out.push_back(std::move(f.finished_jobs.begin()->second));
+        f.finished_jobs.erase(f.finished_jobs.begin());
     }
     return out;
 }
--- a/libs/coordinator/src/starts.cpp
+++ b/libs/coordinator/src/starts.cpp
@@ -16,7 +16,7 @@
 int runs_on_host(const job_entry& j, int occurrence, int step, const std::string& host)
 {
     int n = 0;
-    const auto first = workflow::task_place(j.spec, occurrence, step, 0);
+    const auto first = workflow::task_index(j.spec, occurrence, step, 0);
     const auto tasks = static_cast<std::size_t>(j.spec.steps[static_cast<std::size_t>(step)].tasks);
     for (std::size_t i = first; i < first + tasks; ++i)
     {
@@ -33,9 +33,10 @@
 bool may_host(const fleet& f, const host_entry& h, core::mono_time now)
 {
     const auto silent_after = f.settings.runner_lease;
-    return h.listed && h.recorded && !h.draining && h.reachable && !h.prior && h.strays == 0 &&
-           h.trials == 0 && h.use == host_use::open && now - h.last_answer < silent_after &&
-           !f.given_up.contains(h.ref.id);
+    return h.listed && h.recorded && !h.draining && h.reachable && !h.inherited &&
+           h.orphaned_runs == 0 && h.isolated_runs == 0 &&
+           h.availability == host_availability::open && now - h.last_answer_at < silent_after &&
+           !f.abandoned_starts.contains(h.ref.id);
 }
 
 std::int64_t due_at(const workflow::job& j, int occurrence)
@@ -56,18 +57,18 @@
     const host_entry& h, const job_entry& j, int occurrence, int step, const workflow::step& s)
 {
     return has_label(h, s.required_label) && fits(h, room_of(s)) &&
-           (s.most_per_host == 0 || runs_on_host(j, occurrence, step, h.ref.id) < s.most_per_host);
+           (s.max_per_host == 0 || runs_on_host(j, occurrence, step, h.ref.id) < s.max_per_host);
 }
 
 bool is_advised(
     const host_entry& h, const job_entry& j, int occurrence, int step, core::mono_time now)
 {
-    return !j.spec.advised || find_ticket(j, occurrence, step, h.ref.id, now) != nullptr;
+    return !j.spec.needs_advice || find_ticket(j, occurrence, step, h.ref.id, now) != nullptr;
 }
 
 std::int64_t next_run_number(const task_entry& t)
 {
-    return t.last_run + 1;
+    return t.highest_run_number + 1;
 }
 
 void order_start(fleet& f,
@@ -84,7 +85,7 @@
     core::require(!t.progress.done, "a task that is done never starts");
     core::require(t.runs.empty() || s.speculative, "a task has one live run");
     core::require(
-        s.long_running || static_cast<int>(t.progress.failed_runs.size()) < j.spec.most_attempts,
+        s.long_running || static_cast<int>(t.progress.failed_runs.size()) < j.spec.max_attempts,
         "a task starts within its budget of attempts");
     core::require(
         is_step_ready(j, name.occurrence, name.step), "a step starts after the steps before");
@@ -92,18 +93,18 @@
     const auto rule = rule_of(f, j, name, now);
     core::require(rule != start_rule::withheld, "a task that crashes its hosts starts so often");
     run_entry run;
-    run.watched = rule != start_rule::open;
-    run.trial = rule == start_rule::alone;
-    run.sole = run.trial && (h.watched == 0 || runs_only(h, j, name));
+    run.after_loss = rule != start_rule::open;
+    run.isolated = rule == start_rule::alone;
+    run.only_suspect = run.isolated && (h.runs_after_loss == 0 || runs_only(h, j, name));
     run.number = number;
     run.host = h.ref.id;
     run.ordered_at = now;
-    run.changed_at = now;
+    run.phase_changed_at = now;
     run.resumed = !t.progress.checkpoint.empty();
     add_run(f, j, name, run);
     --to.room;
     const auto* const ticket =
-        j.spec.advised ? find_ticket(j, name.occurrence, name.step, h.ref.id, now) : nullptr;
+        j.spec.needs_advice ? find_ticket(j, name.occurrence, name.step, h.ref.id, now) : nullptr;
     to.starts.push_back({h.ref,
         name,
         number,
@@ -116,7 +117,7 @@
         number,
         h.ref.id,
         "used_cpu=" + std::to_string(h.used.cpu) + " of=" + std::to_string(h.capacity.cpu) +
-            (t.progress.checkpoint.empty() ? "" : " resumes=1") + (run.trial ? " trial=1" : ""));
+            (t.progress.checkpoint.empty() ? "" : " resumes=1") + (run.isolated ? " trial=1" : ""));
 }
 
 } // namespace camphorhitch::coordinator
--- a/libs/coordinator/src/trials.cpp
+++ b/libs/coordinator/src/trials.cpp
@@ -19,7 +19,7 @@
 
 bool is_idle(const host_entry& h)
 {
-    return h.runs.empty() && h.strays == 0;
+    return h.runs.empty() && h.orphaned_runs == 0;
 }
 
 bool may_try(const pool_hosts& hosts)
@@ -32,8 +32,8 @@
 bool is_out_of_patience(fleet& f, pool_hosts& hosts, core::mono_time now)
 {
     hosts.waits = true;
-    const auto since = f.trials_wait.try_emplace(hosts.pool, now).first->second;
-    return now - since >= f.settings.trial_patience;
+    const auto since = f.isolation_wait_since.try_emplace(hosts.pool, now).first->second;
+    return now - since >= f.settings.isolation_max_wait;
 }
 
 /// \return the host for a trial: an empty one, else the least used when the wait was long enough.
@@ -55,7 +55,7 @@
         {
             continue;
         }
-        const bool far = !s.near_rack.empty() && h->rack != s.near_rack;
+        const bool far = !s.preferred_rack.empty() && h->rack != s.preferred_rack;
         const auto cost = std::tuple(!is_idle(*h), far, h->used.cpu);
         if (best == nullptr || cost < best_cost)
         {
@@ -73,23 +73,23 @@
 
 void note_trial(fleet& f, pool_hosts& hosts)
 {
-    f.trials_wait.erase(hosts.pool);
+    f.isolation_wait_since.erase(hosts.pool);
     hosts.waits = false;
     hosts.trials += static_cast<int>(
-        std::erase_if(hosts.open, [](const host_entry* h) { return h->trials > 0; }));
+        std::erase_if(hosts.open, [](const host_entry* h) { return h->isolated_runs > 0; }));
 }
 
 /// Told once for each loss, and not while the loss is on its way to the store.
 void tell_withheld(
     const job_entry& j, task_entry& t, const workflow::task_name& name, task_events& out)
 {
-    if (!t.told_withheld && j.losses_stored == j.losses_noted)
+    if (!t.withheld_logged && j.losses_stored == j.losses_recorded)
     {
-        t.told_withheld = true;
+        t.withheld_logged = true;
         note(out,
             "start_withheld",
             name,
-            t.last_run,
+            t.highest_run_number,
             "",
             "losses=" + std::to_string(t.progress.lost_runs.size()));
     }
@@ -98,22 +98,22 @@
 /// A successor can't know when the newest loss was: the wait for certainty begins with its look.
 void date_loss(task_entry& t, core::mono_time now)
 {
-    if (!t.progress.lost_runs.empty() && t.lost_at == core::mono_time{})
+    if (!t.progress.lost_runs.empty() && t.last_loss_at == core::mono_time{})
     {
-        t.lost_at = now;
+        t.last_loss_at = now;
     }
 }
 
 /// \return whether the trial is entered already; one that is not is entered, to start once stored.
 bool is_entered(fleet& f, job_entry& j, task_entry& t, std::int64_t number)
 {
-    if (t.reserved == number)
+    if (t.reserved_run_number == number)
     {
         return true;
     }
-    if (t.reserved != 0)
+    if (t.reserved_run_number != 0)
     {
-        release_trial(f, j, t, t.reserved); // a higher number has come into view
+        release_trial(f, j, t, t.reserved_run_number); // a higher number has come into view
     }
     reserve_trial(f, j, t, number);
     return false;
@@ -185,7 +185,7 @@
         {
             tell_withheld(j, t, name, out);
         }
-        else if (rule == start_rule::alone && (t.reserved != 0) == entered)
+        else if (rule == start_rule::alone && (t.reserved_run_number != 0) == entered)
         {
             all.push_back(i);
         }
@@ -216,7 +216,7 @@
     }
     if (auto* const h = choose_trial_host(f, hosts, j, name, now))
     {
-        order_start(f, *h, j, name, t.reserved, now, to, out);
+        order_start(f, *h, j, name, t.reserved_run_number, now, to, out);
         note_trial(f, hosts);
         return;
     }
@@ -238,7 +238,7 @@
             continue;
         }
         all += h.listed ? 1 : 0;
-        out.trials += h.trials > 0 ? 1 : 0;
+        out.trials += h.isolated_runs > 0 ? 1 : 0;
         if (may_host(f, h, now))
         {
             out.open.push_back(&h);
--- a/libs/coordinator/src/waves.cpp
+++ b/libs/coordinator/src/waves.cpp
@@ -27,7 +27,7 @@
 {
     const auto key = [](const candidate& it)
     {
-        const bool closed = it.host == nullptr || it.host->use != host_use::open;
+        const bool closed = it.host == nullptr || it.host->availability != host_availability::open;
         const std::int64_t used = it.host == nullptr ? 0 : it.host->used.cpu;
         return std::tuple(!closed, it.long_running, used);
     };
@@ -89,10 +89,10 @@
         {
             const auto& j = *f.jobs.at(name.job);
             const auto& s = j.spec.steps[static_cast<std::size_t>(name.step)];
-            if (s.long_running && s.may_be_away > 0)
+            if (s.long_running && s.max_unavailable > 0)
             {
                 const int n = ++tasks[{name.job, name.step}];
-                rounds = std::max(rounds, (n + s.may_be_away - 1) / s.may_be_away);
+                rounds = std::max(rounds, (n + s.max_unavailable - 1) / s.max_unavailable);
             }
         }
     }
@@ -135,11 +135,11 @@
 void close_host(
     const wave& w, host_entry& h, const std::string& machine, core::mono_time now, task_events& out)
 {
-    if (h.use != host_use::open)
+    if (h.availability != host_availability::open)
     {
         return;
     }
-    h.use = host_use::closed_for_maintenance;
+    h.availability = host_availability::closed_for_maintenance;
     h.closed_at = now;
     out.push_back({"host_closed",
         "",
@@ -157,9 +157,9 @@
 
 void reopen_host(host_entry* h)
 {
-    if (h != nullptr && h->use == host_use::closed_for_maintenance)
+    if (h != nullptr && h->availability == host_availability::closed_for_maintenance)
     {
-        h->use = host_use::open;
+        h->availability = host_availability::open;
     }
 }
 
@@ -207,7 +207,8 @@
     {
         const auto* const m = find_machine(list, id);
         const auto h = m == nullptr ? f.hosts.end() : f.hosts.find(m->runner);
-        const bool closed = h != f.hosts.end() && h->second.use == host_use::closed_for_maintenance;
+        const bool closed = h != f.hosts.end() &&
+                            h->second.availability == host_availability::closed_for_maintenance;
         if (closed || w.asked.contains(id) || w.down_at.contains(id))
         {
             out.insert(id);
@@ -231,7 +232,8 @@
     int evacuating = pace.closed_for_tasks;
     for (auto& it : all)
     {
-        const bool closed = it.host != nullptr && it.host->use == host_use::closed_for_maintenance;
+        const bool closed = it.host != nullptr &&
+                            it.host->availability == host_availability::closed_for_maintenance;
         const bool leaves = pace.evacuates && it.long_running > 0 && evacuating > 0;
         if (!pace.pressed && !closed && is_missed(it, list) && !leaves)
         {
@@ -349,7 +351,8 @@
             // And a task that is stopped with no host to go to would wait until a host is back,
             // which in turn may wait for others of the step: a wave over a whole pool would never
             // end.
-            const bool allowed = s.may_be_away == 0 || others_away(f, j, name) < s.may_be_away;
+            const bool allowed =
+                s.max_unavailable == 0 || others_away(f, j, name) < s.max_unavailable;
             if (!allowed || !has_place_elsewhere(f, j, name, h.ref.id, now))
             {
                 continue;
--- a/libs/coordinator/tests/load_tests.cpp
+++ b/libs/coordinator/tests/load_tests.cpp
@@ -13,7 +13,7 @@
     workflow::job two_steps(const std::string& id)
     {
         auto j = make_job(id, {make_step(2, 1000), make_step(3, 1000)});
-        j.steps[1].after = {0};
+        j.steps[1].depends_on = {0};
         return j;
     }
 };
@@ -81,7 +81,7 @@
 {
     w.add_host("h1");
     w.add(two_steps("a"));
-    w.f.jobs.at("a")->taken_at = w.now;
+    w.f.jobs.at("a")->added_at = w.now;
     const auto taken = w.now;
     w.now += 70ms;
     const auto starts = w.next().starts;
@@ -102,7 +102,7 @@
     j.timing.occurrences = 1;
     j.timing.first_unix_ms = wall + 1000;
     w.add(j);
-    w.f.jobs.at("a")->taken_at = w.now;
+    w.f.jobs.at("a")->added_at = w.now;
     w.now += 1040ms;
     const auto ready = ready_since(w.f, {"a", 0, 0, 0}, 1, w.now, wall + 1040);
     CHECK(w.now - 40ms == ready);
--- a/libs/coordinator/tests/losing_world.hpp
+++ b/libs/coordinator/tests/losing_world.hpp
@@ -21,7 +21,7 @@
     {
         for (auto& [id, j] : f.jobs)
         {
-            j->losses_stored = stores ? j->losses_noted : j->losses_stored;
+            j->losses_stored = stores ? j->losses_recorded : j->losses_stored;
         }
     }
 
@@ -129,7 +129,7 @@
         now += time;
         for (auto& [id, h] : f.hosts)
         {
-            h.last_answer = h.reachable ? now : h.last_answer;
+            h.last_answer_at = h.reachable ? now : h.last_answer_at;
         }
     }
 
@@ -148,7 +148,7 @@
         int n = 0;
         for (const auto& it : events)
         {
-            n += it.what == what ? 1 : 0;
+            n += it.event == what ? 1 : 0;
         }
         return n;
     }
--- a/libs/coordinator/tests/losses_tests.cpp
+++ b/libs/coordinator/tests/losses_tests.cpp
@@ -27,7 +27,7 @@
     auto lasting = plain;
     lasting.long_running = true;
     auto filling = lasting;
-    filling.fills = true;
+    filling.best_effort = true;
     auto gang = make_step(2, 1000);
     gang.gang = true;
     for (const auto& it : {plain, lasting, filling, gang})
@@ -71,7 +71,7 @@
     w.lose_host(drained.host.id);
     const auto closed = w.starts().at(0);
     w.started(closed);
-    w.f.hosts.at(closed.host.id).use = host_use::closed_for_maintenance;
+    w.f.hosts.at(closed.host.id).availability = host_availability::closed_for_maintenance;
     w.lose_host(closed.host.id);
     LONGS_EQUAL(0, w.losses("a"));
     LONGS_EQUAL(1, w.starts().size());
@@ -107,7 +107,7 @@
         CHECK_FALSE(lost.at(0).certain);
         each.list_next_life("h1");
         CHECK(lost.at(0).certain);
-        CHECK(each.f.doubts.empty());
+        CHECK(each.f.uncertain_losses.empty());
     }
 }
 
@@ -123,8 +123,8 @@
         const auto a = each.starts().at(0);
         each.started(a);
         auto& h = each.f.hosts.at("h1");
-        h.use = host_use::closed_for_move;
-        h.closed_at = h.last_answer + (closed_before ? -1ms : 1ms);
+        h.availability = host_availability::closed_for_move;
+        h.closed_at = h.last_answer_at + (closed_before ? -1ms : 1ms);
         each.lapse_host("h1");
         LONGS_EQUAL(closed_before ? 0 : 1, each.losses("a"));
     }
@@ -139,7 +139,7 @@
     w.started(a);
     w.f.hosts.at(a.host.id).listed = false; // it is forgotten
     w.lapse_host(a.host.id);
-    w.f.doubts.at(a.host.id).machine.clear();
+    w.f.uncertain_losses.at(a.host.id).machine.clear();
     machine_table list;
     list.known = true;
     list.machines["m"] = {"m", "p", "z", a.host.id, ports::machine_state::up};
@@ -190,7 +190,7 @@
     LONGS_EQUAL(1, w.said("start_withheld"));
     const auto lines = explain_job(w.f, "a", w.now, wall);
     CHECK(lines.at(0).find("held back") != std::string::npos);
-    w.wait(w.f.settings.doubt_wait);
+    w.wait(w.f.settings.uncertain_loss_wait);
     LONGS_EQUAL(1, w.starts().size());
 }
 
@@ -222,7 +222,7 @@
             each.add_host("h" + std::to_string(i));
         }
         each.f.term = 1;
-        each.f.term_began = 5;
+        each.f.term_start_revision = 5;
         each.add(make_job("a", {make_step(1, 1000)}));
         if (gone)
         {
--- a/libs/coordinator/tests/pacing_tests.cpp
+++ b/libs/coordinator/tests/pacing_tests.cpp
@@ -15,10 +15,10 @@
     {
         w.add_host("h1");
         auto serving = make_step(1, 1000);
-        serving.tail_target = 40ms;
+        serving.tail_latency_target = 40ms;
         serving.long_running = true;
         auto filler = make_step(1, 2000);
-        filler.fills = true;
+        filler.best_effort = true;
         w.add(make_job("a", {serving, filler}));
         for (const auto& it : w.next().starts)
         {
@@ -34,10 +34,10 @@
     /// One half second with this tail latency. \return the filler's pace after it.
     int after(std::int64_t tail)
     {
-        run(0).figure = tail;
+        run(0).load_metric = tail;
         w.now += 500ms;
         plan_paces(w.f, {}, w.now, w.events);
-        return run(1).pace;
+        return run(1).cpu_percent;
     }
 };
 
@@ -66,7 +66,7 @@
     for (int i = 0; i < 120; ++i)
     {
         const double factor = (i / 12) % 2 == 0 ? 0.2 : 1.0;
-        const auto tail = static_cast<std::int64_t>(15 + run(1).pace * factor);
+        const auto tail = static_cast<std::int64_t>(15 + run(1).cpu_percent * factor);
         after(tail);
         over = tail > 40 ? over + 500ms : 0ms;
         longest = std::max(longest, over);
@@ -79,7 +79,7 @@
     prepare();
     w.add_host("h2");
     auto filler = make_step(1, 2000);
-    filler.fills = true;
+    filler.best_effort = true;
     w.f.hosts["h2"].used.cpu = 3000; // busier, but serves nobody
     w.add(make_job("b", {filler}));
     const auto p = w.next();
--- a/libs/coordinator/tests/placement_tests.cpp
+++ b/libs/coordinator/tests/placement_tests.cpp
@@ -52,9 +52,10 @@
         {"not listed", [](host_entry& h, workflow::step&) { h.listed = false; }, false},
         {"not recorded", [](host_entry& h, workflow::step&) { h.recorded = false; }, false},
         {"silent", [](host_entry& h, workflow::step&) { h.reachable = false; }, false},
-        {"not looked at", [](host_entry& h, workflow::step&) { h.prior = true; }, false},
+        {"not looked at", [](host_entry& h, workflow::step&) { h.inherited = true; }, false},
         {"closed",
-            [](host_entry& h, workflow::step&) { h.use = host_use::closed_for_move; },
+            [](host_entry& h, workflow::step&)
+            { h.availability = host_availability::closed_for_move; },
             false},
         {"other pool", [](host_entry& h, workflow::step&) { h.pool = "x"; }, false},
         {"label", [](host_entry&, workflow::step& s) { s.required_label = "b"; }, false},
@@ -68,7 +69,7 @@
             [](host_entry&, workflow::step& s)
             {
                 s.need.cpu = 9999;
-                s.fills = true;
+                s.best_effort = true;
             },
             true},
     };
@@ -87,7 +88,7 @@
 {
     w.add_host("h1");
     auto s = make_step(4, 100);
-    s.most_per_host = 2;
+    s.max_per_host = 2;
     w.add(make_job("a", {s}));
     LONGS_EQUAL(2, w.next().starts.size());
 }
@@ -96,7 +97,7 @@
 {
     w.add_host("h1");
     auto second = make_step(1, 1000);
-    second.after = {0};
+    second.depends_on = {0};
     w.add(make_job("a", {make_step(1, 1000), second}));
     const auto p = w.next();
     LONGS_EQUAL(1, p.starts.size());
@@ -165,10 +166,10 @@
 {
     learnt l;
     auto b = make_step(1, 1);
-    b.after = {0};
+    b.depends_on = {0};
     auto c = make_step(1, 1);
     auto d = make_step(1, 1);
-    d.after = {1, 2};
+    d.depends_on = {1, 2};
     const std::vector<workflow::step> steps{make_step(1, 1), b, c, d};
     LONGS_EQUAL(3000, time_to_end(l, steps, 0).count());
     LONGS_EQUAL(2000, time_to_end(l, steps, 1).count());
@@ -215,7 +216,7 @@
     w.add_host("h1");
     w.add_host("h2");
     auto j = make_job("a", {make_step(3, 1000)});
-    j.advised = true;
+    j.needs_advice = true;
     w.add(j);
     auto p = w.next();
     LONGS_EQUAL(0, p.starts.size());
@@ -231,7 +232,7 @@
     STRCMP_EQUAL("t2", p.starts[0].ticket.c_str());
     w.started(p.starts[0], ports::runner_verdict::bad_ticket);
     w.now += 3000ms;
-    w.f.hosts["h2"].last_answer = w.now;
+    w.f.hosts["h2"].last_answer_at = w.now;
     p = w.next();
     LONGS_EQUAL(0, p.starts.size());
     LONGS_EQUAL(1, p.asks.size());
@@ -272,7 +273,7 @@
 {
     w.add_host("h1");
     auto j = make_job("a", {make_step(1, 1000)});
-    j.advised = true;
+    j.needs_advice = true;
     w.add(j);
     auto p = w.next();
     advice_answered(w.f, p.asks[0], {true, {{"h1", "t1"}}, 60s}, w.now, w.events);
@@ -280,7 +281,7 @@
     STRCMP_EQUAL("t1", p.starts[0].ticket.c_str());
     w.started(p.starts[0], ports::runner_verdict::bad_ticket);
     w.now += 200ms;
-    w.f.hosts["h1"].last_answer = w.now;
+    w.f.hosts["h1"].last_answer_at = w.now;
     p = w.next();
     LONGS_EQUAL(0, p.starts.size());
     LONGS_EQUAL(1, p.asks.size());
--- a/libs/coordinator/tests/rebalance_tests.cpp
+++ b/libs/coordinator/tests/rebalance_tests.cpp
@@ -14,7 +14,7 @@
 run_phase phase_of(const fleet& f, const workflow::task_name& name)
 {
     const auto& j = *f.jobs.at(name.job);
-    const auto place = workflow::task_place(j.spec, name.occurrence, name.step, name.index);
+    const auto place = workflow::task_index(j.spec, name.occurrence, name.step, name.index);
     return j.tasks[place].runs.front().phase;
 }
 
@@ -86,7 +86,7 @@
     pools = {{"p", false}, {"q", false}};
     r.settings.spare_hosts = 0;
     LONGS_EQUAL(0, next().size());
-    CHECK(w.f.hosts["h1"].use == host_use::closed_for_move);
+    CHECK(w.f.hosts["h1"].availability == host_availability::closed_for_move);
 }
 
 TEST(rebalance, a_refused_move_opens_the_host_again)
@@ -99,9 +99,9 @@
     w.now += r.settings.rest + 100ms;
     const auto moves = next();
     const auto host = "h" + moves[0].machine;
-    CHECK(w.f.hosts[host].use == host_use::closed_for_move);
+    CHECK(w.f.hosts[host].availability == host_availability::closed_for_move);
     move_answered(w.f, r, moves[0].machine, ports::machine_verdict::busy, w.now, w.events);
-    CHECK(w.f.hosts[host].use == host_use::open);
+    CHECK(w.f.hosts[host].availability == host_availability::open);
     CHECK(r.moves.empty());
 }
 
@@ -137,7 +137,7 @@
             w.started(w.next().starts[0]);
             move_answered(w.f, r, "1", ports::machine_verdict::unknown, w.now, w.events);
             LONGS_EQUAL(0, next().size());
-            CHECK(w.f.hosts["h1"].use == host_use::open);
+            CHECK(w.f.hosts["h1"].availability == host_availability::open);
             LONGS_EQUAL(1, w.f.jobs.at("a")->live_runs);
         }
     }
@@ -149,7 +149,8 @@
 {
     add_machine("1", "p");
     add_machine("2", "p");
-    w.f.hosts["h2"].use = host_use::closed_for_maintenance; // the task is to go to the other one
+    w.f.hosts["h2"].availability =
+        host_availability::closed_for_maintenance; // the task is to go to the other one
     pools = {{"p", false}, {"q", false}};
     r.settings.spare_hosts = 0;
     r.moves["1"] = {"q", "gone", true, w.now};
@@ -157,19 +158,20 @@
     s.long_running = true;
     w.add(make_job("a", {s}));
     w.started(w.next().starts[0]);
-    w.f.hosts["h2"].use = host_use::open;
+    w.f.hosts["h2"].availability = host_availability::open;
     move_answered(w.f, r, "1", ports::machine_verdict::unknown, w.now, w.events);
     bool stopped = false;
     for (int i = 0; i < 300 && !stopped; ++i)
     {
         w.now += 200ms;
-        w.f.hosts["h1"].last_answer = w.now;
-        w.f.hosts["h2"].last_answer = w.now;
+        w.f.hosts["h1"].last_answer_at = w.now;
+        w.f.hosts["h2"].last_answer_at = w.now;
         list.read_at = w.now;
         next();
         stopped = !w.next().stops.empty();
     }
-    const bool given_up = r.moves.empty() && w.f.hosts["h1"].use == host_use::open;
+    const bool given_up =
+        r.moves.empty() && w.f.hosts["h1"].availability == host_availability::open;
     CHECK(given_up || stopped);
 }
 
@@ -204,12 +206,12 @@
             here.add_host("h" + id);
         }
         auto job = make_job("a", {make_step(2, 1000)}); // the need of one host, on two
-        job.steps[0].most_per_host = 1;
+        job.steps[0].max_per_host = 1;
         job.steps[0].checkpoints = it.checkpoints;
-        job.steps[0].estimate = it.task_time;
+        job.steps[0].estimated_run_time = it.task_time;
         job.slack = it.slack;
         here.add(job);
-        here.f.jobs.at("a")->taken_at = here.now;
+        here.f.jobs.at("a")->added_at = here.now;
         const auto started = here.next().starts;
         LONGS_EQUAL(2, started.size());
         for (const auto& start : started)
@@ -225,7 +227,8 @@
         int stopping = 0;
         for (const auto& start : started)
         {
-            const bool closed = here.f.hosts[start.host.id].use == host_use::closed_for_move;
+            const bool closed =
+                here.f.hosts[start.host.id].availability == host_availability::closed_for_move;
             const bool stops = phase_of(here.f, start.task) == run_phase::stopping;
             CHECK_TEXT(closed || !stops, it.what);
             stopping += stops ? 1 : 0;
--- a/libs/coordinator/tests/settling_tests.cpp
+++ b/libs/coordinator/tests/settling_tests.cpp
@@ -88,7 +88,7 @@
     LONGS_EQUAL(a.run, p.stops[0].run);
     stop_answered(w.f, "h1", a.task, a.run, {ports::runner_verdict::unknown, -1}, w.now, w.events);
     LONGS_EQUAL(0, w.next().stops.size());
-    w.now += w.f.settings.stop_repeat;
+    w.now += w.f.settings.stop_retry_delay;
     LONGS_EQUAL(1, w.next().stops.size());
     stop_answered(w.f, "h1", a.task, a.run, {ports::runner_verdict::done, 1}, w.now, w.events);
     CHECK(lease_end_for(w.f, h, w.now) > 0);
@@ -105,7 +105,7 @@
     w.started(a, ports::runner_verdict::malformed);
     LONGS_EQUAL(0, w.f.hosts["h1"].used.cpu);
     LONGS_EQUAL(0, w.next().starts.size());
-    w.now += w.f.settings.refusal_pause;
+    w.now += w.f.settings.refused_start_delay;
     const auto again = w.next().starts;
     LONGS_EQUAL(1, again.size());
     CHECK(again[0].run > a.run);
@@ -118,7 +118,7 @@
     w.add_host("h1");
     w.add_host("h2");
     auto s = make_step(6, 1000);
-    s.most_per_host = 3;
+    s.max_per_host = 3;
     w.add(make_job("a", {s}));
     const auto p = w.next();
     for (const auto& it : p.starts)
@@ -147,7 +147,7 @@
     w.add(make_job("a", {make_step(1, 1000)}));
     const auto a = w.next().starts[0];
     w.started(a, ports::runner_verdict::other_life);
-    w.now += 2 * w.f.settings.refusal_pause;
+    w.now += 2 * w.f.settings.refused_start_delay;
     LONGS_EQUAL(1, w.f.jobs.at("a")->live_runs);
     LONGS_EQUAL(0, w.next().starts.size());
 }
@@ -206,7 +206,7 @@
     p.call = {ports::runner_verdict::done, 1000};
     p.running = {{"gone.0.0.0", 3, {}, 10, 0}};
     poll_answered(w.f, "h1", w.now, p, w.now, w.events);
-    LONGS_EQUAL(1, w.f.strays.size());
+    LONGS_EQUAL(1, w.f.orphaned_runs.size());
     w.add(make_job("a", {make_step(1, 1000)}));
     LONGS_EQUAL(0, w.next().starts.size()); // its room is not known
 }
@@ -240,7 +240,7 @@
         {2, "a.0.0.1", p.starts[1].run, done, {}}};
     w.now += 10ms;
     poll_answered(w.f, "h1", w.now, all, w.now, w.events);
-    LONGS_EQUAL(3, w.f.hosts["h1"].seen_end);
+    LONGS_EQUAL(3, w.f.hosts["h1"].last_applied_end);
     CHECK(w.f.jobs.at("a")->state == workflow::job_state::completed);
     LONGS_EQUAL(0, w.next().starts.size());
 }
@@ -255,11 +255,11 @@
     w.started(a);
     ports::poll_answer part;
     part.call = {ports::runner_verdict::done, 1000};
-    part.ends_left_out = true;
+    part.ends_truncated = true;
     w.now += 10ms;
     poll_answered(w.f, "h1", w.now, part, w.now, w.events);
     LONGS_EQUAL(1, w.f.jobs.at("a")->live_runs);
-    part.ends_left_out = false;
+    part.ends_truncated = false;
     poll_answered(w.f, "h1", w.now, part, w.now, w.events);
     LONGS_EQUAL(0, w.f.jobs.at("a")->live_runs);
 }
@@ -268,8 +268,8 @@
 void inherit(world& w, const std::string& host)
 {
     w.f.term = 1;
-    w.f.term_began = 100;
-    prior_host p;
+    w.f.term_start_revision = 100;
+    inherited_host p;
     p.ref = {host, host + ":1", {}};
     p.pool = "p";
     add_prior_hosts(w.f, {p}, w.now);
@@ -306,7 +306,7 @@
     w.now += 10s;
     contact_answered(w.f, "h1", {ports::runner_verdict::unknown, -1}, w.now, w.events);
     lapse_hosts(w.f, w.now, w.events);
-    CHECK_FALSE(w.f.hosts.at("h1").prior);
+    CHECK_FALSE(w.f.hosts.at("h1").inherited);
     ports::poll_answer late;
     late.call = {ports::runner_verdict::done, 1000};
     late.ended = {{1, "a.0.0.0", 2, ports::run_end::done, {}}};
--- a/libs/coordinator/tests/trials_tests.cpp
+++ b/libs/coordinator/tests/trials_tests.cpp
@@ -73,7 +73,7 @@
         int busy = 0;
         for (auto& [id, h] : each.f.hosts)
         {
-            h.strays = busy++ < it.busy ? 1 : 0; // they take no task, and hold something
+            h.orphaned_runs = busy++ < it.busy ? 1 : 0; // they take no task, and hold something
         }
         LONGS_EQUAL(it.trials, each.starts().size());
         LONGS_EQUAL(0, each.starts().size());
@@ -89,14 +89,14 @@
     each.add(make_job("a", {make_step(1, 1000)}));
     LONGS_EQUAL(2, each.crash_all(2));
     auto s = make_step(2, 1000);
-    s.most_per_host = 1;
+    s.max_per_host = 1;
     s.long_running = true;
     each.f.jobs.at("a")->tasks[0].not_before = each.now + 1ms; // the other job comes first
     each.add(make_job("b", {s}));
     LONGS_EQUAL(2, each.starts().size());
     each.now += 1ms;
     LONGS_EQUAL(0, each.starts().size());
-    each.now += each.f.settings.trial_patience;
+    each.now += each.f.settings.isolation_max_wait;
     LONGS_EQUAL(1, each.starts().size());
 }
 
@@ -130,14 +130,14 @@
     LONGS_EQUAL(2, w.crash_all(2));
     const auto a = w.starts().at(0);
     w.started(a);
-    LONGS_EQUAL(1, w.f.hosts.at(a.host.id).trials);
-    w.now += w.f.settings.trial_time;
+    LONGS_EQUAL(1, w.f.hosts.at(a.host.id).isolated_runs);
+    w.now += w.f.settings.isolation_time;
     ports::poll_answer p;
     p.call = {ports::runner_verdict::done, 1000};
     p.running = {{"a.0.0.0", a.run, {}, 100, 0}};
     poll_answered(w.f, a.host.id, w.now, p, w.now, w.events);
     LONGS_EQUAL(0, w.losses("a"));
-    LONGS_EQUAL(0, w.f.hosts.at(a.host.id).trials);
+    LONGS_EQUAL(0, w.f.hosts.at(a.host.id).isolated_runs);
 }
 
 // An owner dies with a trial under way: its successor reads of it before it starts the task.
@@ -159,7 +159,7 @@
     for (int i = 0; i < 4; ++i)
     {
         n += next.crash_all(9);
-        next.wait(next.f.settings.doubt_wait);
+        next.wait(next.f.settings.uncertain_loss_wait);
     }
     LONGS_EQUAL(1, n);
     CHECK(a.run > 0);
--- a/libs/coordinator/tests/waves_tests.cpp
+++ b/libs/coordinator/tests/waves_tests.cpp
@@ -57,7 +57,7 @@
     w.ended(a, ports::run_end::done, 1);
     v.due = w.now;
     LONGS_EQUAL(0, plan_wave(w.f, v, list, {}, w.now, w.events).size());
-    w.f.hosts["h1"].stored_end = 1;
+    w.f.hosts["h1"].last_stored_end = 1;
     LONGS_EQUAL(1, plan_wave(w.f, v, list, {}, w.now, w.events).size());
 }
 
@@ -68,13 +68,14 @@
     prepare(2, 2);
     auto s = make_step(2, 1000);
     s.long_running = true;
-    s.may_be_away = 1;
-    s.most_per_host = 1;
+    s.max_unavailable = 1;
+    s.max_per_host = 1;
     w.add(make_job("a", {s}));
     for (const auto& it : w.next().starts)
     {
         w.started(it);
-        w.f.jobs.at("a")->tasks[static_cast<std::size_t>(it.task.index)].runs[0].percent = 100;
+        w.f.jobs.at("a")->tasks[static_cast<std::size_t>(it.task.index)].runs[0].progress_percent =
+            100;
     }
     v.due = w.now;
     plan_wave(w.f, v, list, {}, w.now, w.events);
@@ -92,7 +93,7 @@
     struct row
     {
         const char* what;
-        int may_be_away;
+        int max_unavailable;
         core::millis left;
         bool leaves;
     };
@@ -108,14 +109,16 @@
         prepare(8, 8);
         auto s = make_step(8, 1000);
         s.long_running = true;
-        s.may_be_away = it.may_be_away;
-        s.most_per_host = 1;
+        s.max_unavailable = it.max_unavailable;
+        s.max_per_host = 1;
         w.add(make_job("a", {s}));
         for (const auto& start : w.next().starts)
         {
             w.started(start);
-            w.f.jobs.at("a")->tasks[static_cast<std::size_t>(start.task.index)].runs[0].percent =
-                100;
+            w.f.jobs.at("a")
+                ->tasks[static_cast<std::size_t>(start.task.index)]
+                .runs[0]
+                .progress_percent = 100;
         }
         for (int i = 9; i <= 16; ++i)
         {
@@ -124,7 +127,7 @@
         v.due = w.now + it.left;
         plan_wave(w.f, v, list, {}, w.now, w.events);
         const auto stops = w.next().stops.size();
-        CHECK_TEXT(stops <= static_cast<std::size_t>(it.may_be_away), it.what);
+        CHECK_TEXT(stops <= static_cast<std::size_t>(it.max_unavailable), it.what);
         CHECK_TEXT((stops > 0) == it.leaves, it.what);
     }
 }
@@ -143,10 +146,10 @@
     const auto ready = plan_wave(w.f, v, list, {}, w.now, w.events);
     LONGS_EQUAL(1, ready.size());
     STRCMP_EQUAL(idle, ready[0].c_str());
-    CHECK(w.f.hosts[busy].use == host_use::open);
+    CHECK(w.f.hosts[busy].availability == host_availability::open);
     w.now = v.due - 5s;
     plan_wave(w.f, v, list, {}, w.now, w.events);
-    CHECK(w.f.hosts[busy].use == host_use::closed_for_maintenance);
+    CHECK(w.f.hosts[busy].availability == host_availability::closed_for_maintenance);
 }
 
 // A successor finds a runner in the record whose machine was moved since. It need not wait for the
@@ -172,7 +175,7 @@
         world each;
         each.add_host("h1");
         each.f.hosts["h1"].machine = "m1";
-        each.f.hosts["h1"].prior = true;
+        each.f.hosts["h1"].inherited = true;
         machine_table table;
         table.known = true;
         table.read_at = each.now;
@@ -242,12 +245,13 @@
     w.add_host("h3");
     auto s = make_step(2, host_cpu);
     s.long_running = true;
-    s.may_be_away = 1;
+    s.max_unavailable = 1;
     w.add(make_job("a", {s}));
     for (const auto& it : w.next().starts)
     {
         w.started(it);
-        w.f.jobs.at("a")->tasks[static_cast<std::size_t>(it.task.index)].runs[0].percent = 100;
+        w.f.jobs.at("a")->tasks[static_cast<std::size_t>(it.task.index)].runs[0].progress_percent =
+            100;
     }
     const auto& j = *w.f.jobs.at("a");
     LONGS_EQUAL(0, others_away(w.f, j, {"a", 0, 0, 0}));
@@ -290,15 +294,15 @@
     w.started(run);
     w.now += 1s; // the list is from before the order
     CHECK_FALSE(may_send_order(w.f, v, list, "m1", {}, w.now, w.events));
-    CHECK(w.f.hosts["h2"].use == host_use::open);
+    CHECK(w.f.hosts["h2"].availability == host_availability::open);
     list.read_at = w.now;
     CHECK_FALSE(may_send_order(w.f, v, list, "m1", {}, w.now, w.events));
-    CHECK(w.f.hosts["h2"].use == host_use::closed_for_maintenance);
+    CHECK(w.f.hosts["h2"].availability == host_availability::closed_for_maintenance);
     w.ended(run, ports::run_end::done, 1);
-    w.f.hosts["h2"].stored_end = 1;
+    w.f.hosts["h2"].last_stored_end = 1;
     CHECK(may_send_order(w.f, v, list, "m1", {}, w.now, w.events));
     maintenance_began(w.f, v, list, "m1", w.now);
-    CHECK(w.f.hosts["h2"].use == host_use::open); // it came after the maintenance
+    CHECK(w.f.hosts["h2"].availability == host_availability::open); // it came after the maintenance
 }
 
 // Guards against a wave that hangs, with all hosts of its pool closed: the host that came after a
@@ -308,7 +312,7 @@
 {
     prepare(3, 1);
     v.due = w.now; // all hosts may be closed
-    w.f.hosts["h1"].use = host_use::closed_for_maintenance;
+    w.f.hosts["h1"].availability = host_availability::closed_for_maintenance;
     auto s = make_step(2, 1000);
     s.long_running = true;
     w.add(make_job("a", {s}));
@@ -326,8 +330,8 @@
         }
         for (auto& [id, h] : w.f.hosts)
         {
-            h.stored_end = h.seen_end;
-            h.last_answer = w.now;
+            h.last_stored_end = h.last_applied_end;
+            h.last_answer_at = w.now;
         }
     };
     play();
@@ -377,8 +381,8 @@
 {
     prepare(1, 1);
     LONGS_EQUAL(1, plan_wave(w.f, v, list, {}, w.now, w.events).size());
-    CHECK(w.f.hosts["h1"].use == host_use::closed_for_maintenance);
+    CHECK(w.f.hosts["h1"].availability == host_availability::closed_for_maintenance);
     not_in_wave(w.f, v, list, "m1");
-    CHECK(w.f.hosts["h1"].use == host_use::open);
+    CHECK(w.f.hosts["h1"].availability == host_availability::open);
     CHECK(plan_wave(w.f, v, list, {}, w.now, w.events).empty());
 }
--- a/libs/coordinator/tests/world.hpp
+++ b/libs/coordinator/tests/world.hpp
@@ -23,7 +23,7 @@
     workflow::step s;
     s.tasks = tasks;
     s.need.cpu = cpu;
-    s.estimate = 1000ms;
+    s.estimated_run_time = 1000ms;
     return s;
 }
 
@@ -33,7 +33,7 @@
     j.id = id;
     j.queue = "q";
     j.pool = "p";
-    j.most_attempts = 2;
+    j.max_attempts = 2;
     j.accepted_unix_ms = wall;
     j.steps = std::move(steps);
     return j;
@@ -58,9 +58,9 @@
         h.listed = true;
         h.recorded = true;
         h.reachable = true;
-        h.last_answer = now;
+        h.last_answer_at = now;
         h.clock_ms = 1000;
-        h.clock_at = now;
+        h.clock_read_at = now;
         f.hosts[id] = h;
     }
 
--- a/libs/hosted/include/hosted/formats.hpp
+++ b/libs/hosted/include/hosted/formats.hpp
@@ -22,10 +22,10 @@
     std::string prefix; ///< of the path; the longest that fits decides
     std::string pool;   ///< whose hosts run the queue's jobs
     int priority = 0;
-    int most_attempts = 1;
+    int max_attempts = 1;
     double stretch = 1;
     core::millis slack{0};
-    bool advised = false; ///< only the platform's advice knows which hosts may run its jobs
+    bool needs_advice = false; ///< only the platform's advice knows which hosts may run its jobs
 };
 
 struct pool_settings
--- a/libs/hosted/include/hosted/relay_registry.hpp
+++ b/libs/hosted/include/hosted/relay_registry.hpp
@@ -31,13 +31,13 @@
 };
 
 /// \return the value of the node's key.
-std::string write_relay(const ports::relay_place& it);
+std::string write_relay(const ports::relay_endpoint& it);
 
 /// \param text as write_relay() made it; may be anything
-core::result<ports::relay_place> read_relay(const std::string& member, const std::string& text);
+core::result<ports::relay_endpoint> read_relay(const std::string& member, const std::string& text);
 
 /// \return the largest share of a core among the nodes other than \p member; 0: there is none.
-double best_share_but(const std::vector<ports::relay_place>& all, const std::string& member);
+double best_share_but(const std::vector<ports::relay_endpoint>& all, const std::string& member);
 
 struct registry_state;
 
@@ -45,7 +45,7 @@
 class relay_registry
 {
 public:
-    using listener = std::function<void(std::vector<ports::relay_place>)>;
+    using listener = std::function<void(std::vector<ports::relay_endpoint>)>;
 
     relay_registry(context c, registry_settings s, listener on_change);
     relay_registry(const relay_registry&) = delete;
@@ -53,7 +53,7 @@
     ~relay_registry();
 
     /// Lists this node from now on.
-    void offer(ports::relay_place own);
+    void offer(ports::relay_endpoint own);
     /// Lists it no more.
     void withdraw();
 
--- a/libs/hosted/src/fleet_driver.cpp
+++ b/libs/hosted/src/fleet_driver.cpp
@@ -92,7 +92,7 @@
     const auto orders = coordinator::make_plan(t.fleet, begun, unix_ms, true, out, desk->room());
     t.log(out);
     desk->send(orders);
-    if (!t.fleet.dirty.empty())
+    if (!t.fleet.dirty_jobs.empty())
     {
         writer->request();
     }
@@ -219,7 +219,7 @@
     t.token = token;
     t.fleet.settings = settings_.rules;
     t.fleet.term = number;
-    t.fleet.term_began = token;
+    t.fleet.term_start_revision = token;
     t.wake = [&p]
     {
         p.plan_soon();
--- a/libs/hosted/src/formats.cpp
+++ b/libs/hosted/src/formats.cpp
@@ -48,10 +48,10 @@
     j.queue = q.name;
     j.pool = q.pool;
     j.priority = q.priority;
-    j.most_attempts = std::max(q.most_attempts, 1);
+    j.max_attempts = std::max(q.max_attempts, 1);
     j.stretch = q.stretch;
     j.slack = q.slack;
-    j.advised = q.advised;
+    j.needs_advice = q.needs_advice;
     j.accepted_unix_ms = accepted_unix_ms;
 }
 
--- a/libs/hosted/src/host_reader.cpp
+++ b/libs/hosted/src/host_reader.cpp
@@ -136,7 +136,7 @@
         return;
     }
     recorded_ = *found;
-    std::vector<coordinator::prior_host> prior;
+    std::vector<coordinator::inherited_host> prior;
     for (const auto& [id, it] : recorded_)
     {
         prior.push_back({{id, it.address, {}}, it.machine, it.pool, it.rest});
@@ -160,8 +160,8 @@
 /// Silence shows by time alone, and so does that the list of runners may be believed again.
 void host_reader::watch_silence()
 {
-    const auto believed_from = term_.now() - term_.fleet.settings.ended_memory;
-    const auto& ended = term_.fleet.ended;
+    const auto believed_from = term_.now() - term_.fleet.settings.ended_runner_retention;
+    const auto& ended = term_.fleet.ended_runners;
     const bool again = std::any_of(
         ended.begin(), ended.end(), [&](const auto& it) { return it.second < believed_from; });
     if (again && list_.has_entries())
@@ -200,7 +200,7 @@
             continue;
         }
         runner_record row{h.ref.address, h.machine, h.pool, {}};
-        if (!h.reachable && now - h.silent_since >= f.settings.silence_told)
+        if (!h.reachable && now - h.unresponsive_since >= f.settings.lease_end_record_delay)
         {
             const auto told = told_.find(id);
             row.rest = told != told_.end() ? told->second : coordinator::time_to_lapse(f, h, now);
--- a/libs/hosted/src/job_reader.cpp
+++ b/libs/hosted/src/job_reader.cpp
@@ -174,7 +174,7 @@
 void job_reader::note_read(const std::string& id, std::int64_t accepted_unix_ms)
 {
     auto& j = *term_.fleet.jobs.at(id);
-    j.taken_at = term_.now();
+    j.added_at = term_.now();
     if (!j.inherited)
     {
         const auto wall = core::to_unix_ms(term_.ctx.time.wall_now());
--- a/libs/hosted/src/lease_bridge.cpp
+++ b/libs/hosted/src/lease_bridge.cpp
@@ -28,7 +28,7 @@
     }
     for (const auto& [id, h] : term_.fleet.hosts)
     {
-        if (h.prior && h.recorded && !under_way_.contains(id))
+        if (h.inherited && h.recorded && !under_way_.contains(id))
         {
             renew(id);
         }
--- a/libs/hosted/src/machine_desk.cpp
+++ b/libs/hosted/src/machine_desk.cpp
@@ -41,7 +41,7 @@
 
 void machine_desk::note_job(const workflow::job& j, core::mono_time at)
 {
-    const auto accepted = term_.fleet.jobs.at(j.id)->accepted;
+    const auto accepted = term_.fleet.jobs.at(j.id)->accepted_revision;
     if (accepted <= known_through_)
     {
         return; // the owner before has counted it
@@ -54,7 +54,8 @@
         {
             constexpr double milli = 1000.0;
             work += static_cast<double>(s.need.cpu * s.tasks) / milli *
-                    static_cast<double>(coordinator::expected_time(term_.fleet.learnt, s).count()) /
+                    static_cast<double>(
+                        coordinator::expected_time(term_.fleet.run_time_estimates, s).count()) /
                     milli;
         }
     }
@@ -64,7 +65,7 @@
 std::string machine_desk::demand_record() const
 {
     return write_demand(demand_,
-        term_.fleet.learnt,
+        term_.fleet.run_time_estimates,
         counted_through_,
         term_.now(),
         core::to_unix_ms(term_.ctx.time.wall_now()));
@@ -75,7 +76,7 @@
     known_through_ = read_demand(record.value,
         record.modified,
         demand_,
-        term_.fleet.learnt,
+        term_.fleet.run_time_estimates,
         term_.now(),
         core::to_unix_ms(term_.ctx.time.wall_now()));
     counted_through_ = known_through_;
@@ -84,7 +85,7 @@
         {{"revision", std::to_string(record.modified)},
             {"through", std::to_string(known_through_)},
             {"pools", std::to_string(demand_.pools.size())},
-            {"images", std::to_string(term_.fleet.learnt.images.size())}});
+            {"images", std::to_string(term_.fleet.run_time_estimates.images.size())}});
 }
 
 void machine_desk::read()
@@ -138,7 +139,7 @@
 bool machine_desk::is_wanted_often() const
 {
     return is_pressing_() || !moves_.moves.empty() || coordinator::awaits_list(term_.fleet) ||
-           !term_.fleet.doubts.empty() ||
+           !term_.fleet.uncertain_losses.empty() ||
            !coordinator::find_unexamined(term_.fleet, term_.now()).pools.empty();
 }
 
--- a/libs/hosted/src/pending_count.cpp
+++ b/libs/hosted/src/pending_count.cpp
@@ -205,7 +205,7 @@
     auto& view = state->pending;
     view.reads_history = false;
     const auto asks = std::exchange(view.asks, {});
-    const char* lost = read.history_lost ? "history_lost" : nullptr;
+    const char* lost = read.change_log_truncated ? "history_lost" : nullptr;
     if (lost == nullptr && read.status != kv_status::ok)
     {
         take_failure(*state);
--- a/libs/hosted/src/prefix_follower.cpp
+++ b/libs/hosted/src/prefix_follower.cpp
@@ -124,7 +124,7 @@
 
 void follower_state::take_changes(ports::changes_read read)
 {
-    if (read.history_lost)
+    if (read.change_log_truncated)
     {
         note_answer(true, "watch");
         ctx.tel.log(ports::log_level::info,
--- a/libs/hosted/src/progress_writer.cpp
+++ b/libs/hosted/src/progress_writer.cpp
@@ -40,8 +40,8 @@
     // Also ends that changed no job: until they count as stored their hosts can't be taken down.
     const bool ends = std::any_of(term_.fleet.hosts.begin(),
         term_.fleet.hosts.end(),
-        [](const auto& it) { return it.second.seen_end > it.second.stored_end; });
-    if (ends || !term_.fleet.dirty.empty())
+        [](const auto& it) { return it.second.last_applied_end > it.second.last_stored_end; });
+    if (ends || !term_.fleet.dirty_jobs.empty())
     {
         request();
     }
@@ -54,14 +54,14 @@
     {
         return; // what can't be recorded isn't acknowledged either; the successor reads it anew
     }
-    auto dirty = std::exchange(term_.fleet.dirty, {});
+    auto dirty = std::exchange(term_.fleet.dirty_jobs, {});
     ends_.clear();
     term_.load.ends.begin_store();
     for (const auto& [id, h] : term_.fleet.hosts)
     {
-        if (h.seen_end > h.stored_end)
+        if (h.last_applied_end > h.last_stored_end)
         {
-            ends_[id] = h.seen_end;
+            ends_[id] = h.last_applied_end;
         }
     }
     all_stored_ = true;
@@ -95,7 +95,7 @@
     }
     auto& j = *found->second;
     j.dirty = false;
-    j.losses_written = j.losses_noted;
+    j.losses_written = j.losses_recorded;
     if (workflow::is_final(j.state) && j.ended_unix_ms == 0)
     {
         j.ended_unix_ms = core::to_unix_ms(term_.ctx.time.wall_now());
@@ -103,7 +103,7 @@
     to.jobs.push_back(id);
     // Each job's own revision too: a write whose answer was lost may land seconds later, while
     // this node still leads, and would put an old progress over a newer one.
-    to.change.conditions.push_back({state_key(id), j.stored});
+    to.change.conditions.push_back({state_key(id), j.stored_revision});
     to.change.puts.push_back(
         {state_key(id), workflow::write_progress(j.spec, coordinator::progress_of(j)), 0});
     if (workflow::is_final(j.state))
@@ -150,7 +150,7 @@
 
 void progress_writer::take_stored(coordinator::job_entry& j, ports::revision at)
 {
-    j.stored = at;
+    j.stored_revision = at;
     if (j.losses_stored != j.losses_written)
     {
         j.losses_stored = j.losses_written;
@@ -179,7 +179,7 @@
             const auto found = term_.fleet.jobs.find(it.key.substr(state_prefix.size()));
             if (found != term_.fleet.jobs.end())
             {
-                found->second->stored = it.modified;
+                found->second->stored_revision = it.modified;
             }
         }
     }
@@ -197,7 +197,7 @@
             if (it != term_.fleet.jobs.end() && !it->second->dirty)
             {
                 it->second->dirty = true;
-                term_.fleet.dirty.push_back(id);
+                term_.fleet.dirty_jobs.push_back(id);
             }
         }
     }
@@ -216,7 +216,7 @@
         {
             if (const auto it = term_.fleet.hosts.find(id); it != term_.fleet.hosts.end())
             {
-                it->second.stored_end = std::max(it->second.stored_end, n);
+                it->second.last_stored_end = std::max(it->second.last_stored_end, n);
             }
         }
         request_if_due();
--- a/libs/hosted/src/relay_registry.cpp
+++ b/libs/hosted/src/relay_registry.cpp
@@ -14,22 +14,22 @@
 using nlohmann::json;
 using ports::kv_status;
 
-std::string write_relay(const ports::relay_place& it)
+std::string write_relay(const ports::relay_endpoint& it)
 {
-    return json{{"address", it.address}, {"zone", it.zone}, {"share", it.share}}.dump();
+    return json{{"address", it.address}, {"zone", it.zone}, {"share", it.cpu_share}}.dump();
 }
 
-core::result<ports::relay_place> read_relay(const std::string& member, const std::string& text)
+core::result<ports::relay_endpoint> read_relay(const std::string& member, const std::string& text)
 {
     const auto from = json::parse(text, nullptr, false);
     try
     {
-        ports::relay_place out;
+        ports::relay_endpoint out;
         out.member = member;
         from.at("address").get_to(out.address);
         from.at("zone").get_to(out.zone);
-        from.at("share").get_to(out.share);
-        if (out.address.empty() || !(out.share > 0))
+        from.at("share").get_to(out.cpu_share);
+        if (out.address.empty() || !(out.cpu_share > 0))
         {
             return core::error{core::error_code::invalid, "no address or no share"};
         }
@@ -41,12 +41,12 @@
     }
 }
 
-double best_share_but(const std::vector<ports::relay_place>& all, const std::string& member)
+double best_share_but(const std::vector<ports::relay_endpoint>& all, const std::string& member)
 {
     double best = 0;
     for (const auto& it : all)
     {
-        best = it.member == member ? best : std::max(best, it.share);
+        best = it.member == member ? best : std::max(best, it.cpu_share);
     }
     return best;
 }
@@ -56,13 +56,13 @@
     context ctx;
     registry_settings settings;
     relay_registry::listener on_change;
-    ports::relay_place own;
+    ports::relay_endpoint own;
     bool offered = false;
     ports::lease_id lease = 0;
     int renewals = 0; ///< since the key was written
     ports::timer_id timer = 0;
     std::unique_ptr<prefix_follower> follower;
-    std::map<std::string, ports::relay_place> seen; ///< by key
+    std::map<std::string, ports::relay_endpoint> seen; ///< by key
 
     void schedule(core::millis delay, void (registry_state::*next)());
     void register_own();
@@ -190,7 +190,7 @@
 
 void registry_state::tell()
 {
-    std::vector<ports::relay_place> all;
+    std::vector<ports::relay_endpoint> all;
     all.reserve(seen.size());
     for (const auto& [key, it] : seen)
     {
@@ -244,7 +244,7 @@
     state_->follower.reset();
 }
 
-void relay_registry::offer(ports::relay_place own)
+void relay_registry::offer(ports::relay_endpoint own)
 {
     state_->own = std::move(own);
     state_->offered = true;
--- a/libs/hosted/src/runner_desk.cpp
+++ b/libs/hosted/src/runner_desk.cpp
@@ -146,9 +146,9 @@
 {
     for (const auto& it : all)
     {
-        ports::pace_order order{
+        ports::throttle_order order{
             workflow::write_task_name(it.task), it.run, it.percent, term_.token};
-        term_.ctx.runners.pace(it.host,
+        term_.ctx.runners.throttle(it.host,
             std::move(order),
             term_.guarded(
                 [this, it](const ports::runner_answer& answer)
@@ -212,7 +212,7 @@
     {
         return; // they stay listed
     }
-    const auto strays = std::exchange(term_.fleet.strays, {});
+    const auto strays = std::exchange(term_.fleet.orphaned_runs, {});
     for (const auto& it : strays)
     {
         const auto host = term_.fleet.hosts.find(it.host);
--- a/libs/hosted/src/runner_desk_polls.cpp
+++ b/libs/hosted/src/runner_desk_polls.cpp
@@ -36,8 +36,8 @@
 /// no lease. Where there are so many that idle ones rest it is asked again once there is a job.
 bool runner_desk::needs_polls(const coordinator::host_entry& h) const
 {
-    return !idle_hosts_rest() || !h.runs.empty() || h.prior || h.strays > 0 || !h.reachable ||
-           h.clock_ms < 0 || pools_with_jobs_.contains(h.pool);
+    return !idle_hosts_rest() || !h.runs.empty() || h.inherited || h.orphaned_runs > 0 ||
+           !h.reachable || h.clock_ms < 0 || pools_with_jobs_.contains(h.pool);
 }
 
 void runner_desk::see_jobs()
@@ -106,9 +106,9 @@
     // The first answer tells the runner's clock, without which no lease can be named, and what a
     // former owner's runner holds, for which others wait.
     // One that this owner has not heard for a lease's time gets no task before it answers.
-    const bool unheard = term_.now() - h.last_answer >= term_.fleet.settings.runner_lease;
+    const bool unheard = term_.now() - h.last_answer_at >= term_.fleet.settings.runner_lease;
     const bool at_once =
-        h.clock_ms < 0 || !h.reachable || h.prior || unheard || asked_again_.contains(host);
+        h.clock_ms < 0 || !h.reachable || h.inherited || unheard || asked_again_.contains(host);
     order.wait =
         at_once ? core::millis{0} : poll_wait_for(term_.settings, term_.fleet.hosts.size());
     const auto begun = term_.now();
@@ -160,7 +160,7 @@
     renew_later(host, begun, renew_again);
     auto& h = found->second;
     const auto whole = coordinator::lease_end_for(term_.fleet, h, term_.now());
-    if ((whole == 0 && !h.prior) || term_.now() - due > timer_is_late)
+    if ((whole == 0 && !h.inherited) || term_.now() - due > timer_is_late)
     {
         return;
     }
@@ -215,7 +215,7 @@
     const auto found = term_.fleet.hosts.find(host);
     polls_out_.erase(host);
     const bool heard_since =
-        found != term_.fleet.hosts.end() && found->second.last_answer > begun &&
+        found != term_.fleet.hosts.end() && found->second.last_answer_at > begun &&
         (a.call.verdict == runner_verdict::unknown || a.call.verdict == runner_verdict::not_sent);
     if (heard_since || asks_again(host, begun, a.call.verdict))
     {
@@ -224,7 +224,7 @@
     }
     const bool first = found != term_.fleet.hosts.end() && found->second.lease_until_ms == 0;
     const bool silent = found != term_.fleet.hosts.end() && !found->second.reachable;
-    const auto seen = found == term_.fleet.hosts.end() ? 0 : found->second.seen_end;
+    const auto seen = found == term_.fleet.hosts.end() ? 0 : found->second.last_applied_end;
     term_.load.note_poll(a, seen, term_.now());
     coordinator::task_events out;
     take(coordinator::poll_answered(term_.fleet, host, begun, a, term_.now(), out), host, out);
--- a/libs/hosted/src/term.cpp
+++ b/libs/hosted/src/term.cpp
@@ -21,7 +21,7 @@
 /// the budget of lines.
 bool is_proof(const coordinator::task_event& it)
 {
-    return it.what == "host_ended" || it.what == "host_lapsed" || it.what == "job_failed";
+    return it.event == "host_ended" || it.event == "host_lapsed" || it.event == "job_failed";
 }
 
 } // namespace
@@ -70,7 +70,7 @@
 {
     ports::poll_order out;
     out.fencing_token = token;
-    out.acknowledged_through = h.stored_end;
+    out.acknowledged_through = h.last_stored_end;
     out.lease_until_ms = until_ms;
     coordinator::note_lease(h, until_ms);
     return out;
@@ -107,14 +107,14 @@
             fields.emplace_back("because", it.reason);
         }
         fields.emplace_back("token", std::to_string(token));
-        ctx.tel.count("camphorhitch_fleet_events_total", {{"event", it.what}}, 1);
+        ctx.tel.count("camphorhitch_fleet_events_total", {{"event", it.event}}, 1);
         if (is_proof(it))
         {
-            ctx.tel.log(ports::log_level::info, it.what, std::move(fields));
+            ctx.tel.log(ports::log_level::info, it.event, std::move(fields));
         }
         else
         {
-            log(ports::log_level::info, it.what, std::move(fields));
+            log(ports::log_level::info, it.event, std::move(fields));
         }
     }
 }
--- a/libs/hosted/src/tidier.cpp
+++ b/libs/hosted/src/tidier.cpp
@@ -41,9 +41,9 @@
 {
     auto& f = term_.fleet;
     std::vector<std::string> cancels;
-    while (!f.stray_cancels.empty() && cancels.size() < most_cancels)
+    while (!f.late_cancels.empty() && cancels.size() < most_cancels)
     {
-        cancels.push_back(std::move(f.stray_cancels.extract(f.stray_cancels.begin()).value()));
+        cancels.push_back(std::move(f.late_cancels.extract(f.late_cancels.begin()).value()));
     }
     const auto unix_ms = core::to_unix_ms(term_.ctx.time.wall_now());
     auto jobs = coordinator::take_expired(f, term_.settings.keep_finished, unix_ms, most_jobs);
@@ -61,7 +61,7 @@
     change.conditions.push_back({leader_key, term_.token});
     for (const auto& it : jobs)
     {
-        change.conditions.push_back({state_key(it.id), it.stored});
+        change.conditions.push_back({state_key(it.id), it.stored_revision});
         change.removals.push_back(state_key(it.id));
     }
     for (const auto& it : cancels)
@@ -87,14 +87,14 @@
         {
             coordinator::forget_job(term_.fleet, it.id); // now, or by an unanswered try
         }
-        else if (item == nullptr || item->modified == it.stored)
+        else if (item == nullptr || item->modified == it.stored_revision)
         {
-            term_.fleet.finished.emplace(unix_ms - keep_ms, it); // due still
+            term_.fleet.finished_jobs.emplace(unix_ms - keep_ms, it); // due still
         }
     }
     if (result.status != kv_status::ok)
     {
-        term_.fleet.stray_cancels.insert(cancels.begin(), cancels.end());
+        term_.fleet.late_cancels.insert(cancels.begin(), cancels.end());
         start();
         return;
     }
--- a/libs/hosted/tests/broken_records_tests.cpp
+++ b/libs/hosted/tests/broken_records_tests.cpp
@@ -133,7 +133,7 @@
 TEST(broken_records, broken_jobs_leave_the_others_running)
 {
     auto waits = c.make_job("w", 1);
-    waits.steps[0].after = {7};
+    waits.steps[0].depends_on = {7};
     auto wide = c.make_job("v", 1);
     wide.steps[0].tasks = std::numeric_limits<int>::max();
     c.store.put("job/0", "");
--- a/libs/hosted/tests/crashing_tasks_tests.cpp
+++ b/libs/hosted/tests/crashing_tasks_tests.cpp
@@ -196,7 +196,7 @@
     crashing_world w(10);
     auto j = w.c.make_job("a", 3);
     j.steps[0].gang = true;
-    j.steps[0].most_per_host = 1;
+    j.steps[0].max_per_host = 1;
     w.put_crasher(j);
     CHECK(w.c.ends("a", job_state::failed, 60s));
     w.c.time.run_for(10s);
--- a/libs/hosted/tests/life_proofs_tests.cpp
+++ b/libs/hosted/tests/life_proofs_tests.cpp
@@ -77,7 +77,7 @@
     other_answers = true;
     c.time.run_for(5s);
     other_answers = false;
-    c.time.run_for(c.settings.rules.ended_memory);
+    c.time.run_for(c.settings.rules.ended_runner_retention);
     auto j = c.make_job_on_each("a", 2);
     j.steps[0].long_running = true;
     c.put_job(j);
--- a/libs/hosted/tests/pending_tally_tests.cpp
+++ b/libs/hosted/tests/pending_tally_tests.cpp
@@ -24,7 +24,7 @@
     j.id = id;
     j.queue = "q";
     j.pool = "p";
-    j.most_attempts = 1;
+    j.max_attempts = 1;
     j.accepted_unix_ms = 1'700'000'000'000;
     j.steps = {{}};
     j.steps[0].tasks = 1;
--- a/libs/hosted/tests/random_world.hpp
+++ b/libs/hosted/tests/random_world.hpp
@@ -82,7 +82,7 @@
         const auto id = "j" + std::to_string(jobs.size());
         auto j = c.make_job(id, 1 + below(5), 1 + below(3));
         j.steps[0].speculative = false;
-        j.most_attempts = 6;
+        j.max_attempts = 6;
         jobs.push_back(id);
         c.put_job(j);
     }
--- a/libs/hosted/tests/relay_registry_tests.cpp
+++ b/libs/hosted/tests/relay_registry_tests.cpp
@@ -16,7 +16,7 @@
 {
     daemon_fakes::process process;
     daemon_fakes::log_recorder log;
-    std::vector<ports::relay_place> seen;
+    std::vector<ports::relay_endpoint> seen;
     int told = 0;
     hosted::context ctx;
     std::unique_ptr<relay_registry> made;
@@ -29,7 +29,7 @@
         ctx.tel = log.port(time);
         made = std::make_unique<relay_registry>(ctx,
             hosted::registry_settings{},
-            [this](std::vector<ports::relay_place> all)
+            [this](std::vector<ports::relay_endpoint> all)
             {
                 seen = std::move(all);
                 ++told;
@@ -60,7 +60,7 @@
     store kept{time};
     registered a{time, kept, "a"};
     registered watcher{time, kept, "w"};
-    const ports::relay_place place{"a", "10.0.0.1:7060", "z", 0.25};
+    const ports::relay_endpoint place{"a", "10.0.0.1:7060", "z", 0.25};
 
     bool sees(std::size_t n)
     {
@@ -75,7 +75,7 @@
     STRCMP_EQUAL("a", core::value(read).member.c_str());
     STRCMP_EQUAL("10.0.0.1:7060", core::value(read).address.c_str());
     STRCMP_EQUAL("z", core::value(read).zone.c_str());
-    DOUBLES_EQUAL(0.25, core::value(read).share, 0);
+    DOUBLES_EQUAL(0.25, core::value(read).cpu_share, 0);
 }
 
 TEST(relay_registry, followers_see_who_offers_and_who_withdraws)
--- a/libs/hosted/tests/store_silence_tests.cpp
+++ b/libs/hosted/tests/store_silence_tests.cpp
@@ -199,7 +199,7 @@
     for (int i = 0; i < 40; ++i)
     {
         auto j = c.make_job("a" + std::to_string(i), 8);
-        j.steps[0].estimate = 1s;
+        j.steps[0].estimated_run_time = 1s;
         c.put_job(j);
         c.time.run_for(100ms);
     }
--- a/libs/hosted/tests/take_over_tests.cpp
+++ b/libs/hosted/tests/take_over_tests.cpp
@@ -31,7 +31,7 @@
     {
         auto j = c.make_job(id, tasks);
         j.steps[0].long_running = true;
-        j.steps[0].may_be_away = 1;
+        j.steps[0].max_unavailable = 1;
         return j;
     }
 };
--- a/libs/hosted/tests/wide_fleet_tests.cpp
+++ b/libs/hosted/tests/wide_fleet_tests.cpp
@@ -81,7 +81,7 @@
             w.jobs.push_back("q" + std::to_string(w.jobs.size()));
             auto j = w.c.make_job(w.jobs.back(), 1 + w.below(8));
             j.pool = "q";
-            j.most_attempts = 6;
+            j.max_attempts = 6;
             w.c.put_job(j);
         }
         if (trouble.hands_on_addresses && w.below(8) == 0)
--- a/libs/ports/include/ports/relays.hpp
+++ b/libs/ports/include/ports/relays.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Nodes that carry orders to runners out for the coordinator.
+/// Relays: nodes that deliver the coordinator's orders to runners.
 #pragma once
 
 #include <string>
@@ -7,14 +7,14 @@
 namespace camphorhitch::ports
 {
 
-struct relay_place
+struct relay_endpoint
 {
-    std::string member;
-    std::string address; ///< "ip:port"
-    std::string zone;
-    double share = 1; ///< of a core, that the node may use
+    std::string member;   ///< id of the node
+    std::string address;  ///< "ip:port"
+    std::string zone;     ///< its availability zone
+    double cpu_share = 1; ///< share of a core that the node may use
 
-    bool operator==(const relay_place&) const = default;
+    bool operator==(const relay_endpoint&) const = default;
 };
 
 } // namespace camphorhitch::ports
--- a/libs/ports/include/ports/runners.hpp
+++ b/libs/ports/include/ports/runners.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Port to runners: the processes on hosts that run tasks under a lease, for the holder of the
-/// highest fencing token that they have seen.
+/// Port to runners: the processes on hosts that run tasks under a lease. A runner obeys the holder
+/// of the highest fencing token that it has received.
 #pragma once
 
 #include "core/names.hpp"
@@ -14,12 +14,12 @@
 namespace camphorhitch::ports
 {
 
-/// One life of a runner and where to reach it. After a restart it has another id.
+/// One incarnation of a runner and its address. After a restart the runner has another id.
 struct runner_ref
 {
     std::string id;
-    std::string address; ///< "ip:port"; another runner may have it after this one
-    std::string zone;    ///< its availability zone; empty: not known
+    std::string address; ///< "ip:port"; another runner may have it later
+    std::string zone;    ///< availability zone; empty: unknown
 
     bool operator==(const runner_ref&) const = default;
 };
@@ -28,16 +28,16 @@
 enum class runner_verdict
 {
     done,
-    fenced,     ///< the runner has seen a higher fencing token
-    superseded, ///< an equal or higher run of the task was stopped or ended there
-    lease_over, ///< the lease that came with the order had ended on arrival
-    no_room,    ///< does not fit beside what runs there
+    fenced,     ///< the runner has received a higher fencing token
+    superseded, ///< an equal or higher run of the task was stopped or ended on this runner
+    lease_over, ///< the lease sent with the order had ended when the order arrived
+    no_room,    ///< the runner's free capacity is too small for the task
     bad_ticket, ///< the ticket is missing or has expired
-    unhealthy,  ///< did nothing, may do it later
-    malformed,  ///< the runner does not understand the call
-    other_life, ///< another runner answers there; the one that was meant has ended
-    not_sent,   ///< no byte left this process
-    unknown     ///< may have been carried out, or may be seconds later
+    unhealthy,  ///< the runner did nothing; a repeat may succeed later
+    malformed,  ///< the runner could not parse the call
+    other_life, ///< another incarnation answers there; the addressed one has lost its address
+    not_sent,   ///< no byte of the call left this process
+    unknown     ///< the call may have been carried out, or may be seconds later
 };
 
 inline constexpr core::name_table<runner_verdict, 11> runner_verdict_names{{
@@ -57,20 +57,22 @@
 struct runner_answer
 {
     runner_verdict verdict = runner_verdict::unknown;
-    std::int64_t clock_ms = -1; ///< the runner's clock, -1 when it did not tell
+    std::int64_t clock_ms = -1; ///< the runner's clock in milliseconds; -1: not in the answer
 };
 
+/// Starts a run of a task.
 struct start_order
 {
-    std::string task;
-    std::int64_t run = 0;
-    std::string payload;
-    std::int64_t lease_until_ms = 0; ///< on the runner's clock, for all that runs there
+    std::string task;                ///< name of the task
+    std::int64_t run = 0;            ///< run number
+    std::string payload;             ///< opaque input of the task
+    std::int64_t lease_until_ms = 0; ///< end of the lease of all runs there, on the runner's clock
     std::int64_t fencing_token = 0;
-    std::string checkpoint; ///< to go on from, or empty
-    std::string ticket;     ///< of the advice service, or empty
+    std::string checkpoint; ///< checkpoint to resume from; empty: start from the beginning
+    std::string ticket;     ///< of the advice service; empty: none
 };
 
+/// Stops a run. The runner then refuses to start this run of the task or an earlier one.
 struct stop_order
 {
     std::string task;
@@ -78,33 +80,35 @@
     std::int64_t fencing_token = 0;
 };
 
-struct pace_order
+/// Limits the processor time of a run.
+struct throttle_order
 {
     std::string task;
     std::int64_t run = 0;
-    int percent = 100; ///< share of the time that the task may work
+    int cpu_percent = 100; ///< share of the time in which the task may run, 0 to 100
     std::int64_t fencing_token = 0;
 };
 
-/// Extends the lease of all that runs there, acknowledges ends, and looks.
+/// Extends the lease of all runs on the runner, acknowledges ends, and asks for a report.
 struct poll_order
 {
-    std::int64_t lease_until_ms = 0; ///< on the runner's clock; 0: does not extend
+    std::int64_t lease_until_ms = 0; ///< on the runner's clock; 0: the lease is not extended
     std::int64_t fencing_token = 0;
-    std::int64_t acknowledged_through = 0;
-    core::millis wait{0}; ///< for an end, when none is there
-    /// This node makes the call itself: a relay may be what is late.
+    std::int64_t acknowledged_through = 0; ///< reported ends up to this number are stored
+    core::millis wait{0}; ///< how long the runner waits for an end when it has none to report
+    /// This node sends the call itself, since a slow relay may be the cause of a missing answer.
     bool direct = false;
 };
 
+/// Why a run ended.
 enum class run_end
 {
     done,
     failed,
     stopped,
-    lease_lapsed,
+    lease_lapsed,  ///< the runner's lease expired
     member_ended,  ///< another member of its gang ended
-    members_absent ///< the other members of its gang did not come
+    members_absent ///< the other members of its gang did not start in time
 };
 
 inline constexpr core::name_table<run_end, 6> run_end_names{{
@@ -116,38 +120,41 @@
     {run_end::members_absent, "members_absent"},
 }};
 
+/// An active run, as its runner reports it.
 struct reported_run
 {
     std::string task;
     std::int64_t run = 0;
-    std::string checkpoint;
-    int percent = 0;         ///< of its work done; 100 for a long-running task that serves
-    std::int64_t figure = 0; ///< tail latency in ms of a serving task; else cpu in use
+    std::string checkpoint;       ///< newest checkpoint; empty: none
+    int progress_percent = 0;     ///< share of its work that is done; 100 for a task that serves
+    std::int64_t load_metric = 0; ///< serving task: tail latency in ms; other tasks: cpu in use
 };
 
+/// The end of a run, as its runner reports it until the end is acknowledged.
 struct reported_end
 {
-    std::int64_t number = 0; ///< rises within one life of the runner
+    std::int64_t number = 0; ///< increases within one incarnation of the runner
     std::string task;
     std::int64_t run = 0;
-    run_end how = run_end::stopped;
-    std::string checkpoint;
+    run_end outcome = run_end::stopped;
+    std::string checkpoint; ///< newest checkpoint; empty: none
 };
 
 struct poll_answer
 {
-    runner_answer call;
+    runner_answer call; ///< how the call ended; the other fields are valid only when it is done
     std::vector<reported_run> running;
-    std::vector<reported_end> ended; ///< not acknowledged yet
-    /// More ends may wait than are listed: a run that is in neither list may have ended.
-    bool ends_left_out = false;
+    std::vector<reported_end> ended; ///< ends that are not acknowledged yet
+    /// The runner may have more ends than it lists: a run that is in neither list may have ended.
+    bool ends_truncated = false;
 };
 
+/// Calls to a runner. Each reports its answer through the callback.
 struct runners
 {
     std::function<void(runner_ref, start_order, std::function<void(runner_answer)>)> start;
     std::function<void(runner_ref, stop_order, std::function<void(runner_answer)>)> stop;
-    std::function<void(runner_ref, pace_order, std::function<void(runner_answer)>)> pace;
+    std::function<void(runner_ref, throttle_order, std::function<void(runner_answer)>)> throttle;
     std::function<void(runner_ref, poll_order, std::function<void(poll_answer)>)> poll;
 };
 
--- a/libs/relay/include/relay/pool.hpp
+++ b/libs/relay/include/relay/pool.hpp
@@ -91,7 +91,7 @@
 
     /// The nodes that offer to relay. One that is no longer named is used for as long as its
     /// connection lives, for a record may lapse while the store is away.
-    void set_relays(std::vector<ports::relay_place> all);
+    void set_relays(std::vector<ports::relay_endpoint> all);
 
 private:
     std::shared_ptr<pool_state> state_;
--- a/libs/relay/src/codec.cpp
+++ b/libs/relay/src/codec.cpp
@@ -64,12 +64,12 @@
     it.setRun(o.run);
 }
 
-void write_body(schema::Order::Builder out, const ports::pace_order& o)
+void write_body(schema::Order::Builder out, const ports::throttle_order& o)
 {
     auto it = out.initPace();
     it.setTask(to_data(o.task));
     it.setRun(o.run);
-    it.setPercent(o.percent);
+    it.setPercent(o.cpu_percent);
 }
 
 void write_body(schema::Order::Builder out, const ports::poll_order& o)
@@ -113,7 +113,7 @@
     case schema::Order::STOP:
         return ports::stop_order{to_text(it.getStop().getTask()), it.getStop().getRun(), token};
     case schema::Order::PACE:
-        return ports::pace_order{to_text(it.getPace().getTask()),
+        return ports::throttle_order{to_text(it.getPace().getTask()),
             it.getPace().getRun(),
             it.getPace().getPercent(),
             token};
@@ -132,8 +132,8 @@
         running[i].setTask(to_data(from.task));
         running[i].setRun(from.run);
         running[i].setCheckpoint(to_data(from.checkpoint));
-        running[i].setPercent(from.percent);
-        running[i].setFigure(from.figure);
+        running[i].setPercent(from.progress_percent);
+        running[i].setFigure(from.load_metric);
     }
     auto ended = out.initEnded(static_cast<unsigned>(a.ended.size()));
     for (unsigned i = 0; i < ended.size(); ++i)
@@ -142,10 +142,10 @@
         ended[i].setNumber(from.number);
         ended[i].setTask(to_data(from.task));
         ended[i].setRun(from.run);
-        ended[i].setHow(static_cast<std::uint16_t>(from.how));
+        ended[i].setHow(static_cast<std::uint16_t>(from.outcome));
         ended[i].setCheckpoint(to_data(from.checkpoint));
     }
-    out.setEndsAreAll(!a.ends_left_out);
+    out.setEndsAreAll(!a.ends_truncated);
 }
 
 poll_answer read_rows(schema::PollRows::Reader it, const ports::runner_answer& call)
@@ -168,7 +168,7 @@
             to_enum(row.getHow(), ports::run_end_names),
             to_text(row.getCheckpoint())});
     }
-    out.ends_left_out = !it.getEndsAreAll();
+    out.ends_truncated = !it.getEndsAreAll();
     return out;
 }
 
@@ -296,7 +296,7 @@
     {
         n += stop->task.size();
     }
-    else if (const auto* const pace = std::get_if<ports::pace_order>(&it.body))
+    else if (const auto* const pace = std::get_if<ports::throttle_order>(&it.body))
     {
         n += pace->task.size();
     }
--- a/libs/relay/src/messages.hpp
+++ b/libs/relay/src/messages.hpp
@@ -12,7 +12,7 @@
 {
 
 using order_body =
-    std::variant<ports::start_order, ports::stop_order, ports::pace_order, ports::poll_order>;
+    std::variant<ports::start_order, ports::stop_order, ports::throttle_order, ports::poll_order>;
 
 struct order
 {
--- a/libs/relay/src/pool.cpp
+++ b/libs/relay/src/pool.cpp
@@ -255,7 +255,8 @@
     }
     else
     {
-        parts.local.pace(o.to, std::get<ports::pace_order>(std::move(o.body)), std::move(done));
+        parts.local.throttle(
+            o.to, std::get<ports::throttle_order>(std::move(o.body)), std::move(done));
     }
 }
 
@@ -411,7 +412,7 @@
     state_->end();
 }
 
-void pool::set_relays(std::vector<ports::relay_place> all)
+void pool::set_relays(std::vector<ports::relay_endpoint> all)
 {
     state_->set_relays(std::move(all));
 }
--- a/libs/relay/src/pool_relays.cpp
+++ b/libs/relay/src/pool_relays.cpp
@@ -88,7 +88,7 @@
     parts.tel.gauge("camphorhitch_relayed_orders", {}, static_cast<double>(under_way.size()));
 }
 
-void pool_state::set_relays(std::vector<ports::relay_place> all)
+void pool_state::set_relays(std::vector<ports::relay_endpoint> all)
 {
     if (!active)
     {
--- a/libs/relay/src/pool_state.hpp
+++ b/libs/relay/src/pool_state.hpp
@@ -34,7 +34,7 @@
 
 struct relay_entry
 {
-    ports::relay_place place;
+    ports::relay_endpoint place;
     relay_state state = relay_state::idle;
     bool listed = true;
     bool leaving = false; ///< asked for no new orders
@@ -137,7 +137,7 @@
     void report_counts(const char* way, verdict_counts& counts) const;
 
     // pool_relays.cpp
-    void set_relays(std::vector<ports::relay_place> all);
+    void set_relays(std::vector<ports::relay_endpoint> all);
     void tick();
     void connect_due();
     void connect(relay_entry& r);
--- a/libs/relay/src/route_table.cpp
+++ b/libs/relay/src/route_table.cpp
@@ -58,7 +58,7 @@
     return out;
 }
 
-bool has_relay(const route_table& t, const ports::relay_place& place)
+bool has_relay(const route_table& t, const ports::relay_endpoint& place)
 {
     const auto zone = t.relays.find(place.zone);
     if (zone == t.relays.end())
@@ -66,22 +66,22 @@
         return false;
     }
     const auto found = zone->second.find(place.member);
-    return found != zone->second.end() && found->second == place.share;
+    return found != zone->second.end() && found->second == place.cpu_share;
 }
 
 } // namespace
 
-void add_relay(route_table& t, const ports::relay_place& place)
+void add_relay(route_table& t, const ports::relay_endpoint& place)
 {
     if (has_relay(t, place))
     {
         return;
     }
     remove_relay(t, place.member);
-    t.relays[place.zone][place.member] = place.share;
+    t.relays[place.zone][place.member] = place.cpu_share;
     for (auto& [runner, r] : t.routes)
     {
-        consider(t, r, runner, place.zone, place.member, place.share);
+        consider(t, r, runner, place.zone, place.member, place.cpu_share);
     }
 }
 
--- a/libs/relay/src/route_table.hpp
+++ b/libs/relay/src/route_table.hpp
@@ -38,7 +38,7 @@
 };
 
 /// The relay takes orders from now on, or has another zone or share than before.
-void add_relay(route_table& t, const ports::relay_place& place);
+void add_relay(route_table& t, const ports::relay_endpoint& place);
 
 /// The relay takes no orders any more. Its runners are given to others when they are next asked
 /// for.
--- a/libs/relay/src/server.cpp
+++ b/libs/relay/src/server.cpp
@@ -156,9 +156,9 @@
     {
         parts.runners.stop(o.to, *stop, done);
     }
-    else if (const auto* const pace = std::get_if<ports::pace_order>(&o.body))
+    else if (const auto* const pace = std::get_if<ports::throttle_order>(&o.body))
     {
-        parts.runners.pace(o.to, *pace, done);
+        parts.runners.throttle(o.to, *pace, done);
     }
     else
     {
--- a/libs/relay/tests/codec_tests.cpp
+++ b/libs/relay/tests/codec_tests.cpp
@@ -19,7 +19,8 @@
         {"i-1", "10.0.0.1:80", {}},
         ports::start_order{"j.0.1.2", 7, binary, 486000, 99, "saved", "ticket"}});
     out.orders.push_back({2, {"i-2", "10.0.0.2:80", {}}, ports::stop_order{"j.0.1.3", 8, 99}});
-    out.orders.push_back({3, {"i-3", "10.0.0.3:80", {}}, ports::pace_order{"j.0.1.4", 9, 40, 99}});
+    out.orders.push_back(
+        {3, {"i-3", "10.0.0.3:80", {}}, ports::throttle_order{"j.0.1.4", 9, 40, 99}});
     out.orders.push_back(
         {4, {"i-4", "10.0.0.4:80", {}}, ports::poll_order{486000, 99, 57, core::millis{1000}}});
     return out;
@@ -60,7 +61,7 @@
     STRCMP_EQUAL("ticket", start.ticket.c_str());
     CHECK_EQUAL(8, std::get<ports::stop_order>(got[1].body).run);
     CHECK_EQUAL(99, std::get<ports::stop_order>(got[1].body).fencing_token);
-    CHECK_EQUAL(40, std::get<ports::pace_order>(got[2].body).percent);
+    CHECK_EQUAL(40, std::get<ports::throttle_order>(got[2].body).cpu_percent);
     const auto& poll = std::get<ports::poll_order>(got[3].body);
     CHECK_EQUAL(57, poll.acknowledged_through);
     CHECK_EQUAL(486000, poll.lease_until_ms);
@@ -80,11 +81,11 @@
     CHECK(poll.call.verdict == ports::runner_verdict::done);
     CHECK_EQUAL(482114, poll.call.clock_ms);
     CHECK(poll.running[0].checkpoint == binary);
-    CHECK_EQUAL(41, poll.running[0].percent);
-    CHECK_EQUAL(-3, poll.running[0].figure);
-    CHECK(poll.ended[0].how == ports::run_end::members_absent);
+    CHECK_EQUAL(41, poll.running[0].progress_percent);
+    CHECK_EQUAL(-3, poll.running[0].load_metric);
+    CHECK(poll.ended[0].outcome == ports::run_end::members_absent);
     CHECK_EQUAL(58, poll.ended[0].number);
-    CHECK_FALSE(poll.ends_left_out);
+    CHECK_FALSE(poll.ends_truncated);
 }
 
 // Taken for a whole list, it would make a run whose end is left out look missing, and its task
@@ -95,11 +96,11 @@
     {
         ports::poll_answer poll;
         poll.call = {ports::runner_verdict::done, 1};
-        poll.ends_left_out = left_out;
+        poll.ends_truncated = left_out;
         answer_batch batch;
         batch.answers.push_back({1, poll});
         const auto got = core::value(decode_answers(encode(batch)));
-        CHECK(std::get<ports::poll_answer>(got.answers[0].body).ends_left_out == left_out);
+        CHECK(std::get<ports::poll_answer>(got.answers[0].body).ends_truncated == left_out);
     }
 }
 
@@ -119,7 +120,7 @@
         out.answers.push_back({1, poll});
         const auto read = decode_answers(encode(out));
         const auto& got = std::get<ports::poll_answer>(core::value(read).answers[0].body);
-        CHECK(got.ended[0].how == it.value);
+        CHECK(got.ended[0].outcome == it.value);
     }
 }
 
--- a/libs/relay/tests/fixture.hpp
+++ b/libs/relay/tests/fixture.hpp
@@ -113,7 +113,7 @@
         ports::runners out;
         out.start = order("start");
         out.stop = order("stop");
-        out.pace = order("pace");
+        out.throttle = order("pace");
         out.poll = [this](const ports::runner_ref& to, const ports::poll_order&, auto done)
         {
             seen.push_back("poll " + to.id);
@@ -155,7 +155,7 @@
         port = made->port();
     }
 
-    ports::relay_place place(double share = 1) const
+    ports::relay_endpoint place(double share = 1) const
     {
         return {member, http_fakes::loopback(port), zone, share};
     }
@@ -199,9 +199,9 @@
         return relays.emplace_back(member, zone);
     }
 
-    std::vector<ports::relay_place> places() const
+    std::vector<ports::relay_endpoint> places() const
     {
-        std::vector<ports::relay_place> out;
+        std::vector<ports::relay_endpoint> out;
         for (const auto& it : relays)
         {
             out.push_back(it.place());
--- a/libs/relay/tests/pool_tests.cpp
+++ b/libs/relay/tests/pool_tests.cpp
@@ -92,7 +92,7 @@
         more += it.verdict == runner_verdict::done ? 1 : 0;
     };
     b.port.stop({"i-1", "10.0.0.1:80", "z"}, {"t", 1, 1}, done);
-    b.port.pace({"i-1", "10.0.0.1:80", "z"}, {"t", 1, 50, 1}, done);
+    b.port.throttle({"i-1", "10.0.0.1:80", "z"}, {"t", 1, 50, 1}, done);
     CHECK(b.until([&] { return more == 2; }));
     CHECK(b.local.seen.empty());
 }
--- a/libs/relay/tests/route_table_tests.cpp
+++ b/libs/relay/tests/route_table_tests.cpp
@@ -17,7 +17,7 @@
     return "z" + std::to_string(i % zones);
 }
 
-ports::relay_place relay_of(int i, double share = 0.25)
+ports::relay_endpoint relay_of(int i, double share = 0.25)
 {
     return {"n" + std::to_string(i), "10.0.0.1:7400", zone_of(i), share};
 }
--- a/libs/workflow/include/workflow/documents.hpp
+++ b/libs/workflow/include/workflow/documents.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Jobs as operators write them: one JSON object, whose keys docs/operators/hosted.md lists.
+/// Jobs as operators write them: one JSON object. docs/operators/hosted.md lists its keys.
 #pragma once
 
 #include "core/findings.hpp"
@@ -12,7 +12,8 @@
 namespace camphorhitch::workflow
 {
 
-/// What a caller of the product's own interface says of a job; the rest comes from its queue.
+/// The part of a job that is submitted through the product's own interface. The job takes its
+/// remaining fields from the queue.
 struct job_request
 {
     std::string id;
@@ -23,7 +24,7 @@
 };
 
 /// \param name the document's name in findings
-/// \return the request, or all that is wrong with it, each with its place.
+/// \return the request, or everything that is wrong with it, each with its place.
 std::variant<job_request, core::findings> read_request(
     const std::string& text, const std::string& name);
 
--- a/libs/workflow/src/checks.cpp
+++ b/libs/workflow/src/checks.cpp
@@ -8,89 +8,91 @@
 namespace
 {
 
-void add(core::findings& all, const std::string& pointer, std::string text)
+void add_finding(core::findings& all, const std::string& pointer, std::string text)
 {
     all.push_back({{"job", pointer, 0, 0}, std::move(text), {}});
 }
 
-void check_after(const step& s, int number, const std::string& at, core::findings& all)
+void check_dependencies(
+    const step& s, int step_index, const std::string& pointer, core::findings& all)
 {
-    for (std::size_t i = 0; i < s.after.size(); ++i)
+    for (std::size_t i = 0; i < s.depends_on.size(); ++i)
     {
-        const int before = s.after[i];
-        const auto place = at + "/after/" + std::to_string(i);
-        if (before == number)
+        const int dependency = s.depends_on[i];
+        const auto entry = pointer + "/after/" + std::to_string(i);
+        if (dependency == step_index)
         {
-            add(all, place, "step " + std::to_string(number) + " waits for itself");
+            add_finding(all, entry, "step " + std::to_string(step_index) + " waits for itself");
         }
-        else if (before < 0 || before > number)
+        else if (dependency < 0 || dependency > step_index)
         {
-            add(all, place, "step " + std::to_string(before) + " is not an earlier step");
+            add_finding(
+                all, entry, "step " + std::to_string(dependency) + " is not an earlier step");
         }
     }
 }
 
-void check_step(const step& s, int number, core::findings& all)
+void check_step(const step& s, int step_index, core::findings& all)
 {
-    const auto at = "/steps/" + std::to_string(number);
+    const auto pointer = "/steps/" + std::to_string(step_index);
     if (s.tasks < 1)
     {
-        add(all, at, "a step has at least 1 task");
+        add_finding(all, pointer, "a step has at least 1 task");
     }
     if (s.need.cpu < 0 || s.need.memory_mb < 0 || s.need.gpus < 0)
     {
-        add(all, at, "what a task needs can't be negative");
+        add_finding(all, pointer, "the resources of a task must not be negative");
     }
-    if (s.estimate < core::millis{0} || s.tail_target < core::millis{0})
+    if (s.estimated_run_time < core::millis{0} || s.tail_latency_target < core::millis{0})
     {
-        add(all, at, "a duration can't be negative");
+        add_finding(all, pointer, "a duration must not be negative");
     }
-    if (s.most_per_host < 0 || s.may_be_away < 0)
+    if (s.max_per_host < 0 || s.max_unavailable < 0)
     {
-        add(all, at, "a bound on tasks can't be negative");
+        add_finding(all, pointer, "a bound on tasks must not be negative");
     }
-    check_after(s, number, at, all);
+    check_dependencies(s, step_index, pointer, all);
 }
 
 void check_schedule(const job& j, core::findings& all)
 {
     if (j.timing.occurrences < 0)
     {
-        add(all, "", "a job can't occur less than 0 times");
+        add_finding(all, "", "the number of occurrences must not be negative");
     }
     if (j.timing.interval_ms < 0)
     {
-        add(all, "", "the time between occurrences can't be negative");
+        add_finding(all, "", "the interval between occurrences must not be negative");
     }
-    // In whole milliseconds; the time of the last occurrence must fit 64 bits with room for sums.
-    constexpr std::int64_t latest = std::int64_t{1} << 53;
-    const std::int64_t times = std::max(j.timing.occurrences, 1);
-    if (j.timing.first_unix_ms < 0 || j.timing.first_unix_ms > latest ||
-        j.timing.interval_ms > latest / times)
+    // The time of the last occurrence, in milliseconds, must fit into 64 bits with a margin for
+    // sums.
+    constexpr std::int64_t max_ms = std::int64_t{1} << 53;
+    const std::int64_t count = std::max(j.timing.occurrences, 1);
+    if (j.timing.first_unix_ms < 0 || j.timing.first_unix_ms > max_ms ||
+        j.timing.interval_ms > max_ms / count)
     {
-        add(all, "", "the last occurrence is too far in the future");
+        add_finding(all, "", "the last occurrence is too far in the future");
     }
 }
 
 } // namespace
 
-core::findings check_job(const job& j, const job_bounds& most)
+core::findings check_job(const job& j, const job_bounds& bounds)
 {
     core::findings all;
-    if (j.payload.size() > most.payload_bytes)
+    if (j.payload.size() > bounds.payload_bytes)
     {
-        add(all,
+        add_finding(all,
             "",
-            "the text for the tasks is longer than " + std::to_string(most.payload_bytes) +
-                " bytes");
+            "the payload is longer than " + std::to_string(bounds.payload_bytes) + " bytes");
     }
     if (j.steps.empty())
     {
-        add(all, "/steps", "a job has at least 1 step");
+        add_finding(all, "/steps", "a job has at least 1 step");
     }
-    if (j.steps.size() > most.steps)
+    if (j.steps.size() > bounds.steps)
     {
-        add(all, "/steps", "more than " + std::to_string(most.steps) + " steps");
+        add_finding(all, "/steps", "more than " + std::to_string(bounds.steps) + " steps");
         return all;
     }
     for (std::size_t i = 0; i < j.steps.size(); ++i)
@@ -99,9 +101,9 @@
     }
     check_schedule(j, all);
     if (all.empty() &&
-        tasks_per_occurrence(j) * static_cast<std::size_t>(occurrences_of(j)) > most.tasks)
+        tasks_per_occurrence(j) * static_cast<std::size_t>(occurrence_count(j)) > bounds.tasks)
     {
-        add(all, "/steps", "more than " + std::to_string(most.tasks) + " tasks");
+        add_finding(all, "/steps", "more than " + std::to_string(bounds.tasks) + " tasks");
     }
     return all;
 }
--- a/libs/workflow/src/model.cpp
+++ b/libs/workflow/src/model.cpp
@@ -15,7 +15,7 @@
     return n;
 }
 
-std::size_t task_place(const job& j, int occurrence, int step, int index)
+std::size_t task_index(const job& j, int occurrence, int step, int index)
 {
     std::size_t n = tasks_per_occurrence(j) * static_cast<std::size_t>(occurrence);
     for (int i = 0; i < step; ++i)
@@ -25,10 +25,10 @@
     return n + static_cast<std::size_t>(index);
 }
 
-task_name name_of_task(const job& j, std::size_t place)
+task_name name_of_task(const job& j, std::size_t index)
 {
     const auto each = tasks_per_occurrence(j);
-    task_name out{j.id, static_cast<int>(place / each), 0, static_cast<int>(place % each)};
+    task_name out{j.id, static_cast<int>(index / each), 0, static_cast<int>(index % each)};
     while (out.index >= j.steps[static_cast<std::size_t>(out.step)].tasks)
     {
         out.index -= j.steps[static_cast<std::size_t>(out.step)].tasks;
@@ -39,7 +39,7 @@
 
 bool has_task(const job& j, const task_name& name)
 {
-    if (name.occurrence < 0 || name.occurrence >= occurrences_of(j) || name.step < 0 ||
+    if (name.occurrence < 0 || name.occurrence >= occurrence_count(j) || name.step < 0 ||
         name.step >= static_cast<int>(j.steps.size()))
     {
         return false;
@@ -47,18 +47,18 @@
     return name.index >= 0 && name.index < j.steps[static_cast<std::size_t>(name.step)].tasks;
 }
 
-core::millis longest_chain(const std::vector<step>& steps)
+core::millis critical_path(const std::vector<step>& steps)
 {
     std::vector<core::millis> ends(steps.size(), core::millis{0});
     core::millis longest{0};
     for (std::size_t i = 0; i < steps.size(); ++i)
     {
-        core::millis begin{0};
-        for (const int before : steps[i].after)
+        core::millis start{0};
+        for (const int dependency : steps[i].depends_on)
         {
-            begin = std::max(begin, ends[static_cast<std::size_t>(before)]);
+            start = std::max(start, ends[static_cast<std::size_t>(dependency)]);
         }
-        ends[i] = begin + steps[i].estimate;
+        ends[i] = start + steps[i].estimated_run_time;
         longest = std::max(longest, ends[i]);
     }
     return longest;
--- a/libs/workflow/src/records.cpp
+++ b/libs/workflow/src/records.cpp
@@ -18,7 +18,7 @@
 using nlohmann::json;
 
 template <class T>
-void put(json& to, const char* key, const T& v)
+void put_if_set(json& to, const char* key, const T& v)
 {
     if (v != T{})
     {
@@ -27,7 +27,7 @@
 }
 
 template <class T>
-void get(const json& from, const char* key, T& out)
+void get_if_present(const json& from, const char* key, T& out)
 {
     if (const auto it = from.find(key); it != from.end())
     {
@@ -35,89 +35,89 @@
     }
 }
 
-core::error damaged(const std::string& what, const std::string& why)
+core::error damaged_text(const std::string& what, const std::string& why)
 {
     return {core::error_code::invalid, "damaged " + what + ": " + why};
 }
 
-/// Payloads are any text that a caller sent; what is not UTF-8 was refused at the door.
+/// Payloads are arbitrary texts from callers; those that are not UTF-8 were refused on submission.
 std::string to_text(const json& from)
 {
     return from.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-/// Times of day in milliseconds; far below what the clocks' nanoseconds hold.
-constexpr std::int64_t latest_unix_ms = std::int64_t{100} * 365 * 24 * 3600 * 1000;
+/// Bound on a wall time in milliseconds, far below the range of the clocks' 64-bit nanoseconds.
+constexpr std::int64_t max_unix_ms = std::int64_t{100} * 365 * 24 * 3600 * 1000;
 
-/// \return a whole number from 0 to \p most. Throws else: converted, a number that does not fit
-/// would become any other.
-std::int64_t whole(const json& it, std::int64_t most)
+/// \return a whole number from 0 to \p maximum. Throws std::out_of_range for any other value, since
+/// the conversion of a number that does not fit would return an arbitrary one.
+std::int64_t read_whole_number(const json& it, std::int64_t maximum)
 {
-    if (!it.is_number_unsigned() || it.get<std::uint64_t>() > static_cast<std::uint64_t>(most))
+    if (!it.is_number_unsigned() || it.get<std::uint64_t>() > static_cast<std::uint64_t>(maximum))
     {
-        throw std::out_of_range{"no such number"};
+        throw std::out_of_range{"number out of range"};
     }
     return it.get<std::int64_t>();
 }
 
-/// \return when the job became final; 0 when that is left out.
-std::int64_t end_of(const json& from)
+/// \return the wall time in milliseconds at which the job became final; 0 when the key is missing.
+std::int64_t read_end_time(const json& from)
 {
     const auto it = from.find("ended_unix_ms");
-    return it == from.end() ? 0 : whole(*it, latest_unix_ms);
+    return it == from.end() ? 0 : read_whole_number(*it, max_unix_ms);
 }
 
-/// Numbers of runs begin anew above those of former terms; a term has a thousand.
-constexpr std::int64_t most_run = std::int64_t{1} << 53;
+/// Bound on a run number. Each term adds 1000 to the run numbers of a task.
+constexpr std::int64_t max_run_number = std::int64_t{1} << 53;
 
-json write_lost(const lost_run& it)
+json write_lost_run(const lost_run& it)
 {
     json out = json::object();
-    put(out, "run", it.run);
-    put(out, "host", it.host);
-    put(out, "machine", it.machine);
-    put(out, "ran", it.ran);
-    put(out, "certain", it.certain);
-    put(out, "sole", it.sole);
+    put_if_set(out, "run", it.run);
+    put_if_set(out, "host", it.host);
+    put_if_set(out, "machine", it.machine);
+    put_if_set(out, "ran", it.confirmed);
+    put_if_set(out, "certain", it.certain);
+    put_if_set(out, "sole", it.only_suspect);
     return out;
 }
 
-lost_run read_lost(const json& from)
+lost_run read_lost_run(const json& from)
 {
     lost_run out;
-    out.run = whole(from.at("run"), most_run);
-    get(from, "host", out.host);
-    get(from, "machine", out.machine);
-    get(from, "ran", out.ran);
-    get(from, "certain", out.certain);
-    get(from, "sole", out.sole);
+    out.run = read_whole_number(from.at("run"), max_run_number);
+    get_if_present(from, "host", out.host);
+    get_if_present(from, "machine", out.machine);
+    get_if_present(from, "ran", out.confirmed);
+    get_if_present(from, "certain", out.certain);
+    get_if_present(from, "sole", out.only_suspect);
     return out;
 }
 
-void read_all_lost(const json& from, std::vector<lost_run>& out)
+void read_lost_runs(const json& from, std::vector<lost_run>& out)
 {
     const auto& all = from.get_ref<const json::array_t&>();
-    if (all.size() > most_lost_runs)
+    if (all.size() > max_lost_runs)
     {
-        throw std::out_of_range{"too many lost runs"};
+        throw std::out_of_range{"more lost runs than the bound"};
     }
-    std::transform(all.begin(), all.end(), std::back_inserter(out), read_lost);
+    std::transform(all.begin(), all.end(), std::back_inserter(out), read_lost_run);
 }
 
-void set_task(job_progress& p, std::size_t place, const json& entry)
+void read_task_entry(job_progress& p, std::size_t index, const json& entry)
 {
-    auto& t = p.tasks.at(place);
+    auto& t = p.tasks.at(index);
     if (const auto runs = entry.find("failed_runs"); runs != entry.end())
     {
         for (const auto& it : runs->get_ref<const json::array_t&>())
         {
-            t.failed_runs.push_back(whole(it, most_run));
+            t.failed_runs.push_back(read_whole_number(it, max_run_number));
         }
     }
-    get(entry, "checkpoint", t.checkpoint);
+    get_if_present(entry, "checkpoint", t.checkpoint);
     if (const auto lost = entry.find("lost_runs"); lost != entry.end())
     {
-        read_all_lost(*lost, t.lost_runs);
+        read_lost_runs(*lost, t.lost_runs);
     }
 }
 
@@ -133,14 +133,14 @@
     auto read = checked_json::decode<job>(text, "job", checked_json::strictness::lenient);
     if (const auto* const found = std::get_if<core::findings>(&read))
     {
-        return damaged("job", core::to_text(*found));
+        return damaged_text("job", core::to_text(*found));
     }
-    // What callers send is checked as well; a record that others wrote may name steps and tasks
-    // that there are not.
+    // Submitted jobs are checked too, but a record that was written by another program may refer to
+    // steps and tasks that do not exist.
     auto& j = std::get<job>(read);
     if (const auto wrong = check_job(j); !wrong.empty())
     {
-        return damaged("job", core::to_text(wrong));
+        return damaged_text("job", core::to_text(wrong));
     }
     return std::move(j);
 }
@@ -149,9 +149,9 @@
 {
     json out = json::object();
     out["state"] = std::string{core::name_of(job_state_names, p.state)};
-    put(out, "ended_unix_ms", p.ended_unix_ms);
+    put_if_set(out, "ended_unix_ms", p.ended_unix_ms);
     if (!is_final(p.state) &&
-        p.tasks.size() == tasks_per_occurrence(j) * static_cast<std::size_t>(occurrences_of(j)))
+        p.tasks.size() == tasks_per_occurrence(j) * static_cast<std::size_t>(occurrence_count(j)))
     {
         std::string done(p.tasks.size(), '0');
         json more = json::object();
@@ -160,13 +160,15 @@
             const auto& t = p.tasks[i];
             done[i] = t.done ? '1' : '0';
             json entry = json::object();
-            put(entry, "failed_runs", t.failed_runs);
-            put(entry, "checkpoint", t.done ? std::string{} : t.checkpoint);
+            put_if_set(entry, "failed_runs", t.failed_runs);
+            put_if_set(entry, "checkpoint", t.done ? std::string{} : t.checkpoint);
             if (!t.done && !t.lost_runs.empty())
             {
                 auto& lost = entry["lost_runs"] = json::array();
-                std::transform(
-                    t.lost_runs.begin(), t.lost_runs.end(), std::back_inserter(lost), write_lost);
+                std::transform(t.lost_runs.begin(),
+                    t.lost_runs.end(),
+                    std::back_inserter(lost),
+                    write_lost_run);
             }
             if (!entry.empty())
             {
@@ -174,7 +176,7 @@
             }
         }
         out["done"] = std::move(done);
-        put(out, "tasks", more);
+        put_if_set(out, "tasks", more);
     }
     return to_text(out);
 }
@@ -187,20 +189,21 @@
         const auto state = core::value_of(job_state_names, from.at("state").get<std::string>());
         if (!state)
         {
-            return damaged("progress", "no such state");
+            return damaged_text("progress", "unknown state");
         }
         job_progress p;
         p.state = *state;
-        p.ended_unix_ms = end_of(from);
-        p.tasks.resize(tasks_per_occurrence(j) * static_cast<std::size_t>(occurrences_of(j)));
+        p.ended_unix_ms = read_end_time(from);
+        p.tasks.resize(tasks_per_occurrence(j) * static_cast<std::size_t>(occurrence_count(j)));
         std::string done;
-        get(from, "done", done);
-        // Of an open job each task is told of: one that is done must not run again.
-        const bool whole_text =
+        get_if_present(from, "done", done);
+        // The progress of an open job must cover every task: a task that is done must not run
+        // again.
+        const bool complete =
             done.size() == p.tasks.size() && done.find_first_not_of("01") == std::string::npos;
-        if (!is_final(p.state) && !whole_text)
+        if (!is_final(p.state) && !complete)
         {
-            return damaged("progress", "not a digit for each task");
+            return damaged_text("progress", "the done digits do not match the number of tasks");
         }
         for (std::size_t i = 0; i < std::min(done.size(), p.tasks.size()); ++i)
         {
@@ -208,16 +211,16 @@
         }
         if (const auto more = from.find("tasks"); more != from.end())
         {
-            for (const auto& [place, entry] : more->items())
+            for (const auto& [index, entry] : more->items())
             {
-                set_task(p, std::stoul(place), entry);
+                read_task_entry(p, std::stoul(index), entry);
             }
         }
         return p;
     }
     catch (const std::exception& ec)
     {
-        return damaged("progress", ec.what());
+        return damaged_text("progress", ec.what());
     }
 }
 
@@ -229,15 +232,15 @@
         const auto state = core::value_of(job_state_names, from.at("state").get<std::string>());
         if (!state)
         {
-            return damaged("progress", "no such state");
+            return damaged_text("progress", "unknown state");
         }
         job_end out{*state, 0};
-        out.unix_ms = end_of(from);
+        out.unix_ms = read_end_time(from);
         return out;
     }
     catch (const std::exception& ec)
     {
-        return damaged("progress", ec.what());
+        return damaged_text("progress", ec.what());
     }
 }
 
@@ -261,23 +264,23 @@
 {
     task_name out;
     int* const numbers[] = {&out.index, &out.step, &out.occurrence};
-    std::string_view rest = text;
+    std::string_view remaining = text;
     for (int* const it : numbers)
     {
-        const auto dot = rest.rfind('.');
+        const auto dot = remaining.rfind('.');
         if (dot == std::string_view::npos)
         {
-            return damaged("task name", std::string{text});
+            return damaged_text("task name", std::string{text});
         }
-        const auto digits = rest.substr(dot + 1);
+        const auto digits = remaining.substr(dot + 1);
         const auto [end, ec] = std::from_chars(digits.data(), digits.data() + digits.size(), *it);
         if (ec != std::errc{} || end != digits.data() + digits.size() || *it < 0)
         {
-            return damaged("task name", std::string{text});
+            return damaged_text("task name", std::string{text});
         }
-        rest = rest.substr(0, dot);
+        remaining = remaining.substr(0, dot);
     }
-    out.job = std::string{rest};
+    out.job = std::string{remaining};
     return out;
 }
 
--- a/libs/workflow/tests/records_tests.cpp
+++ b/libs/workflow/tests/records_tests.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-job whole_job()
+job job_with_all_fields()
 {
     job j;
     j.id = "00ff";
@@ -18,44 +18,44 @@
     j.payload = "a \"text\" with \\ and \u00e9";
     j.accepted_unix_ms = 1700000000123;
     j.priority = 1;
-    j.most_attempts = 3;
+    j.max_attempts = 3;
     j.stretch = 1.6;
     j.slack = core::millis{600};
-    j.advised = true;
+    j.needs_advice = true;
     j.timing = {2, 1700000001000, 500};
     step s;
     s.tasks = 3;
     s.need = {1800, 4096, 1};
-    s.estimate = core::millis{900};
+    s.estimated_run_time = core::millis{900};
     s.checkpoints = true;
     s.required_label = "a";
-    s.near_rack = "r1-3";
-    s.most_per_host = 2;
+    s.preferred_rack = "r1-3";
+    s.max_per_host = 2;
     s.image = "img";
-    s.tail_target = core::millis{40};
-    s.may_be_away = 1;
+    s.tail_latency_target = core::millis{40};
+    s.max_unavailable = 1;
     j.steps.push_back(s);
-    s.after = {0};
+    s.depends_on = {0};
     s.gang = true;
-    s.one_rack = true;
+    s.prefers_one_rack = true;
     s.speculative = true;
     s.long_running = true;
-    s.fills = true;
+    s.best_effort = true;
     j.steps.push_back(s);
     return j;
 }
 
-job small_job(std::vector<step> steps)
+job job_of_steps(std::vector<step> steps)
 {
     job j;
     j.steps = std::move(steps);
     return j;
 }
 
-step step_after(std::vector<int> after)
+step step_depending_on(std::vector<int> after)
 {
     step s;
-    s.after = std::move(after);
+    s.depends_on = std::move(after);
     return s;
 }
 
@@ -63,21 +63,21 @@
 
 TEST_GROUP(workflow_records){};
 
-TEST(workflow_records, a_job_comes_back_as_it_was)
+TEST(workflow_records, job_round_trip_keeps_all_fields)
 {
-    const auto j = whole_job();
+    const auto j = job_with_all_fields();
     const auto text = write_job(j);
     const auto read = read_job(text);
     CHECK(core::is_ok(read));
     STRCMP_EQUAL(text.c_str(), write_job(core::value(read)).c_str());
     STRCMP_EQUAL(j.payload.c_str(), core::value(read).payload.c_str());
-    CHECK(core::value(read).steps[1].after == std::vector<int>{0});
+    CHECK(core::value(read).steps[1].depends_on == std::vector<int>{0});
     CHECK(core::value(read).steps[0].need == j.steps[0].need);
 }
 
-TEST(workflow_records, progress_comes_back_as_it_was)
+TEST(workflow_records, progress_round_trip_keeps_all_fields)
 {
-    const auto j = whole_job();
+    const auto j = job_with_all_fields();
     job_progress p;
     p.state = job_state::running;
     p.tasks.resize(12);
@@ -97,9 +97,9 @@
     STRCMP_EQUAL("c7", q.tasks[7].checkpoint.c_str());
 }
 
-TEST(workflow_records, damaged_texts_are_errors)
+TEST(workflow_records, damaged_texts_are_rejected)
 {
-    const auto j = whole_job();
+    const auto j = job_with_all_fields();
     for (const char* text :
         {"",
             "{",
@@ -132,7 +132,7 @@
     }
 }
 
-TEST(workflow_records, names_of_tasks)
+TEST(workflow_records, task_names_and_indices_round_trip)
 {
     const task_name name{"00ff", 2, 1, 17};
     STRCMP_EQUAL("00ff.2.1.17", write_task_name(name).c_str());
@@ -141,12 +141,12 @@
     {
         CHECK_FALSE(core::is_ok(read_task_name(text)));
     }
-    const auto j = whole_job();
+    const auto j = job_with_all_fields();
     for (std::size_t i = 0; i < 12; ++i)
     {
         const auto it = name_of_task(j, i);
         CHECK(has_task(j, it));
-        LONGS_EQUAL(i, task_place(j, it.occurrence, it.step, it.index));
+        LONGS_EQUAL(i, task_index(j, it.occurrence, it.step, it.index));
     }
     CHECK_FALSE(has_task(j, {"00ff", 2, 0, 0}));
     CHECK_FALSE(has_task(j, {"00ff", 0, 2, 0}));
@@ -155,7 +155,7 @@
 
 TEST_GROUP(workflow_checks){};
 
-TEST(workflow_checks, each_fault_is_found_with_its_place)
+TEST(workflow_checks, each_fault_is_reported_with_its_pointer)
 {
     struct row
     {
@@ -167,17 +167,21 @@
     none.tasks = 0;
     step negative;
     negative.need.cpu = -1;
-    auto large = small_job({step{}});
+    auto large = job_of_steps({step{}});
     large.payload = std::string(4001, 'x');
-    auto often = small_job({step{}});
+    auto often = job_of_steps({step{}});
     often.timing.occurrences = 30000;
     const row rows[] = {
-        {small_job({}), "/steps", "at least 1 step"},
-        {small_job({none}), "/steps/0", "at least 1 task"},
-        {small_job({negative}), "/steps/0", "negative"},
-        {small_job({step{}, step_after({1})}), "/steps/1/after/0", "waits for itself"},
-        {small_job({step{}, step_after({2}), step{}}), "/steps/1/after/0", "not an earlier step"},
-        {small_job({step{}, step_after({0, -1})}), "/steps/1/after/1", "not an earlier step"},
+        {job_of_steps({}), "/steps", "at least 1 step"},
+        {job_of_steps({none}), "/steps/0", "at least 1 task"},
+        {job_of_steps({negative}), "/steps/0", "negative"},
+        {job_of_steps({step{}, step_depending_on({1})}), "/steps/1/after/0", "waits for itself"},
+        {job_of_steps({step{}, step_depending_on({2}), step{}}),
+            "/steps/1/after/0",
+            "not an earlier step"},
+        {job_of_steps({step{}, step_depending_on({0, -1})}),
+            "/steps/1/after/1",
+            "not an earlier step"},
         {large, "", "longer than"},
         {often, "/steps", "more than 20000 tasks"},
     };
@@ -188,25 +192,25 @@
         STRCMP_EQUAL(it.pointer, found[0].where.pointer.c_str());
         STRCMP_CONTAINS(it.text, found[0].text.c_str());
     }
-    CHECK(check_job(whole_job()).empty());
+    CHECK(check_job(job_with_all_fields()).empty());
 }
 
 TEST(workflow_checks, all_faults_are_reported_together)
 {
     step s;
     s.tasks = 0;
-    s.after = {5};
-    LONGS_EQUAL(4, check_job(small_job({s, s})).size());
+    s.depends_on = {5};
+    LONGS_EQUAL(4, check_job(job_of_steps({s, s})).size());
 }
 
-TEST(workflow_checks, the_longest_chain_follows_the_graph)
+TEST(workflow_checks, critical_path_follows_dependencies)
 {
     auto a = step{};
-    a.estimate = core::millis{100};
-    auto b = step_after({0});
-    b.estimate = core::millis{50};
-    auto c = step_after({0, 1});
-    c.estimate = core::millis{10};
-    LONGS_EQUAL(160, longest_chain({a, b, c}).count());
-    LONGS_EQUAL(150, longest_chain({a, b, a}).count());
+    a.estimated_run_time = core::millis{100};
+    auto b = step_depending_on({0});
+    b.estimated_run_time = core::millis{50};
+    auto c = step_depending_on({0, 1});
+    c.estimated_run_time = core::millis{10};
+    LONGS_EQUAL(160, critical_path({a, b, c}).count());
+    LONGS_EQUAL(150, critical_path({a, b, a}).count());
 }
