--- a/programs/camphorhitchd/src/hosted_node.cpp
+++ b/programs/camphorhitchd/src/hosted_node.cpp
@@ -148,7 +148,7 @@
     ctx.runners = relays->port();
     registry = std::make_unique<hosted::relay_registry>(ctx,
         hosted::registry_settings{},
-        [this](std::vector<ports::relay_place> all)
+        [this](std::vector<ports::relay_endpoint> all)
         {
             best_other_share = hosted::best_share_but(all, settings.member);
             relays->set_relays(std::move(all));
--- a/programs/camphorhitchd/src/hosted_policy.cpp
+++ b/programs/camphorhitchd/src/hosted_policy.cpp
@@ -13,7 +13,7 @@
     coordinator::placement_policy out;
     out.hosts = p.fullest_first ? host_choice::fullest : host_choice::least_used;
     out.jobs = p.in_time_first ? job_order::in_time_first : job_order::first_come;
-    out.learns_times = p.learns_times;
+    out.uses_measured_run_times = p.learns_times;
     return out;
 }
 
--- a/programs/camphorhitchd/src/hosted_tables.cpp
+++ b/programs/camphorhitchd/src/hosted_tables.cpp
@@ -32,7 +32,7 @@
 std::int64_t all_tasks(const workflow::job& j)
 {
     return static_cast<std::int64_t>(workflow::tasks_per_occurrence(j)) *
-           workflow::occurrences_of(j);
+           workflow::occurrence_count(j);
 }
 
 language::row job_row(const hosted::stored_job& it, std::int64_t unix_ms)
@@ -67,7 +67,7 @@
             const auto name = workflow::name_of_task(j, i);
             done += name.step == static_cast<int>(s) && it.progress.tasks[i].done ? 1 : 0;
         }
-        const auto tasks = std::int64_t{j.steps[s].tasks} * workflow::occurrences_of(j);
+        const auto tasks = std::int64_t{j.steps[s].tasks} * workflow::occurrence_count(j);
         out += "step " + std::to_string(s) + ": " + std::to_string(done) + " of " +
                std::to_string(tasks) + " tasks stored as done\n";
     }
@@ -181,7 +181,7 @@
     if (const auto n = failed_runs(j.progress); n > 0)
     {
         out += std::to_string(n) + " runs failed; a task may fail " +
-               std::to_string(j.spec->most_attempts) + " times\n";
+               std::to_string(j.spec->max_attempts) + " times\n";
     }
     if (workflow::is_final(state))
     {
--- a/testing/day_sim/src/day.cpp
+++ b/testing/day_sim/src/day.cpp
@@ -160,7 +160,7 @@
         workflow::job j;
         j.queue = pools_[static_cast<std::size_t>(pool)].name;
         j.pool = j.queue;
-        j.most_attempts = 3;
+        j.max_attempts = 3;
         j.stretch = 1.6;
         j.slack = core::millis{600};
         const double seconds = std::chrono::duration<double>(shape_.task_time).count();
@@ -172,11 +172,11 @@
             workflow::step s;
             s.tasks = tasks_per_step;
             s.need = {static_cast<std::int64_t>(cores * 1000), 1024, 0};
-            s.estimate = shape_.task_time;
+            s.estimated_run_time = shape_.task_time;
             s.image = j.pool + "-" + std::to_string(random_() % 3);
             if (i > 0)
             {
-                s.after = {i - 1};
+                s.depends_on = {i - 1};
             }
             j.steps.push_back(s);
         }
@@ -192,7 +192,7 @@
                 ? found->second
                 : factors_.emplace(s.image, uniform(1, shape_.time_factor)).first->second;
         return core::millis{
-            static_cast<std::int64_t>(static_cast<double>(s.estimate.count()) * factor)};
+            static_cast<std::int64_t>(static_cast<double>(s.estimated_run_time.count()) * factor)};
     }
 
     core::millis objective(const workflow::job& j)
@@ -200,9 +200,9 @@
         auto steps = j.steps;
         for (auto& it : steps)
         {
-            it.estimate = real_time(it);
+            it.estimated_run_time = real_time(it);
         }
-        const auto chain = static_cast<double>(workflow::longest_chain(steps).count());
+        const auto chain = static_cast<double>(workflow::critical_path(steps).count());
         return core::millis{static_cast<std::int64_t>(chain * j.stretch)} + j.slack;
     }
 
@@ -241,7 +241,7 @@
             double work = 0;
             for (const auto& s : it.spec.steps)
             {
-                const auto time = coordinator::expected_time(fleet_.learnt, s);
+                const auto time = coordinator::expected_time(fleet_.run_time_estimates, s);
                 work += static_cast<double>(s.need.cpu * s.tasks) / 1000 *
                         std::chrono::duration<double>(time).count();
             }
@@ -313,17 +313,17 @@
         coordinator::poll_answered(fleet_, m.runner, now_, a, now_, events_);
         auto& h = fleet_.hosts.at(m.runner);
         h.recorded = true;
-        h.stored_end = h.seen_end;
+        h.last_stored_end = h.last_applied_end;
         count_finished();
     }
 
     void count_finished()
     {
-        for (const auto& id : std::exchange(fleet_.dirty, {}))
+        for (const auto& id : std::exchange(fleet_.dirty_jobs, {}))
         {
             auto& j = *fleet_.jobs.at(id);
             j.dirty = false;
-            j.losses_stored = j.losses_noted;
+            j.losses_stored = j.losses_recorded;
             if (j.state == workflow::job_state::completed)
             {
                 ++(now_ <= due_.at(id) ? result_.in_time : result_.late);
--- a/testing/hosted_fakes/include/hosted_fakes/cluster.hpp
+++ b/testing/hosted_fakes/include/hosted_fakes/cluster.hpp
@@ -144,17 +144,17 @@
         j.id = id;
         j.queue = "q";
         j.pool = "p";
-        j.most_attempts = 3;
+        j.max_attempts = 3;
         j.accepted_unix_ms = core::to_unix_ms(time.wall_now());
         for (int i = 0; i < steps; ++i)
         {
             workflow::step s;
             s.tasks = tasks;
             s.need.cpu = 1000;
-            s.estimate = 400ms;
+            s.estimated_run_time = 400ms;
             if (i > 0)
             {
-                s.after = {i - 1};
+                s.depends_on = {i - 1};
             }
             j.steps.push_back(s);
         }
@@ -165,7 +165,7 @@
     workflow::job make_job_on_each(const std::string& id, int hosts) const
     {
         auto j = make_job(id, hosts);
-        j.steps[0].most_per_host = 1;
+        j.steps[0].max_per_host = 1;
         return j;
     }
 
--- a/testing/hosted_fakes/include/hosted_fakes/relays.hpp
+++ b/testing/hosted_fakes/include/hosted_fakes/relays.hpp
@@ -119,7 +119,7 @@
     ports::runners out;
     out.start = order<ports::runner_answer>(&ports::runners::start);
     out.stop = order<ports::runner_answer>(&ports::runners::stop);
-    out.pace = order<ports::runner_answer>(&ports::runners::pace);
+    out.throttle = order<ports::runner_answer>(&ports::runners::throttle);
     out.poll = order<ports::poll_answer>(&ports::runners::poll);
     return out;
 }
--- a/testing/hosted_fakes/src/host_crashes.cpp
+++ b/testing/hosted_fakes/src/host_crashes.cpp
@@ -92,10 +92,10 @@
         }
         bool cause = false;
         const auto tasks = workflow::tasks_per_occurrence(j);
-        for (std::size_t i = 0; i < tasks * static_cast<std::size_t>(occurrences_of(j)); ++i)
+        for (std::size_t i = 0; i < tasks * static_cast<std::size_t>(occurrence_count(j)); ++i)
         {
             const auto task = workflow::write_task_name(workflow::name_of_task(j, i));
-            cause = cause || count_of(ended_failed_, task) >= j.most_attempts ||
+            cause = cause || count_of(ended_failed_, task) >= j.max_attempts ||
                     count_of(crashed_, task) >= crashes_to_fail;
         }
         if (!cause)
--- a/testing/hosted_fakes/src/hosts.cpp
+++ b/testing/hosted_fakes/src/hosts.cpp
@@ -230,7 +230,7 @@
         breach("starts after its end was taken note of: " + o.task);
     }
     check_told(o.task);
-    for (const int before : s.after)
+    for (const int before : s.depends_on)
     {
         for (int i = 0; i < job->second.steps[static_cast<std::size_t>(before)].tasks; ++i)
         {
@@ -253,7 +253,7 @@
     {
         breach("over its room: " + h.machine + " with " + o.task);
     }
-    if (failures_[o.task] >= job->second.most_attempts && !s.long_running)
+    if (failures_[o.task] >= job->second.max_attempts && !s.long_running)
     {
         breach("over its budget of attempts: " + o.task);
     }
@@ -403,11 +403,11 @@
         out.running.push_back({task, run.number, {}, whole, 0});
     }
     const auto listed = std::min(h.ends.size(), most_ends_listed);
-    out.ends_left_out = listed == most_ends_listed;
+    out.ends_truncated = listed == most_ends_listed;
     out.ended.assign(h.ends.begin(), h.ends.begin() + static_cast<std::ptrdiff_t>(listed));
     for (const auto& it : out.ended)
     {
-        if (it.how == run_end::done)
+        if (it.outcome == run_end::done)
         {
             told_.try_emplace(it.task, time_.now());
         }
@@ -441,11 +441,11 @@
         {
             continue;
         }
-        if (it.how == run_end::done && it.number > h.void_through)
+        if (it.outcome == run_end::done && it.number > h.void_through)
         {
             take_note(h, it);
         }
-        failures_[it.task] += it.how == run_end::failed ? 1 : 0;
+        failures_[it.task] += it.outcome == run_end::failed ? 1 : 0;
     }
     std::erase_if(h.ends, [&](const auto& it) { return it.number <= o.acknowledged_through; });
     if (o.lease_until_ms > 0)
@@ -553,9 +553,9 @@
         call<ports::runner_answer>(
             p, to, true, [this, o](fake_host& h) { return stop(h, o); }, done);
     };
-    out.pace = [](const ports::runner_ref&,
-                   const ports::pace_order&,
-                   const std::function<void(ports::runner_answer)>& done)
+    out.throttle = [](const ports::runner_ref&,
+                       const ports::throttle_order&,
+                       const std::function<void(ports::runner_answer)>& done)
     {
         done({runner_verdict::done, -1});
     };
--- a/testing/hosted_fakes/src/store.cpp
+++ b/testing/hosted_fakes/src/store.cpp
@@ -229,7 +229,7 @@
     if (w.after < compacted_)
     {
         read.status = kv_status::rejected;
-        read.history_lost = true;
+        read.change_log_truncated = true;
         w.answer(read);
         return true;
     }
