--- a/libs/coordinator/include/coordinator/fleet.hpp
+++ b/libs/coordinator/include/coordinator/fleet.hpp
@@ -135,8 +135,8 @@
     ports::revision stored_revision = 0;   ///< store revision of the stored progress; 0: none
     core::mono_time added_at;       ///< when the coordinator first read the job; zero: unknown
     std::int64_t ended_unix_ms = 0; ///< wall time at which its end was first stored; 0: not yet
-    std::vector<task_entry>
-        tasks; ///< by workflow::task_index(); empty once it is final, stored and idle
+    /// By workflow::task_index(); empty when the final state is stored and no run is left.
+    std::vector<task_entry> tasks;
     std::vector<step_entry> steps; ///< by occurrence and step
     /// By the index in steps; only for jobs that need advice.
     std::map<std::size_t, step_advice> advice;
--- a/libs/ports/include/ports/peer.hpp
+++ b/libs/ports/include/ports/peer.hpp
@@ -58,7 +58,7 @@
     core::millis time_left{0};      ///< until the deadline of the request
     core::millis expected{0};       ///< expected run time; 0: unknown
     std::vector<std::string> avoid; ///< hosts on which this request has already failed
-    bool retry = false;             ///< an earlier attempt was sent
+    bool retry = false;             ///< an earlier attempt was made
 };
 
 enum class permit_verdict : std::uint8_t
@@ -77,8 +77,7 @@
     std::string address; ///< of the target, "ip:port"
     std::string reason;  ///< name of the rule that decided
     core::millis retry_after{0};
-    core::millis waited{
-        0}; ///< time from the request's arrival at the owner to the grant, rounded down
+    core::millis waited{0}; ///< from the request's arrival at the owner to the grant, rounded down
 };
 
 enum class permit_outcome : std::uint8_t
@@ -107,7 +106,7 @@
     std::string pool;
     std::string host;
     std::uint64_t request = 0;
-    core::millis age{0}; ///< time since the permit was granted
+    core::millis age{0}; ///< time since the request was sent
 };
 
 struct held_query
@@ -121,7 +120,7 @@
 {
     /// Epoch that the replier has adopted. From then on it refuses permits of earlier owners.
     epoch_number epoch = 0;
-    std::string member;      ///< the replier; another process may answer at its address
+    std::string member;      ///< id of the replier, to detect another process at its address
     std::string incarnation; ///< incarnation of the replier
     std::vector<held_permit> permits;
 };
@@ -147,10 +146,10 @@
     int status = 0;      ///< HTTP status of the remembered answer
     std::vector<std::pair<std::string, std::string>> fields;
     std::string body;
-    bool answer_kept = false; ///< false: the answer was too large to keep
-    epoch_number epoch = 0;   ///< epoch in which the first holder last changed the entry
-    std::uint64_t sequence =
-        0; ///< counts that holder's changes; the higher (epoch, sequence) is newer
+    bool answer_kept = false;   ///< false: the answer was too large to keep
+    epoch_number epoch = 0;     ///< epoch in which the first holder last changed the entry
+    std::uint64_t sequence = 0; ///< counts that holder's changes; a newer entry has a higher
+                                ///< (epoch, sequence)
 };
 
 struct claim_request
@@ -225,7 +224,7 @@
 struct slot_pull_reply
 {
     bool adopted = false;    ///< the replier has adopted the epoch; false: the reply is void
-    std::string member;      ///< the replier; another process may answer at its address
+    std::string member;      ///< id of the replier, to detect another process at its address
     std::string incarnation; ///< incarnation of the replier
     std::vector<slot_state> slots;
 };
--- a/libs/ports/include/ports/runners.hpp
+++ b/libs/ports/include/ports/runners.hpp
@@ -35,7 +35,7 @@
     bad_ticket, ///< the ticket is missing or has expired
     unhealthy,  ///< the runner did nothing; a repeat may succeed later
     malformed,  ///< the runner could not parse the call
-    other_life, ///< another incarnation answers at the address; the addressed one is gone from it
+    other_life, ///< another incarnation answers there; the addressed one has lost its address
     not_sent,   ///< no byte of the call left this process
     unknown     ///< the call may have been carried out, or may be seconds later
 };
--- a/libs/workflow/include/workflow/model.hpp
+++ b/libs/workflow/include/workflow/model.hpp
@@ -43,8 +43,9 @@
     int max_per_host = 0;                ///< tasks of this step on one host; 0: unbounded
     std::string image;                   ///< program of the tasks; equal images behave alike
     core::millis tail_latency_target{0}; ///< bound for a serving task; 0: the task does not serve
-    int max_unavailable =
-        0; ///< tasks of a long-running step that may be stopped at the same time; 0: unbounded
+    /// Tasks of a long-running step that the coordinator may keep stopped at the same time; 0:
+    /// unbounded.
+    int max_unavailable = 0;
 };
 
 /// Occurrences of a scheduled job; a job without a schedule has one, which is due at once.
