--- a/libs/relay/include/relay/pool.hpp
+++ b/libs/relay/include/relay/pool.hpp
@@ -1,9 +1,9 @@
 /// \file
-/// The coordinator's calls to runners, made by the relays on the other nodes.
+/// Sends the coordinator's calls to runners through the relays on the other nodes.
 ///
-/// One node decides for the whole fleet; the processor time of its calls (HTTP, JSON) is several
-/// times that of the decisions. The pool hands each order to a relay and takes the answer back, so
-/// that the calls are paid by all nodes.
+/// One node decides for the whole fleet, and its calls to runners (HTTP, JSON) take several times
+/// the processor time of the decisions. The pool therefore hands each order to a relay and receives
+/// the answer from it, so that all nodes share the cost of the calls.
 #pragma once
 
 #include "ports/relays.hpp"
@@ -20,58 +20,66 @@
 namespace camphorhitch::relay
 {
 
+/// Limits and delays of a relay pool.
 struct pool_settings
 {
-    /// Below this many runners all calls are made locally: half a core makes the calls to 50
-    /// runners with time to spare, and a relay adds a hop and bytes between zones.
-    std::size_t fewest_runners = 120;
-    /// A runner counts for so long after its last poll.
-    core::millis runner_memory{5000};
-    core::millis tick{100};
-    /// A frame leaves at least so often, so that a relay can free what a dead coordinator left.
-    core::millis heartbeat{1000};
-    /// A relay heard of nothing for so long is lost: three of its heartbeats and a hop's time, and
-    /// well below a runner's lease, which the polls through it renew.
-    core::millis longest_silence{700};
-    /// After the first need for relays orders wait so long for connections, so that each runner is
+    /// Below this number of runners, all calls are made locally: half a core is ample for the calls
+    /// to 50 runners, and a relay adds a hop and traffic between zones.
+    std::size_t min_runners = 120;
+    /// Time after its last poll for which a runner is counted.
+    core::millis runner_retention{5000};
+    core::millis tick_interval{100};
+    /// Longest time between two frames to a relay, so that a relay can free the resources of a
+    /// coordinator that has ended.
+    core::millis heartbeat_interval{1000};
+    /// A relay that sends nothing for this long counts as lost. The time covers three of a relay's
+    /// heartbeats and the transfer, and is well below the lease of a runner, which the polls
+    /// through the relay renew.
+    core::millis relay_timeout{700};
+    /// After relays are first needed, orders wait this long for connections, so that each runner is
     /// called by its own relay from the start.
-    core::millis settle{300};
-    /// They wait no longer once so large a part of the relays is connected: the rest is likely
-    /// gone.
-    double settled_part = 0.75;
-    /// Calls of this node's own that may be under way; the others wait. A call takes 0.3 ms of a
-    /// core: of an owner that makes a thousand at once, all answers lie unread until their
-    /// time-out.
-    std::size_t most_local_calls = 250;
-    /// A local call without an answer for so long counts no more: runners that are gone must not
-    /// hold up the calls to others.
-    core::millis answer_is_near{250};
-    core::millis first_retry{500}; ///< after a relay was lost; doubled each time
-    core::millis longest_retry{8000};
-    /// A runner that did not answer through its relay is called by another for so long: the link
-    /// between the two may be cut, and its lease would lapse. Some polls' time; then its own relay
-    /// is tried again.
-    core::millis avoid{10000};
-    /// An order without an answer for so long is unknown: the calls of the relay end after 0.9 s,
-    /// those of polls 0.7 s after their wait, and the rest is for the way.
+    core::millis connect_wait{300};
+    /// Orders stop waiting once this share of the relays is connected: the remaining relays have
+    /// probably ended.
+    double sufficient_relay_share = 0.75;
+    /// Largest number of local calls in flight; further calls wait. A call takes 0.3 ms of a core,
+    /// so a coordinator that starts a thousand calls at once would read none of the answers before
+    /// their timeout.
+    std::size_t max_local_calls = 250;
+    /// A local call that has had no answer for this long no longer counts towards
+    /// `max_local_calls`: runners that have ended must not delay the calls to other runners.
+    core::millis slow_call_threshold{250};
+    /// Delay before the first attempt to reconnect to a lost relay; doubled for each further
+    /// attempt.
+    core::millis initial_retry_delay{500};
+    core::millis max_retry_delay{8000};
+    /// A runner that did not answer through its relay is called through another one for this long.
+    /// The link between the runner and its relay may be broken, and the runner's lease would
+    /// expire. The time spans several polls; afterwards the runner's own relay is used again.
+    core::millis avoid_time{10000};
+    /// An order that has had no answer for this long ends as unknown. The calls of a relay end
+    /// after 0.9 s, and those of polls 0.7 s after their wait; the remaining time is for the
+    /// transfer.
     core::millis order_timeout{1300};
-    core::millis poll_slack{1100}; ///< on top of a poll's own wait
+    core::millis poll_timeout_margin{1100}; ///< added to a poll's own wait
 };
 
+/// What a relay pool uses.
 struct pool_parts
 {
     reactor::event_loop* loop = nullptr;
-    std::string member; ///< this node; it is not its own relay
-    ports::runners local;
+    std::string member;           ///< this node, which never acts as its own relay
+    ports::runners local_runners; ///< used for local calls
     ports::telemetry tel;
-    /// Whether orders may still go out: asked just before, since they have waited for their turn
-    /// and the machine may have been suspended meanwhile.
+    /// Returns whether orders may still be sent. Called immediately before sending, since the
+    /// orders have been queued and the machine may have been suspended meanwhile.
     std::function<bool()> may_send;
 };
 
 struct pool_state;
 
-/// All members belong to the loop's thread. The loop must outlive it.
+/// All members must be called on the thread of the event loop. The event loop must outlive this
+/// object.
 class pool
 {
 public:
@@ -80,17 +88,17 @@
     pool& operator=(const pool&) = delete;
     ~pool();
 
-    /// Valid as long as the pool.
+    /// \return a port that makes its calls through this pool; valid while the pool exists.
     ports::runners port();
 
-    /// A term of coordination begins: relays may be connected to.
+    /// Starts a term of this node as coordinator. From now on the pool may connect to relays.
     void begin();
-    /// The term ended. Orders under way end as unknown, connections close, later orders are made
+    /// Ends the term. Orders in flight end as unknown, connections close, and later orders are made
     /// locally.
     void end();
 
-    /// The nodes that offer to relay. One that is no longer named is used for as long as its
-    /// connection lives, for a record may lapse while the store is away.
+    /// Sets the nodes that offer to relay. A relay that is no longer listed is used for as long as
+    /// its connection lasts, because its record may expire while the store is unreachable.
     void set_relays(std::vector<ports::relay_endpoint> all);
 
 private:
--- a/libs/relay/include/relay/server.hpp
+++ b/libs/relay/include/relay/server.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// A node as a relay: carries the coordinator's orders to runners out and sends the answers back.
+/// Runs a node as a relay: executes the coordinator's orders to runners and sends the answers back.
 ///
-/// It keeps no state beyond what is under way. When its connection ends, answers still to come are
-/// dropped: the coordinator has counted them as unknown.
+/// The relay keeps no state apart from orders in flight. When its connection ends, the remaining
+/// answers are dropped: the coordinator has counted those orders as unknown.
 #pragma once
 
 #include "core/result.hpp"
@@ -18,44 +18,49 @@
 namespace camphorhitch::relay
 {
 
+/// Limits and delays of a relay.
 struct server_limits
 {
-    /// Coordinators that may be connected; one at a time is usual, others linger after a
-    /// take-over.
-    std::size_t most_connections = 16;
-    core::millis heartbeat{200}; ///< a frame leaves at least so often
-    /// A connection heard of nothing for so long is closed. Only frees its descriptor.
-    core::millis longest_silence{10000};
-    /// After a standstill of this length what lies in the connections is dropped unread. The
-    /// coordinator gives a silent relay up after as long.
-    core::millis longest_standstill{700};
+    /// Largest number of connected coordinators. Usually one is connected; connections of previous
+    /// coordinators may remain open after a takeover.
+    std::size_t max_connections = 16;
+    core::millis heartbeat_interval{200}; ///< longest time between two frames to a coordinator
+    /// A connection without any received data for this long is closed, only to free its descriptor.
+    core::millis connection_timeout{10000};
+    /// After the process was paused for longer than this, the contents of the receive buffers are
+    /// dropped unread. The coordinator gives up a relay that does not answer after the same time.
+    core::millis max_pause{700};
 };
 
+/// What a relay uses.
 struct server_parts
 {
     reactor::event_loop* loop = nullptr;
-    ports::runners runners; ///< that carry the orders out
+    ports::runners runners; ///< used to execute the orders
     ports::telemetry tel;
-    /// A clock that goes on while the machine is suspended.
+    /// A clock that continues while the machine is suspended.
     std::function<core::mono_time()> boot_now;
 };
 
 struct server_state;
 
-/// All members belong to the loop's thread. The loop must outlive it.
+/// All members must be called on the thread of the event loop. The event loop must outlive this
+/// object.
 class server
 {
 public:
-    /// \param address "ip:port"; port 0 takes a free one
+    /// \param address "ip:port"; port 0 selects a free port.
+    /// \return the server, or `unavailable` when it can't listen at the address.
     static core::result<std::unique_ptr<server>> open(
         const std::string& address, server_parts parts, server_limits limits);
     server(const server&) = delete;
     server& operator=(const server&) = delete;
     ~server();
 
+    /// \return the port on which the relay listens.
     std::uint16_t port() const;
 
-    /// Tells the coordinator to send nothing new; what is under way is still answered.
+    /// Asks the coordinators to send no further orders. Orders in flight are still answered.
     void leave();
 
 private:
--- a/libs/relay/schema/relay.capnp
+++ b/libs/relay/schema/relay.capnp
@@ -1,4 +1,4 @@
-# The frames between the coordinator and its relays. The README says how to compile this file.
+# Frames between the coordinator and its relays. The README describes how to compile this file.
 
 @0xd3b7a91c5f20e846;
 
@@ -6,12 +6,13 @@
 $Cxx.namespace("camphorhitch::relay::schema");
 
 struct OrderBatch {
-  # Coordinator to relay: what was gathered in one turn of its event loop.
+  # From the coordinator to a relay: the orders collected during one iteration of the coordinator's
+  # event loop.
   orders @0 :List(Order);
 }
 
 struct Order {
-  number @0 :UInt64;          # unique on its connection; the answer names it
+  number @0 :UInt64;          # unique on its connection; repeated in the answer
   runnerId @1 :Data;
   runnerAddress @2 :Data;
   fencingToken @3 :Int64;
@@ -44,28 +45,28 @@
 }
 
 struct Poll {
-  leaseUntilMs @0 :Int64;     # on the runner's clock; 0: does not extend
+  leaseUntilMs @0 :Int64;     # on the runner's clock; 0: does not extend the lease
   acknowledgedThrough @1 :Int64;
   longestWaitMs @2 :Int64;
 }
 
 struct AnswerBatch {
-  # Relay to coordinator.
+  # From a relay to a coordinator.
   answers @0 :List(Answer);
-  leaving @1 :Bool;           # the relay takes no new orders; those under way are still answered
+  leaving @1 :Bool;           # the relay accepts no further orders, but answers those in flight
 }
 
 struct Answer {
   number @0 :UInt64;
-  verdict @1 :UInt16;         # place in ports::runner_verdict
+  verdict @1 :UInt16;         # value of ports::runner_verdict
   clockMs @2 :Int64;
-  poll @3 :PollRows;          # null unless the order was a poll
+  poll @3 :PollRows;          # null unless the answered order is a poll
 }
 
 struct PollRows {
   running @0 :List(Run);
   ended @1 :List(End);
-  endsAreAll @2 :Bool;        # no end is left out; without it none counts as missing
+  endsAreAll @2 :Bool;        # the list of ends is complete; if not, no run counts as missing
 }
 
 struct Run {
@@ -80,6 +81,6 @@
   number @0 :Int64;
   task @1 :Data;
   run @2 :Int64;
-  how @3 :UInt16;             # place in ports::run_end
+  how @3 :UInt16;             # value of ports::run_end
   checkpoint @4 :Data;
 }
--- a/libs/relay/src/channel.cpp
+++ b/libs/relay/src/channel.cpp
@@ -14,13 +14,14 @@
 
 constexpr std::size_t length_bytes = 4;
 constexpr std::size_t read_bytes = 1U << 16;
-/// Most bytes that one reading takes, so that a flood can't hold up the loop.
-constexpr std::size_t most_read_at_once = 1U << 20;
-/// Bytes that were sent and not acknowledged for so long end the connection: a machine without
-/// power or behind a cut says nothing.
+/// Maximum number of bytes of one read, so that a large amount of incoming data can't block the
+/// event loop.
+constexpr std::size_t max_read_bytes = 1U << 20;
+/// Unacknowledged data ends the connection after this time: a machine that has lost its power or
+/// its network sends no reset.
 constexpr int user_timeout_ms = 1500;
 
-std::string length_of(std::size_t n)
+std::string encode_length(std::size_t n)
 {
     std::string out(length_bytes, '\0');
     for (std::size_t i = 0; i < length_bytes; ++i)
@@ -30,7 +31,7 @@
     return out;
 }
 
-std::size_t read_length(std::string_view bytes)
+std::size_t decode_length(std::string_view bytes)
 {
     std::size_t n = 0;
     for (std::size_t i = 0; i < length_bytes; ++i)
@@ -42,7 +43,7 @@
 
 } // namespace
 
-void tune(ACE_SOCK_Stream& socket)
+void configure_socket(ACE_SOCK_Stream& socket)
 {
     int on = 1;
     int timeout = user_timeout_ms;
@@ -64,8 +65,8 @@
 
 void channel::open()
 {
-    watches_writing_ = !connected_;
-    watch();
+    watching_writable_ = !connected_;
+    update_watch();
 }
 
 bool channel::connected() const
@@ -80,24 +81,24 @@
 
 std::uint64_t channel::queued_bytes() const
 {
-    return queued_;
+    return queued_bytes_;
 }
 
 std::uint64_t channel::written_bytes() const
 {
-    return written_;
+    return written_bytes_;
 }
 
-std::uint64_t channel::received() const
+std::uint64_t channel::receive_count() const
 {
-    return received_;
+    return receive_count_;
 }
 
-void channel::watch()
+void channel::update_watch()
 {
     loop_.watch_fd(socket_.get_handle(),
         true,
-        watches_writing_,
+        watching_writable_,
         [weak = weak_from_this()](reactor::fd_events it)
         {
             if (const auto self = weak.lock())
@@ -140,9 +141,9 @@
     }
     connected_ = true;
     write();
-    if (open_ && !watches_writing_)
+    if (open_ && !watching_writable_)
     {
-        watch();
+        update_watch();
     }
 }
 
@@ -152,14 +153,14 @@
     {
         return;
     }
-    out_ += length_of(frame.size());
-    out_ += frame;
-    queued_ += length_bytes + frame.size();
-    if (connected_ && !watches_writing_)
+    send_buffer_ += encode_length(frame.size());
+    send_buffer_ += frame;
+    queued_bytes_ += length_bytes + frame.size();
+    if (connected_ && !watching_writable_)
     {
         write();
     }
-    if (open_ && out_.size() - out_from_ > most_unsent)
+    if (open_ && send_buffer_.size() - send_offset_ > max_unsent_bytes)
     {
         fail("the other side does not read");
     }
@@ -167,9 +168,10 @@
 
 void channel::write()
 {
-    while (out_from_ < out_.size())
+    while (send_offset_ < send_buffer_.size())
     {
-        const auto n = socket_.send(out_.data() + out_from_, out_.size() - out_from_);
+        const auto n =
+            socket_.send(send_buffer_.data() + send_offset_, send_buffer_.size() - send_offset_);
         if (n < 0 && errno != EWOULDBLOCK && errno != EINTR)
         {
             fail(std::string("send: ") + std::strerror(errno));
@@ -179,47 +181,49 @@
         {
             break;
         }
-        out_from_ += static_cast<std::size_t>(n);
-        written_ += static_cast<std::uint64_t>(n);
+        send_offset_ += static_cast<std::size_t>(n);
+        written_bytes_ += static_cast<std::uint64_t>(n);
     }
-    if (out_from_ == out_.size() || out_from_ > batch_bytes)
+    if (send_offset_ == send_buffer_.size() || send_offset_ > max_batch_bytes)
     {
-        out_.erase(0, out_from_);
-        out_from_ = 0;
+        send_buffer_.erase(0, send_offset_);
+        send_offset_ = 0;
     }
-    const bool wants = !out_.empty();
-    if (wants != watches_writing_)
+    const bool watch_writable = !send_buffer_.empty();
+    if (watch_writable != watching_writable_)
     {
-        watches_writing_ = wants;
-        watch();
+        watching_writable_ = watch_writable;
+        update_watch();
     }
 }
 
 void channel::read_now()
 {
-    // A frame's event may ask for a reading of its own; the outer one goes on with what it brings.
-    if (!open_ || !connected_ || taking_)
+    // An event handler of a frame may call read_now() again; the outer call processes the data that
+    // it would read.
+    if (!open_ || !connected_ || reading_)
     {
         return;
     }
     const auto self = shared_from_this();
-    taking_ = true;
-    const bool sound = take_bytes();
+    reading_ = true;
+    const bool usable = receive_bytes();
     const auto ec = errno;
-    take_frames();
-    taking_ = false;
-    if (open_ && !sound)
+    dispatch_frames();
+    reading_ = false;
+    if (open_ && !usable)
     {
         fail(ec == 0 ? "closed by the other side" : std::string("receive: ") + std::strerror(ec));
     }
 }
 
-/// \return whether the connection goes on; if not, errno tells why, 0: it was closed.
-bool channel::take_bytes()
+/// \return whether the connection is still usable. If not, errno holds the reason; 0: the peer has
+///   closed the connection.
+bool channel::receive_bytes()
 {
     std::array<char, read_bytes> buf{};
     std::size_t total = 0;
-    while (total < most_read_at_once)
+    while (total < max_read_bytes)
     {
         const auto n = socket_.recv(buf.data(), buf.size());
         if (n < 0)
@@ -232,8 +236,8 @@
             return false;
         }
         total += static_cast<std::size_t>(n);
-        in_.append(buf.data(), static_cast<std::size_t>(n));
-        ++received_;
+        receive_buffer_.append(buf.data(), static_cast<std::size_t>(n));
+        ++receive_count_;
         if (static_cast<std::size_t>(n) < buf.size())
         {
             return true;
@@ -242,25 +246,25 @@
     return true;
 }
 
-void channel::take_frames()
+void channel::dispatch_frames()
 {
     std::size_t at = 0;
-    while (open_ && in_.size() - at >= length_bytes)
+    while (open_ && receive_buffer_.size() - at >= length_bytes)
     {
-        const auto n = read_length(std::string_view(in_).substr(at));
-        if (n > largest_frame)
+        const auto n = decode_length(std::string_view(receive_buffer_).substr(at));
+        if (n > max_frame_bytes)
         {
             fail("a frame of " + std::to_string(n) + " bytes");
             return;
         }
-        if (in_.size() - at - length_bytes < n)
+        if (receive_buffer_.size() - at - length_bytes < n)
         {
             break;
         }
-        events_.on_frame(std::string_view(in_).substr(at + length_bytes, n));
+        events_.on_frame(std::string_view(receive_buffer_).substr(at + length_bytes, n));
         at += length_bytes + n;
     }
-    in_.erase(0, at);
+    receive_buffer_.erase(0, at);
 }
 
 void channel::close()
@@ -274,11 +278,11 @@
     socket_.close();
 }
 
-void channel::fail(const std::string& why)
+void channel::fail(const std::string& reason)
 {
     const auto self = shared_from_this();
     close();
-    events_.on_closed(why);
+    events_.on_closed(reason);
 }
 
 } // namespace camphorhitch::relay
--- a/libs/relay/src/channel.hpp
+++ b/libs/relay/src/channel.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Frames over one TCP connection on the event loop: a four-byte length, least byte first, and as
-/// many bytes. A frame of no bytes only says that the sender lives.
+/// Transfers frames over one TCP connection on the event loop. A frame consists of a four-byte
+/// length, least significant byte first, and that number of bytes. An empty frame is a heartbeat.
 #pragma once
 
 #include "reactor/event_loop.hpp"
@@ -16,27 +16,29 @@
 namespace camphorhitch::relay
 {
 
-/// A frame never holds more: senders split their batches well below. Bounds what a broken or
-/// hostile length can make us allocate.
-constexpr std::size_t largest_frame = 1U << 20; // bytes
-/// Batches are split at this size.
-constexpr std::size_t batch_bytes = 1U << 18; // bytes
-/// A side that reads so much less than it is sent is as good as lost. A plan of 1,000 starts with
-/// the largest payload is half of it, should they all go to one relay.
-constexpr std::size_t most_unsent = 1U << 23; // bytes
+/// Maximum size of a frame. Senders split their batches well below this size. It bounds the memory
+/// that a faulty or hostile length field can make the receiver allocate.
+constexpr std::size_t max_frame_bytes = 1U << 20; // bytes
+/// Size at which batches are split.
+constexpr std::size_t max_batch_bytes = 1U << 18; // bytes
+/// A peer that leaves this many bytes unread counts as lost. A plan of 1,000 starts with the
+/// largest payload is half of this size, if all of them go to one relay.
+constexpr std::size_t max_unsent_bytes = 1U << 23; // bytes
 
+/// Handlers of a channel's events.
 struct channel_events
 {
-    std::function<void(std::string_view frame)> on_frame; ///< empty: the sender lives
-    /// Once, when the connection ended by any way but close().
-    std::function<void(const std::string& why)> on_closed;
+    std::function<void(std::string_view frame)> on_frame; ///< an empty frame is a heartbeat
+    /// Called once, when the connection ends in any way other than close().
+    std::function<void(const std::string& reason)> on_closed;
 };
 
-/// Never blocks. Events may close or drop the channel. Held by shared pointers only.
+/// A channel never blocks. Event handlers may close or release the channel. A channel must be held
+/// by shared pointers only.
 class channel : public std::enable_shared_from_this<channel>
 {
 public:
-    /// \param socket non-blocking and connected, or being connected
+    /// \param socket a non-blocking socket that is connected or connecting
     channel(
         reactor::event_loop& loop, const ACE_SOCK_Stream& socket, bool connected, channel_events e);
     channel(const channel&) = delete;
@@ -45,49 +47,50 @@
 
     void open();
 
-    /// Hands the frame to the socket as far as it takes it and keeps the rest.
+    /// Writes as much of the frame as the socket accepts and buffers the remaining bytes.
     void send(std::string_view frame);
 
-    /// Reads what lies in the socket. To be asked for before the other side is called silent: an
-    /// event loop that lags has not read what came in time.
+    /// Reads the data that is waiting in the socket. Must be called before the peer is considered
+    /// unresponsive: an event loop that lags has not yet read data that arrived in time.
     void read_now();
 
     void close();
 
     bool connected() const;
     bool is_open() const;
-    /// Bytes given to send(), and those of them that the socket has taken.
+    /// \return the number of bytes passed to send(), and the number of these bytes that the socket
+    ///   has accepted.
     std::uint64_t queued_bytes() const;
     std::uint64_t written_bytes() const;
-    /// Counts readings that brought bytes.
-    std::uint64_t received() const;
+    /// \return the number of reads that returned data.
+    std::uint64_t receive_count() const;
 
 private:
     void on_ready(reactor::fd_events it);
     void finish_connect();
-    void watch();
+    void update_watch();
     void write();
-    bool take_bytes();
-    void take_frames();
-    void fail(const std::string& why);
+    bool receive_bytes();
+    void dispatch_frames();
+    void fail(const std::string& reason);
 
     reactor::event_loop& loop_;
     ACE_SOCK_Stream socket_;
     channel_events events_;
-    std::string in_;
-    std::string out_;
-    std::size_t out_from_ = 0;
-    std::uint64_t queued_ = 0;
-    std::uint64_t written_ = 0;
-    std::uint64_t received_ = 0;
+    std::string receive_buffer_;
+    std::string send_buffer_;
+    std::size_t send_offset_ = 0;
+    std::uint64_t queued_bytes_ = 0;
+    std::uint64_t written_bytes_ = 0;
+    std::uint64_t receive_count_ = 0;
     bool connected_;
     bool open_ = true;
-    bool watches_writing_ = false;
-    bool taking_ = false;
+    bool watching_writable_ = false;
+    bool reading_ = false;
 };
 
-/// Sets what every socket of relays has: no delay for small frames, an early end when the other
-/// side does not acknowledge, no blocking.
-void tune(ACE_SOCK_Stream& socket);
+/// Sets the options of every relay socket: no delay for small frames, an early end when the peer
+/// does not acknowledge data, and non-blocking mode.
+void configure_socket(ACE_SOCK_Stream& socket);
 
 } // namespace camphorhitch::relay
--- a/libs/relay/src/codec.cpp
+++ b/libs/relay/src/codec.cpp
@@ -15,12 +15,12 @@
 
 using ports::poll_answer;
 
-/// Fixed part and pointers of any item on the wire, in bytes.
+/// Upper bound of the fixed part and the pointers of any item, in bytes.
 constexpr std::size_t fixed_bytes = 128;
-/// Each text is filled up to a word.
+/// Each text is padded to a multiple of this size.
 constexpr std::size_t word_bytes = 8;
-/// Our batches nest four deep.
-constexpr int deepest_nesting = 8;
+/// Batches of this protocol are nested four levels deep.
+constexpr int max_nesting = 8;
 
 capnp::Data::Reader to_data(const std::string& text)
 {
@@ -33,10 +33,10 @@
 }
 
 template <class Enum, std::size_t N>
-Enum to_enum(std::uint16_t place, const core::name_table<Enum, N>&)
+Enum to_enum(std::uint16_t index, const core::name_table<Enum, N>&)
 {
-    KJ_REQUIRE(place < N, "unknown value of an enumeration", place);
-    return static_cast<Enum>(place);
+    KJ_REQUIRE(index < N, "unknown value of an enumeration", index);
+    return static_cast<Enum>(index);
 }
 
 std::string to_bytes(capnp::MessageBuilder& message)
@@ -201,7 +201,7 @@
     std::memcpy(words.begin(), bytes.data(), bytes.size());
     Batch out;
     capnp::ReaderOptions options;
-    options.nestingLimit = deepest_nesting;
+    options.nestingLimit = max_nesting;
     const auto failed = kj::runCatchingExceptions(
         [&]
         {
@@ -229,7 +229,7 @@
         row.setNumber(from.number);
         row.setRunnerId(to_data(from.to.id));
         row.setRunnerAddress(to_data(from.to.address));
-        row.setFencingToken(token_of(from.body));
+        row.setFencingToken(fencing_token_of(from.body));
         std::visit([&](const auto& o) { write_body(row, o); }, from.body);
     }
     return to_bytes(message);
@@ -246,8 +246,8 @@
         const auto& from = it.answers[i];
         auto row = out[i];
         row.setNumber(from.number);
-        row.setVerdict(static_cast<std::uint16_t>(call_of(from).verdict));
-        row.setClockMs(call_of(from).clock_ms);
+        row.setVerdict(static_cast<std::uint16_t>(runner_answer_of(from).verdict));
+        row.setClockMs(runner_answer_of(from).clock_ms);
         if (const auto* const poll = std::get_if<poll_answer>(&from.body))
         {
             write_rows(row.initPoll(), *poll);
@@ -284,7 +284,7 @@
         });
 }
 
-std::size_t size_bound(const order& it)
+std::size_t max_encoded_size(const order& it)
 {
     std::size_t n = 2 * fixed_bytes + it.to.id.size() + it.to.address.size();
     if (const auto* const start = std::get_if<ports::start_order>(&it.body))
@@ -303,7 +303,7 @@
     return n;
 }
 
-std::size_t size_bound(const answer& it)
+std::size_t max_encoded_size(const answer& it)
 {
     std::size_t n = fixed_bytes;
     const auto* const poll = std::get_if<poll_answer>(&it.body);
--- a/libs/relay/src/codec.hpp
+++ b/libs/relay/src/codec.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Batches as bytes of Cap'n Proto.
+/// Encodes batches with Cap'n Proto.
 #pragma once
 
 #include "core/result.hpp"
@@ -14,13 +14,13 @@
 std::string encode(const order_batch& it);
 std::string encode(const answer_batch& it);
 
-/// \param bytes as encode() made them; may be anything
-/// \return the batch, or why the bytes are none.
+/// \param bytes the output of encode(), or arbitrary bytes
+/// \return the batch, or the reason why the bytes are not a batch.
 core::result<order_batch> decode_orders(std::string_view bytes);
 core::result<answer_batch> decode_answers(std::string_view bytes);
 
-/// \return about how many bytes the item takes in a frame; never less.
-std::size_t size_bound(const order& it);
-std::size_t size_bound(const answer& it);
+/// \return an upper bound of the size of the item in a frame, in bytes.
+std::size_t max_encoded_size(const order& it);
+std::size_t max_encoded_size(const answer& it);
 
 } // namespace camphorhitch::relay
--- a/libs/relay/src/messages.hpp
+++ b/libs/relay/src/messages.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What goes between the coordinator and a relay, as plain values.
+/// Messages between the coordinator and a relay, as plain values.
 #pragma once
 
 #include "ports/runners.hpp"
@@ -11,42 +11,48 @@
 namespace camphorhitch::relay
 {
 
+/// An order to a runner, of one of four kinds.
 using order_body =
     std::variant<ports::start_order, ports::stop_order, ports::throttle_order, ports::poll_order>;
 
+/// One order and the runner that it is for.
 struct order
 {
     std::uint64_t number = 0; ///< unique on its connection
-    ports::runner_ref to;     ///< without the zone, which a relay does not need
+    ports::runner_ref to;     ///< without the zone, which a relay does not use
     order_body body;
 };
 
+/// The orders of one frame.
 struct order_batch
 {
     std::vector<order> orders;
 };
 
+/// The answer to one order.
 struct answer
 {
-    std::uint64_t number = 0; ///< of the order
-    /// A poll's answer holds poll_answer, those of the other orders runner_answer.
+    std::uint64_t number = 0; ///< number of the answered order
+    /// The answer to a poll holds poll_answer; the answers to other orders hold runner_answer.
     std::variant<ports::runner_answer, ports::poll_answer> body;
 };
 
+/// The answers of one frame.
 struct answer_batch
 {
     std::vector<answer> answers;
-    bool leaving = false; ///< the relay takes no new orders; those under way are still answered
+    /// The relay accepts no further orders; orders in flight are still answered.
+    bool leaving = false;
 };
 
-/// \return the fencing token that the order carries.
-inline std::int64_t token_of(const order_body& it)
+/// \return the fencing token in the order.
+inline std::int64_t fencing_token_of(const order_body& it)
 {
     return std::visit([](const auto& o) { return o.fencing_token; }, it);
 }
 
-/// \return how the call to the runner ended.
-inline const ports::runner_answer& call_of(const answer& it)
+/// \return the result of the call to the runner.
+inline const ports::runner_answer& runner_answer_of(const answer& it)
 {
     const auto* const poll = std::get_if<ports::poll_answer>(&it.body);
     return poll != nullptr ? poll->call : std::get<ports::runner_answer>(it.body);
--- a/libs/relay/src/pool.cpp
+++ b/libs/relay/src/pool.cpp
@@ -15,9 +15,9 @@
 namespace
 {
 
-void add(verdict_counts& counts, runner_verdict how)
+void add(verdict_counts& counts, runner_verdict verdict)
 {
-    ++counts.at(static_cast<std::size_t>(how));
+    ++counts.at(static_cast<std::size_t>(verdict));
 }
 
 } // namespace
@@ -41,90 +41,92 @@
 {
     if (const auto* const poll = std::get_if<ports::poll_order>(&o.body))
     {
-        count_runner(o.to.id);
+        record_poll(o.to.id);
         const bool waits = poll->wait.count() > 0;
-        if (poll->direct || (!waits && goes_at_once()))
+        if (poll->direct || (!waits && should_call_immediately()))
         {
-            make_locally(std::move(o));
+            queue_local_call(std::move(o));
             return;
         }
     }
-    waiting.push_back(std::move(o));
-    gather();
+    waiting_orders.push_back(std::move(o));
+    schedule_flush();
 }
 
-/// The first looks of a term renew leases that end soon. While no relays are connected this node
-/// makes as many as it can bear; the others wait for the relays.
-bool pool_state::goes_at_once() const
+/// The first polls of a term renew leases that are close to their end. While no relays are
+/// connected, this node makes as many of these polls as it can handle; the others wait for the
+/// relays.
+bool pool_state::should_call_immediately() const
 {
-    return (!needed || settling()) && local_calls_awaited() < settings.most_local_calls;
+    return (!relays_needed || is_waiting_for_connections()) &&
+           recent_local_calls() < settings.max_local_calls;
 }
 
-/// All orders of one turn of the loop go out together.
-void pool_state::gather()
+/// All orders of one iteration of the event loop are sent together.
+void pool_state::schedule_flush()
 {
-    if (flushing)
+    if (flush_scheduled)
     {
         return;
     }
-    flushing = true;
+    flush_scheduled = true;
     time.post(
         [weak = weak_from_this()]
         {
             if (const auto self = weak.lock())
             {
-                self->flushing = false;
+                self->flush_scheduled = false;
                 self->flush();
             }
         });
 }
 
-void pool_state::count_runner(const std::string& id)
+void pool_state::record_poll(const std::string& id)
 {
-    polled[id] = clock.elapsed;
-    if (!needed && polled.size() >= settings.fewest_runners)
+    polled_at[id] = clock.elapsed;
+    if (!relays_needed && polled_at.size() >= settings.min_runners)
     {
-        needed = true;
-        settle_until = clock.elapsed + settings.settle;
+        relays_needed = true;
+        connect_wait_until = clock.elapsed + settings.connect_wait;
         connect_due();
     }
 }
 
-bool pool_state::settling() const
+bool pool_state::is_waiting_for_connections() const
 {
-    if (!active || !needed || clock.elapsed >= settle_until)
+    if (!active || !relays_needed || clock.elapsed >= connect_wait_until)
     {
         return false;
     }
-    if (!listed)
+    if (!relay_list_known)
     {
         return true;
     }
-    std::size_t well = 0;
+    std::size_t ready = 0;
     bool connecting = false;
     for (const auto& [member, r] : relays)
     {
-        well += r.state == relay_state::well ? 1U : 0U;
-        connecting = connecting || !r.tried || r.state == relay_state::connecting;
+        ready += r.state == relay_state::ready ? 1U : 0U;
+        connecting = connecting || !r.connection_attempted || r.state == relay_state::connecting;
     }
-    const auto enough = settings.settled_part * static_cast<double>(relays.size());
-    return connecting && static_cast<double>(well) < enough;
+    const auto enough = settings.sufficient_relay_share * static_cast<double>(relays.size());
+    return connecting && static_cast<double>(ready) < enough;
 }
 
 void pool_state::flush()
 {
-    if (settling())
+    if (is_waiting_for_connections())
     {
-        return; // a tick or the end of the last connect() comes back to it
+        return; // a tick or the end of the last connect() calls flush() again
     }
     if (!parts.may_send())
     {
-        refuse_waiting();
+        end_waiting_orders();
         return;
     }
-    for (auto& it : std::exchange(waiting, {}))
+    for (auto& it : std::exchange(waiting_orders, {}))
     {
-        give(std::move(it));
+        assign_order(std::move(it));
     }
     for (auto& [member, r] : relays)
     {
@@ -132,20 +134,21 @@
     }
 }
 
-/// A former owner's orders would only be refused by their token; not sending them spares the calls.
-void pool_state::refuse_waiting()
+/// The orders of a previous coordinator would be refused because of their fencing token; not
+/// sending them saves the calls.
+void pool_state::end_waiting_orders()
 {
-    for (const auto& it : std::exchange(waiting, {}))
+    for (const auto& it : std::exchange(waiting_orders, {}))
     {
-        refuse(it);
+        end_as_not_sent(it);
     }
-    for (const auto& it : std::exchange(waiting_locally, {}))
+    for (const auto& it : std::exchange(waiting_local_orders, {}))
     {
-        refuse(it);
+        end_as_not_sent(it);
     }
 }
 
-void pool_state::refuse(const waiting_order& o)
+void pool_state::end_as_not_sent(const waiting_order& o)
 {
     const ports::runner_answer refused{runner_verdict::not_sent, -1};
     if (const auto* const poll = std::get_if<std::function<void(ports::poll_answer)>>(&o.done))
@@ -156,67 +159,68 @@
     std::get<std::function<void(ports::runner_answer)>>(o.done)(refused);
 }
 
-void pool_state::give(waiting_order o)
+void pool_state::assign_order(waiting_order o)
 {
     auto* const r = route(o.to);
     if (r == nullptr)
     {
-        make_locally(std::move(o));
+        queue_local_call(std::move(o));
         return;
     }
     const auto number = ++last_number;
     const auto* const poll = std::get_if<ports::poll_order>(&o.body);
-    const auto rest = poll != nullptr ? poll->wait + settings.poll_slack : settings.order_timeout;
-    order_under_way it;
-    it.member = r->place.member;
+    const auto timeout =
+        poll != nullptr ? poll->wait + settings.poll_timeout_margin : settings.order_timeout;
+    order_in_flight it;
+    it.member = r->endpoint.member;
     it.runner = o.to.id;
     it.done = std::move(o.done);
-    it.deadline = clock.elapsed + rest;
-    under_way.emplace(number, std::move(it));
+    it.deadline = clock.elapsed + timeout;
+    orders_in_flight.emplace(number, std::move(it));
     r->orders.push_back({number, std::move(o.to), std::move(o.body)});
 }
 
-void pool_state::make_locally(waiting_order o)
+void pool_state::queue_local_call(waiting_order o)
 {
-    waiting_locally.push_back(std::move(o));
-    make_local_calls();
+    waiting_local_orders.push_back(std::move(o));
+    start_local_calls();
 }
 
-std::size_t pool_state::local_calls_awaited() const
+std::size_t pool_state::recent_local_calls() const
 {
-    const auto since = time.now() - settings.answer_is_near;
+    const auto since = time.now() - settings.slow_call_threshold;
     const auto end = std::find_if(local_calls.rbegin(),
         local_calls.rend(),
         [&](const auto& it) { return it.second < since; });
     return static_cast<std::size_t>(std::distance(local_calls.rbegin(), end));
 }
 
-void pool_state::make_local_calls()
+void pool_state::start_local_calls()
 {
-    if (calling_locally)
+    if (starting_local_calls)
     {
-        return; // an answer came within its call
+        return; // a callback was called during call_runner(); the outer loop continues
     }
-    calling_locally = true;
-    while (!waiting_locally.empty() && local_calls_awaited() < settings.most_local_calls)
+    starting_local_calls = true;
+    while (!waiting_local_orders.empty() && recent_local_calls() < settings.max_local_calls)
     {
-        auto it = std::move(waiting_locally.front());
-        waiting_locally.pop_front();
+        auto it = std::move(waiting_local_orders.front());
+        waiting_local_orders.pop_front();
         if (parts.may_send())
         {
-            call_locally(std::move(it));
+            call_runner(std::move(it));
         }
         else
         {
-            refuse(it);
+            end_as_not_sent(it);
         }
     }
-    calling_locally = false;
+    starting_local_calls = false;
 }
 
-void pool_state::call_locally(waiting_order o)
+void pool_state::call_runner(waiting_order o)
 {
-    const auto number = ++last_local_call;
+    const auto number = ++last_local_call_number;
     local_calls.emplace(number, time.now());
     const auto counted = [weak = weak_from_this(), number](auto done)
     {
@@ -227,13 +231,13 @@
             {
                 answer it;
                 it.body = a;
-                add(self->made_locally, call_of(it).verdict);
+                add(self->local_verdicts, runner_answer_of(it).verdict);
                 self->local_calls.erase(number);
             }
             done(a);
             if (self)
             {
-                self->make_local_calls();
+                self->start_local_calls();
             }
         };
     };
@@ -241,21 +245,21 @@
     if (auto* const poll = std::get_if<ports::poll_order>(&o.body))
     {
         auto done = std::get<std::function<void(ports::poll_answer)>>(std::move(o.done));
-        parts.local.poll(o.to, *poll, counted(std::move(done)));
+        parts.local_runners.poll(o.to, *poll, counted(std::move(done)));
         return;
     }
     auto done = counted(std::get<plain>(std::move(o.done)));
     if (auto* const start = std::get_if<ports::start_order>(&o.body))
     {
-        parts.local.start(o.to, std::move(*start), std::move(done));
+        parts.local_runners.start(o.to, std::move(*start), std::move(done));
     }
     else if (auto* const stop = std::get_if<ports::stop_order>(&o.body))
     {
-        parts.local.stop(o.to, std::move(*stop), std::move(done));
+        parts.local_runners.stop(o.to, std::move(*stop), std::move(done));
     }
     else
     {
-        parts.local.throttle(
+        parts.local_runners.throttle(
             o.to, std::get<ports::throttle_order>(std::move(o.body)), std::move(done));
     }
 }
@@ -267,10 +271,10 @@
     std::size_t bytes = 0;
     for (auto& it : orders)
     {
-        const auto more = size_bound(it);
-        if (bytes + more > batch_bytes && !part.orders.empty())
+        const auto more = max_encoded_size(it);
+        if (bytes + more > max_batch_bytes && !part.orders.empty())
         {
-            send_part(r, part);
+            send_batch(r, part);
             part.orders.clear();
             bytes = 0;
         }
@@ -279,36 +283,37 @@
     }
     if (!part.orders.empty())
     {
-        send_part(r, part);
+        send_batch(r, part);
     }
 }
 
-void pool_state::send_part(relay_entry& r, const order_batch& part)
+void pool_state::send_batch(relay_entry& r, const order_batch& part)
 {
-    const auto wire = r.wire;
-    if (!wire)
+    const auto connection = r.connection;
+    if (!connection)
     {
-        // Lost since the orders were gathered for it; losing it has ended them.
+        // The relay was lost after the orders were assigned to it; disconnect() has already ended
+        // the orders.
         return;
     }
     for (const auto& it : part.orders)
     {
-        const auto found = under_way.find(it.number);
-        if (found != under_way.end())
+        const auto found = orders_in_flight.find(it.number);
+        if (found != orders_in_flight.end())
         {
             found->second.framed = true;
-            found->second.bytes_before = wire->queued_bytes();
+            found->second.bytes_queued_before = connection->queued_bytes();
         }
     }
-    r.sent_at = clock.elapsed;
-    wire->send(encode(part));
+    r.last_sent = clock.elapsed;
+    connection->send(encode(part));
 }
 
-void pool_state::take(const std::string& member, std::string_view frame)
+void pool_state::handle_frame(const std::string& member, std::string_view frame)
 {
     if (const auto r = relays.find(member); r != relays.end())
     {
-        note_heard(r->second);
+        record_heard(r->second);
     }
     if (frame.empty())
     {
@@ -317,7 +322,7 @@
     const auto read = decode_answers(frame);
     if (!core::is_ok(read))
     {
-        lose(member, "bad frame: " + core::failure(read).message);
+        handle_lost_relay(member, "bad frame: " + core::failure(read).message);
         return;
     }
     const auto& batch = core::value(read);
@@ -330,49 +335,50 @@
     }
     for (const auto& it : batch.answers)
     {
-        answer_order(it, member);
+        handle_answer(it, member);
     }
 }
 
-void pool_state::answer_order(const answer& a, const std::string& member)
+void pool_state::handle_answer(const answer& a, const std::string& member)
 {
-    const auto found = under_way.find(a.number);
-    if (found == under_way.end() || found->second.member != member)
+    const auto found = orders_in_flight.find(a.number);
+    if (found == orders_in_flight.end() || found->second.member != member)
     {
-        return; // timed out; its end has been told
+        return; // timed out; the callback has already been called
     }
-    if (call_of(a).verdict == runner_verdict::unknown)
+    if (runner_answer_of(a).verdict == runner_verdict::unknown)
     {
-        avoid(found->second);
+        avoid_relay(found->second);
     }
     const auto done = std::move(found->second.done);
-    under_way.erase(found);
-    add(relayed, call_of(a).verdict);
+    orders_in_flight.erase(found);
+    add(relayed_verdicts, runner_answer_of(a).verdict);
     if (const auto* const plain = std::get_if<std::function<void(ports::runner_answer)>>(&done))
     {
-        (*plain)(call_of(a));
+        (*plain)(runner_answer_of(a));
         return;
     }
-    ports::poll_answer whole;
-    whole.call = call_of(a);
+    ports::poll_answer complete_answer;
+    complete_answer.call = runner_answer_of(a);
     if (const auto* const rows = std::get_if<ports::poll_answer>(&a.body))
     {
-        whole = *rows;
+        complete_answer = *rows;
     }
-    else if (whole.call.verdict == runner_verdict::done)
+    else if (complete_answer.call.verdict == runner_verdict::done)
     {
-        // An answer without rows would make all runs look missing.
-        whole.call.verdict = runner_verdict::unknown;
+        // An answer without rows would make all runs seem to be missing.
+        complete_answer.call.verdict = runner_verdict::unknown;
     }
-    std::get<std::function<void(ports::poll_answer)>>(done)(whole);
+    std::get<std::function<void(ports::poll_answer)>>(done)(complete_answer);
 }
 
-void pool_state::finish(std::uint64_t number, runner_verdict how)
+void pool_state::end_order(std::uint64_t number, runner_verdict verdict)
 {
-    const auto found = under_way.find(number);
-    if (found != under_way.end())
+    const auto found = orders_in_flight.find(number);
+    if (found != orders_in_flight.end())
     {
-        answer_order({number, ports::runner_answer{how, -1}}, std::string(found->second.member));
+        handle_answer(
+            {number, ports::runner_answer{verdict, -1}}, std::string(found->second.member));
     }
 }
 
--- a/libs/relay/src/pool_relays.cpp
+++ b/libs/relay/src/pool_relays.cpp
@@ -16,38 +16,39 @@
 namespace
 {
 
-/// Of a gap between two ticks so many ticks count.
-constexpr int most_ticks_in_gap = 2;
+/// Number of tick intervals that count of the time between two ticks.
+constexpr int max_counted_ticks = 2;
 
 } // namespace
 
-void loop_clock::advance(core::mono_time now, core::millis most)
+void active_clock::advance(core::mono_time now, core::millis max_gap)
 {
-    const auto gap = std::chrono::duration_cast<core::millis>(now - ticked_at);
-    elapsed += std::clamp(gap, core::millis{0}, most);
-    ticked_at = now;
+    const auto gap = std::chrono::duration_cast<core::millis>(now - last_tick_at);
+    elapsed += std::clamp(gap, core::millis{0}, max_gap);
+    last_tick_at = now;
 }
 
 void pool_state::begin()
 {
     close_all();
     active = true;
-    needed = false;
-    listed = false;
-    polled.clear();
-    clock.ticked_at = time.now();
+    relays_needed = false;
+    relay_list_known = false;
+    polled_at.clear();
+    clock.last_tick_at = time.now();
     time.cancel(timer);
-    timer = time.after(settings.tick, [this] { tick(); });
+    timer = time.after(settings.tick_interval, [this] { tick(); });
 }
 
-/// May be called by an order's own callback: what iterates over the relays goes on first.
+/// May be called from an order's callback while another function iterates over the relays, so the
+/// connections are closed in a later iteration of the event loop.
 void pool_state::end()
 {
     active = false;
     time.cancel(timer);
     timer = 0;
     routes = {};
-    refuse_waiting(); // what this term wanted must not leave in a later one
+    end_waiting_orders(); // the orders of this term must not be sent in a later one
     time.post(
         [weak = weak_from_this()]
         {
@@ -61,7 +62,7 @@
 
 void pool_state::close_all()
 {
-    lost_orders sum;
+    lost_order_counts sum;
     std::size_t closed = 0;
     for (auto& [member, r] : relays)
     {
@@ -80,12 +81,13 @@
     }
     relays.clear();
     routes = {};
-    tell_under_way(); // no tick does it any more
+    report_orders_in_flight(); // no further tick reports the value
 }
 
-void pool_state::tell_under_way() const
+void pool_state::report_orders_in_flight() const
 {
-    parts.tel.gauge("camphorhitch_relayed_orders", {}, static_cast<double>(under_way.size()));
+    parts.tel.gauge(
+        "camphorhitch_relayed_orders", {}, static_cast<double>(orders_in_flight.size()));
 }
 
 void pool_state::set_relays(std::vector<ports::relay_endpoint> all)
@@ -94,10 +96,10 @@
     {
         return;
     }
-    listed = true;
+    relay_list_known = true;
     for (auto& [member, r] : relays)
     {
-        r.listed = false;
+        r.is_listed = false;
     }
     for (auto& it : all)
     {
@@ -105,41 +107,43 @@
         {
             continue;
         }
-        auto [place, added] = relays.try_emplace(it.member);
-        auto& r = place->second;
-        r.listed = true;
+        auto [entry, added] = relays.try_emplace(it.member);
+        auto& r = entry->second;
+        r.is_listed = true;
         if (added)
         {
             parts.tel.log(log_level::info,
                 "relay_found",
                 {{"relay", it.member}, {"address", it.address}, {"zone", it.zone}});
         }
-        if (r.place.address != it.address && r.state != relay_state::idle)
+        if (r.endpoint.address != it.address && r.state != relay_state::idle)
         {
-            lose(it.member, "it has another address now");
+            handle_lost_relay(it.member, "its address has changed");
         }
-        r.place = std::move(it);
-        if (r.state == relay_state::well && !r.leaving)
+        r.endpoint = std::move(it);
+        if (r.state == relay_state::ready && !r.leaving)
         {
-            add_relay(routes, r.place);
+            add_relay(routes, r.endpoint);
         }
     }
     std::erase_if(relays,
-        [](const auto& it) { return !it.second.listed && it.second.state == relay_state::idle; });
+        [](const auto& it)
+        { return !it.second.is_listed && it.second.state == relay_state::idle; });
     connect_due();
-    gather();
+    schedule_flush();
 }
 
 void pool_state::connect_due()
 {
-    if (!active || !needed)
+    if (!active || !relays_needed)
     {
         return;
     }
     std::vector<std::string> due;
     for (const auto& [member, r] : relays)
     {
-        if (r.state == relay_state::idle && (!r.tried || clock.elapsed >= r.retry_at))
+        if (r.state == relay_state::idle &&
+            (!r.connection_attempted || clock.elapsed >= r.retry_at))
         {
             due.push_back(member);
         }
@@ -152,139 +156,140 @@
 
 void pool_state::connect(relay_entry& r)
 {
-    const auto member = r.place.member;
-    r.tried = true;
+    const auto member = r.endpoint.member;
+    r.connection_attempted = true;
     r.state = relay_state::connecting;
     r.leaving = false;
-    r.heard_at = clock.elapsed;
-    r.received = 0;
-    const ACE_INET_Addr to(r.place.address.c_str(), AF_INET);
+    r.last_heard = clock.elapsed;
+    r.receive_count = 0;
+    const ACE_INET_Addr to(r.endpoint.address.c_str(), AF_INET);
     ACE_SOCK_Stream socket;
     ACE_SOCK_Connector connector;
     ACE_Time_Value none(0, 0);
     const int rc = connector.connect(socket, to, &none);
     if (rc != 0 && errno != EWOULDBLOCK && errno != EINPROGRESS)
     {
-        lose(member, std::string("connect: ") + std::strerror(errno));
+        handle_lost_relay(member, std::string("connect: ") + std::strerror(errno));
         return;
     }
-    tune(socket);
+    configure_socket(socket);
     channel_events events;
     events.on_frame = [weak = weak_from_this(), member](std::string_view frame)
     {
         if (const auto self = weak.lock())
         {
-            self->take(member, frame);
+            self->handle_frame(member, frame);
         }
     };
-    events.on_closed = [weak = weak_from_this(), member](const std::string& why)
+    events.on_closed = [weak = weak_from_this(), member](const std::string& reason)
     {
         if (const auto self = weak.lock())
         {
-            self->lose(member, why);
+            self->handle_lost_relay(member, reason);
         }
     };
-    r.wire = std::make_shared<channel>(*parts.loop, socket, false, std::move(events));
-    r.wire->open();
+    r.connection = std::make_shared<channel>(*parts.loop, socket, false, std::move(events));
+    r.connection->open();
 }
 
-/// A relay is well once its first frame has come: the other end may have accepted the connection
-/// and not run since.
-void pool_state::note_heard(relay_entry& r)
+/// A relay is ready once its first frame has arrived: the kernel of the other node may have
+/// accepted the connection while the relay's process is paused.
+void pool_state::record_heard(relay_entry& r)
 {
-    if (!r.wire || r.wire->received() == r.received)
+    if (!r.connection || r.connection->receive_count() == r.receive_count)
     {
         return;
     }
-    r.received = r.wire->received();
-    r.heard_at = clock.elapsed;
+    r.receive_count = r.connection->receive_count();
+    r.last_heard = clock.elapsed;
     if (r.state != relay_state::connecting)
     {
         return;
     }
-    r.state = relay_state::well;
+    r.state = relay_state::ready;
     parts.tel.log(log_level::info,
-        r.pause.count() > 0 ? "relay_back" : "relay_connected",
-        {{"relay", r.place.member}, {"zone", r.place.zone}});
-    r.pause = core::millis{0};
+        r.retry_delay.count() > 0 ? "relay_back" : "relay_connected",
+        {{"relay", r.endpoint.member}, {"zone", r.endpoint.zone}});
+    r.retry_delay = core::millis{0};
     if (!r.leaving)
     {
-        add_relay(routes, r.place);
+        add_relay(routes, r.endpoint);
     }
-    gather();
+    schedule_flush();
 }
 
 void pool_state::tick()
 {
     const auto self = shared_from_this();
-    clock.advance(time.now(), most_ticks_in_gap * settings.tick);
+    clock.advance(time.now(), max_counted_ticks * settings.tick_interval);
     for (auto& [member, r] : relays)
     {
-        note_heard(r);
+        record_heard(r);
     }
-    drop_silent();
+    disconnect_unresponsive();
     time_out_orders();
     send_heartbeats();
-    forget_runners();
-    forget_avoided();
+    remove_expired_runners();
+    remove_expired_avoidances();
     connect_due();
-    if (!waiting.empty())
+    if (!waiting_orders.empty())
     {
-        gather();
+        schedule_flush();
     }
-    make_local_calls();
-    report_counts("relay", relayed);
-    report_counts("local", made_locally);
-    tell_under_way();
+    start_local_calls();
+    report_counts("relay", relayed_verdicts);
+    report_counts("local", local_verdicts);
+    report_orders_in_flight();
     if (active)
     {
-        timer = time.after(settings.tick, [this] { tick(); });
+        timer = time.after(settings.tick_interval, [this] { tick(); });
     }
 }
 
-void pool_state::drop_silent()
+void pool_state::disconnect_unresponsive()
 {
-    std::vector<std::string> silent;
+    std::vector<std::string> unresponsive;
     for (const auto& [member, r] : relays)
     {
-        const bool due = clock.elapsed - r.heard_at > settings.longest_silence;
+        const bool due = clock.elapsed - r.last_heard > settings.relay_timeout;
         if (r.state != relay_state::idle && due)
         {
-            silent.push_back(member);
+            unresponsive.push_back(member);
         }
     }
-    for (const auto& it : silent)
+    for (const auto& it : unresponsive)
     {
-        // What it said may lie in the socket still, unread by a loop that lags.
-        if (const auto wire = relays.at(it).wire)
+        // The data of the relay may still be in the socket, unread by a loop that lags.
+        if (const auto connection = relays.at(it).connection)
         {
-            wire->read_now();
+            connection->read_now();
         }
         const auto r = relays.find(it);
         if (r == relays.end() || r->second.state == relay_state::idle)
         {
             continue;
         }
-        note_heard(r->second);
-        if (clock.elapsed - r->second.heard_at > settings.longest_silence)
+        record_heard(r->second);
+        if (clock.elapsed - r->second.last_heard > settings.relay_timeout)
         {
-            lose(it, "silent");
+            handle_lost_relay(it, "silent");
         }
     }
 }
 
 void pool_state::send_heartbeats()
 {
-    std::vector<std::shared_ptr<channel>> quiet;
+    std::vector<std::shared_ptr<channel>> idle_connections;
     for (auto& [member, r] : relays)
     {
-        if (r.state == relay_state::well && clock.elapsed - r.sent_at >= settings.heartbeat)
+        if (r.state == relay_state::ready &&
+            clock.elapsed - r.last_sent >= settings.heartbeat_interval)
         {
-            r.sent_at = clock.elapsed;
-            quiet.push_back(r.wire);
+            r.last_sent = clock.elapsed;
+            idle_connections.push_back(r.connection);
         }
     }
-    for (const auto& it : quiet)
+    for (const auto& it : idle_connections)
     {
         it->send({});
     }
@@ -293,41 +298,41 @@
 void pool_state::time_out_orders()
 {
     std::vector<std::uint64_t> late;
-    for (const auto& [number, it] : under_way)
+    for (const auto& [number, it] : orders_in_flight)
     {
         if (clock.elapsed > it.deadline)
         {
             late.push_back(number);
         }
     }
-    // As with silence: the answers may lie unread in the sockets.
-    std::vector<std::shared_ptr<channel>> wires;
+    // As for unresponsive relays, the answers may still be unread in the sockets.
+    std::vector<std::shared_ptr<channel>> connections;
     for (const auto number : late)
     {
-        const auto r = relays.find(under_way.at(number).member);
-        if (r != relays.end() && r->second.wire)
+        const auto r = relays.find(orders_in_flight.at(number).member);
+        if (r != relays.end() && r->second.connection)
         {
-            wires.push_back(r->second.wire);
+            connections.push_back(r->second.connection);
         }
     }
-    std::sort(wires.begin(), wires.end());
-    wires.erase(std::unique(wires.begin(), wires.end()), wires.end());
-    for (const auto& it : wires)
+    std::sort(connections.begin(), connections.end());
+    connections.erase(std::unique(connections.begin(), connections.end()), connections.end());
+    for (const auto& it : connections)
     {
         it->read_now();
     }
     for (const auto number : late)
     {
-        finish(number, runner_verdict::unknown);
+        end_order(number, runner_verdict::unknown);
     }
 }
 
-void pool_state::forget_runners()
+void pool_state::remove_expired_runners()
 {
-    std::erase_if(polled,
+    std::erase_if(polled_at,
         [&](const auto& it)
         {
-            const bool old = clock.elapsed - it.second > settings.runner_memory;
+            const bool old = clock.elapsed - it.second > settings.runner_retention;
             if (old)
             {
                 forget_route(routes, it.first);
@@ -336,9 +341,9 @@
         });
 }
 
-void pool_state::forget_avoided()
+void pool_state::remove_expired_avoidances()
 {
-    for (auto it = avoided.begin(); it != avoided.end();)
+    for (auto it = avoided_relays.begin(); it != avoided_relays.end();)
     {
         if (clock.elapsed < it->second.until)
         {
@@ -346,11 +351,11 @@
             continue;
         }
         forget_route(routes, it->first);
-        it = avoided.erase(it);
+        it = avoided_relays.erase(it);
     }
 }
 
-void pool_state::lose(const std::string& member, const std::string& why)
+void pool_state::handle_lost_relay(const std::string& member, const std::string& reason)
 {
     const auto found = relays.find(member);
     if (found == relays.end() || found->second.state == relay_state::idle)
@@ -358,43 +363,45 @@
         return;
     }
     auto& r = found->second;
-    r.pause = std::clamp(2 * r.pause, settings.first_retry, settings.longest_retry);
-    r.retry_at = clock.elapsed + r.pause;
+    r.retry_delay =
+        std::clamp(2 * r.retry_delay, settings.initial_retry_delay, settings.max_retry_delay);
+    r.retry_at = clock.elapsed + r.retry_delay;
     const auto lost = disconnect(r);
     parts.tel.log(log_level::info,
         "relay_lost",
         {{"relay", member},
-            {"reason", why},
+            {"reason", reason},
             {"orders_unknown", std::to_string(lost.unknown)},
             {"orders_not_sent", std::to_string(lost.not_sent)}});
 }
 
-/// Closes the relay's connection and ends its orders.
-lost_orders pool_state::disconnect(relay_entry& r)
+/// Closes the relay's connection and ends its orders. An order whose frame was not written at all
+/// ends as not sent; any other order ends as unknown.
+lost_order_counts pool_state::disconnect(relay_entry& r)
 {
-    const auto wire = std::exchange(r.wire, nullptr);
+    const auto connection = std::exchange(r.connection, nullptr);
     r.state = relay_state::idle;
     r.orders.clear();
-    remove_relay(routes, r.place.member);
-    const auto written = wire ? wire->written_bytes() : 0;
-    if (wire)
+    remove_relay(routes, r.endpoint.member);
+    const auto written = connection ? connection->written_bytes() : 0;
+    if (connection)
     {
-        wire->close();
+        connection->close();
     }
     std::vector<std::pair<std::uint64_t, runner_verdict>> ended;
-    lost_orders out;
-    for (const auto& [number, it] : under_way)
+    lost_order_counts out;
+    for (const auto& [number, it] : orders_in_flight)
     {
-        if (it.member == r.place.member)
+        if (it.member == r.endpoint.member)
         {
-            const bool sent = it.framed && written > it.bytes_before;
+            const bool sent = it.framed && written > it.bytes_queued_before;
             ended.emplace_back(number, sent ? runner_verdict::unknown : runner_verdict::not_sent);
             ++(sent ? out.unknown : out.not_sent);
         }
     }
-    for (const auto& [number, how] : ended)
+    for (const auto& [number, verdict] : ended)
     {
-        finish(number, how);
+        end_order(number, verdict);
     }
     return out;
 }
--- a/libs/relay/src/pool_routes.cpp
+++ b/libs/relay/src/pool_routes.cpp
@@ -1,31 +1,32 @@
 /// \file
-/// Which relay calls a runner.
+/// Chooses the relay that calls a runner.
 #include "pool_state.hpp"
 
 namespace camphorhitch::relay
 {
 
-/// \return the relay that calls this runner; nullptr: this node does.
+/// \return the relay that calls this runner; nullptr: this node calls it.
 relay_entry* pool_state::route(const ports::runner_ref& to)
 {
-    if (!active || !needed)
+    if (!active || !relays_needed)
     {
         return nullptr;
     }
-    const auto avoids = avoided.find(to.id);
+    const auto avoided = avoided_relays.find(to.id);
     const auto& member = find_route(
-        routes, to, avoids == avoided.end() ? std::string_view{} : avoids->second.member);
+        routes, to, avoided == avoided_relays.end() ? std::string_view{} : avoided->second.member);
     const auto found = relays.find(member);
     return found == relays.end() ? nullptr : &found->second;
 }
 
-/// The orders of a relay that was lost say nothing of its links.
-void pool_state::avoid(const order_under_way& it)
+/// Orders that ended because their relay was lost give no information about its links, so only
+/// relays with a working connection are avoided.
+void pool_state::avoid_relay(const order_in_flight& it)
 {
     const auto r = relays.find(it.member);
-    if (r != relays.end() && r->second.state == relay_state::well)
+    if (r != relays.end() && r->second.state == relay_state::ready)
     {
-        avoided[it.runner] = {it.member, clock.elapsed + settings.avoid};
+        avoided_relays[it.runner] = {it.member, clock.elapsed + settings.avoid_time};
         forget_route(routes, it.runner);
     }
 }
--- a/libs/relay/src/route_table.cpp
+++ b/libs/relay/src/route_table.cpp
@@ -10,8 +10,8 @@
 namespace
 {
 
-/// Takes the relay if it suits the runner better than the one it has.
-void consider(route_table& t,
+/// Chooses the relay for this runner if it ranks above the runner's present relay.
+void update_route(route_table& t,
     route& r,
     const std::string& runner,
     const std::string& zone,
@@ -19,11 +19,11 @@
     double share)
 {
     const bool same_zone = zone == r.zone;
-    if (member == r.avoids || (r.same_zone && !same_zone))
+    if (member == r.avoided_member || (r.same_zone && !same_zone))
     {
         return;
     }
-    ++t.scored;
+    ++t.comparisons;
     const double score = core::weighted_score(runner, member, share);
     if (r.member.empty() || (same_zone && !r.same_zone) || score > r.score)
     {
@@ -33,15 +33,15 @@
     }
 }
 
-route choose_route(route_table& t, const ports::runner_ref& to, std::string_view avoids)
+route choose_route(route_table& t, const ports::runner_ref& to, std::string_view avoided_member)
 {
-    route out{{}, to.zone, std::string(avoids), false, 0};
+    route out{{}, to.zone, std::string(avoided_member), false, 0};
     const auto own = t.relays.find(to.zone);
     if (own != t.relays.end())
     {
         for (const auto& [member, share] : own->second)
         {
-            consider(t, out, to.id, to.zone, member, share);
+            update_route(t, out, to.id, to.zone, member, share);
         }
     }
     if (!out.member.empty())
@@ -52,36 +52,36 @@
     {
         for (const auto& [member, share] : members)
         {
-            consider(t, out, to.id, zone, member, share);
+            update_route(t, out, to.id, zone, member, share);
         }
     }
     return out;
 }
 
-bool has_relay(const route_table& t, const ports::relay_endpoint& place)
+bool has_relay(const route_table& t, const ports::relay_endpoint& endpoint)
 {
-    const auto zone = t.relays.find(place.zone);
+    const auto zone = t.relays.find(endpoint.zone);
     if (zone == t.relays.end())
     {
         return false;
     }
-    const auto found = zone->second.find(place.member);
-    return found != zone->second.end() && found->second == place.cpu_share;
+    const auto found = zone->second.find(endpoint.member);
+    return found != zone->second.end() && found->second == endpoint.cpu_share;
 }
 
 } // namespace
 
-void add_relay(route_table& t, const ports::relay_endpoint& place)
+void add_relay(route_table& t, const ports::relay_endpoint& endpoint)
 {
-    if (has_relay(t, place))
+    if (has_relay(t, endpoint))
     {
         return;
     }
-    remove_relay(t, place.member);
-    t.relays[place.zone][place.member] = place.cpu_share;
+    remove_relay(t, endpoint.member);
+    t.relays[endpoint.zone][endpoint.member] = endpoint.cpu_share;
     for (auto& [runner, r] : t.routes)
     {
-        consider(t, r, runner, place.zone, place.member, place.cpu_share);
+        update_route(t, r, runner, endpoint.zone, endpoint.member, endpoint.cpu_share);
     }
 }
 
@@ -92,20 +92,21 @@
         [&](const auto& it) { return it.second.contains(member); });
     if (zone == t.relays.end())
     {
-        return; // no runner has it
+        return; // no runner uses this relay
     }
     zone->second.erase(member);
     std::erase_if(t.routes, [&](const auto& it) { return it.second.member == member; });
 }
 
-const std::string& find_route(route_table& t, const ports::runner_ref& to, std::string_view avoids)
+const std::string& find_route(
+    route_table& t, const ports::runner_ref& to, std::string_view avoided_member)
 {
     const auto known = t.routes.find(to.id);
     if (known != t.routes.end())
     {
         return known->second.member;
     }
-    return t.routes.emplace(to.id, choose_route(t, to, avoids)).first->second.member;
+    return t.routes.emplace(to.id, choose_route(t, to, avoided_member)).first->second.member;
 }
 
 void forget_route(route_table& t, const std::string& runner)
--- a/libs/relay/src/route_table.hpp
+++ b/libs/relay/src/route_table.hpp
@@ -1,10 +1,12 @@
 /// \file
-/// Which relay calls a runner, kept up to date as relays come and go.
+/// Maps each runner to the relay that calls it, and updates the mapping when relays are added or
+/// removed.
 ///
-/// Weighted rendezvous hashing: a runner keeps its relay while that is well, and a relay that comes
-/// or goes moves only its own runners. So each such event costs one look at each runner. Chosen
-/// anew among all relays, the runners of a fleet with a thousand of them would take the
-/// coordinator's whole processor, since some relay's record changes all the time.
+/// The table uses weighted rendezvous hashing. A runner keeps its relay while the relay is
+/// available, and adding or removing a relay moves only the runners of that relay, so each such
+/// event costs at most one comparison for each runner. Choosing among all relays again for each
+/// runner would use the coordinator's whole processor in a fleet with a thousand relays, because
+/// the record of some relay changes all the time.
 #pragma once
 
 #include "ports/relays.hpp"
@@ -22,33 +24,37 @@
 /// The relay chosen for one runner.
 struct route
 {
-    std::string member; ///< empty: no relay is well
-    std::string zone;   ///< of the runner
-    std::string avoids; ///< a relay that may not be chosen; empty: none
+    std::string member;         ///< empty: no relay is available
+    std::string zone;           ///< zone of the runner
+    std::string avoided_member; ///< member whose relay must not be chosen; empty: none
     bool same_zone = false;
     double score = 0;
 };
 
+/// The available relays and the route of each runner.
 struct route_table
 {
-    /// Shares of a processor of the relays that take orders, by zone and member.
+    /// Processor shares of the relays that accept orders, by zone and member.
     std::map<std::string, std::map<std::string, double>> relays;
-    std::unordered_map<std::string, route> routes; ///< by runner
-    std::uint64_t scored = 0;                      ///< pairs of runner and relay that were compared
+    std::unordered_map<std::string, route> routes; ///< key: runner
+    std::uint64_t comparisons = 0; ///< number of comparisons of a runner with a relay
 };
 
-/// The relay takes orders from now on, or has another zone or share than before.
-void add_relay(route_table& t, const ports::relay_endpoint& place);
+/// Adds a relay that accepts orders, or updates its zone and share.
+void add_relay(route_table& t, const ports::relay_endpoint& endpoint);
 
-/// The relay takes no orders any more. Its runners are given to others when they are next asked
-/// for.
+/// Removes a relay that accepts no further orders. Its runners get another relay when find_route()
+/// is next called for them.
 void remove_relay(route_table& t, const std::string& member);
 
-/// \param avoids a relay that may not be chosen for this runner; empty: none. Looked at when the
-/// runner has no route: forget_route() makes a change count.
-/// \return the relay that calls the runner; empty: none is well.
-const std::string& find_route(route_table& t, const ports::runner_ref& to, std::string_view avoids);
+/// \param avoided_member member whose relay must not be chosen for this runner; empty: none.
+/// Considered
+///   only when the runner has no route yet; a change takes effect after forget_route().
+/// \return the member whose relay calls the runner; empty: no relay is available.
+const std::string& find_route(
+    route_table& t, const ports::runner_ref& to, std::string_view avoided_member);
 
+/// Removes the route of a runner, so that find_route() chooses it again.
 void forget_route(route_table& t, const std::string& runner);
 
 } // namespace camphorhitch::relay
--- a/libs/relay/src/server.cpp
+++ b/libs/relay/src/server.cpp
@@ -19,11 +19,11 @@
     /// A connected coordinator.
     struct client
     {
-        std::shared_ptr<channel> wire;
-        answer_batch answers; ///< gathered in this turn of the loop
-        std::uint64_t received = 0;
-        core::mono_time heard_at;
-        core::mono_time sent_at;
+        std::shared_ptr<channel> connection;
+        answer_batch answers; ///< answers collected in this iteration of the event loop
+        std::uint64_t receive_count = 0;
+        core::mono_time last_heard;
+        core::mono_time last_sent;
     };
 
     server_parts parts;
@@ -31,37 +31,38 @@
     ports::scheduler time;
     ACE_SOCK_Acceptor acceptor;
     std::map<std::uint64_t, client> clients;
-    std::uint64_t last_client = 0;
+    std::uint64_t last_client_id = 0;
     std::int64_t highest_token = 0;
-    core::mono_time ticked_at; ///< by the clock that goes on in a suspension
+    /// Time of boot_now(), which continues while the machine is suspended.
+    core::mono_time last_tick_at;
     ports::timer_id timer = 0;
-    bool flushing = false;
+    bool flush_scheduled = false;
     bool leaving = false;
 
-    void accept_all();
+    void accept_connections();
     void add_client(const ACE_SOCK_Stream& socket);
-    void take(std::uint64_t id, std::string_view frame);
-    bool token_in_force(std::uint64_t id, const order_batch& batch);
-    void carry_out(std::uint64_t id, const order& o);
-    void answered(std::uint64_t id, answer a);
+    void handle_frame(std::uint64_t id, std::string_view frame);
+    bool has_current_token(std::uint64_t id, const order_batch& batch);
+    void execute_order(std::uint64_t id, const order& o);
+    void queue_answer(std::uint64_t id, answer a);
     void flush();
-    void send_to(const std::function<bool(const client&)>& picked);
+    void send_to(const std::function<bool(const client&)>& is_selected);
     void send(client& c);
     void tick();
-    bool woke();
-    std::string standstill();
-    void drop(std::uint64_t id, const std::string& why);
-    void drop_all(const std::string& why);
+    bool was_paused();
+    std::string pause_reason();
+    void disconnect_client(std::uint64_t id, const std::string& reason);
+    void disconnect_all_clients(const std::string& reason);
 };
 
-void server_state::accept_all()
+void server_state::accept_connections()
 {
     ACE_SOCK_Stream socket;
     while (acceptor.accept(socket) == 0)
     {
-        if (clients.size() >= limits.most_connections)
+        if (clients.size() >= limits.max_connections)
         {
-            drop(clients.begin()->first, "too many connections");
+            disconnect_client(clients.begin()->first, "too many connections");
         }
         add_client(socket);
         socket.set_handle(ACE_INVALID_HANDLE);
@@ -71,34 +72,35 @@
 void server_state::add_client(const ACE_SOCK_Stream& socket)
 {
     auto tuned = socket;
-    tune(tuned);
-    const auto id = ++last_client;
+    configure_socket(tuned);
+    const auto id = ++last_client_id;
     channel_events events;
     events.on_frame = [this, id](std::string_view frame)
     {
-        take(id, frame);
+        handle_frame(id, frame);
     };
-    events.on_closed = [this, id](const std::string& why)
+    events.on_closed = [this, id](const std::string& reason)
     {
-        drop(id, why);
+        disconnect_client(id, reason);
     };
     auto& c = clients[id];
-    c.wire = std::make_shared<channel>(*parts.loop, tuned, true, std::move(events));
-    c.heard_at = time.now();
-    c.wire->open();
+    c.connection = std::make_shared<channel>(*parts.loop, tuned, true, std::move(events));
+    c.last_heard = time.now();
+    c.connection->open();
     c.answers.leaving = leaving;
     send(c);
 }
 
-void server_state::take(std::uint64_t id, std::string_view frame)
+void server_state::handle_frame(std::uint64_t id, std::string_view frame)
 {
-    // Orders that lay in the buffers during a standstill are seconds old, and their sender has long
-    // counted them as unknown. Carried out late they do no harm: a start whose lease has ended, a
-    // run that is not above one that ended, and an older token are each refused by the runner, and
-    // a poll names the lease's absolute end. Dropping them only spares the calls.
-    if (woke())
+    // Orders that were buffered while the process was paused are seconds old, and their sender has
+    // already counted them as unknown. Executing them late would do no harm: a runner refuses a
+    // start whose lease has ended, a run number that is not above one that has ended, and an older
+    // fencing token; and a poll names the absolute end of the lease. Dropping these orders only
+    // saves the calls.
+    if (was_paused())
     {
-        drop_all(standstill());
+        disconnect_all_clients(pause_reason());
         return;
     }
     if (frame.empty())
@@ -108,30 +110,31 @@
     const auto read = decode_orders(frame);
     if (!core::is_ok(read))
     {
-        drop(id, "bad frame: " + core::failure(read).message);
+        disconnect_client(id, "bad frame: " + core::failure(read).message);
         return;
     }
     const auto& batch = core::value(read);
-    if (!token_in_force(id, batch))
+    if (!has_current_token(id, batch))
     {
         return;
     }
     for (const auto& it : batch.orders)
     {
-        carry_out(id, it);
+        execute_order(id, it);
     }
 }
 
-/// A former owner that has not noticed its end may still send; what this relay has seen of its
-/// successor saves each runner the refusal.
-bool server_state::token_in_force(std::uint64_t id, const order_batch& batch)
+/// A previous coordinator that has not noticed the end of its term may still send orders. The relay
+/// compares their fencing token with the highest token that it has received, which saves each
+/// runner the refusal.
+bool server_state::has_current_token(std::uint64_t id, const order_batch& batch)
 {
     for (const auto& it : batch.orders)
     {
-        const auto token = token_of(it.body);
+        const auto token = fencing_token_of(it.body);
         if (token < highest_token)
         {
-            drop(id, "a former owner's token " + std::to_string(token));
+            disconnect_client(id, "a former owner's token " + std::to_string(token));
             return false;
         }
         highest_token = token;
@@ -139,13 +142,13 @@
     return true;
 }
 
-void server_state::carry_out(std::uint64_t id, const order& o)
+void server_state::execute_order(std::uint64_t id, const order& o)
 {
     const auto done = [weak = weak_from_this(), id, number = o.number](const auto& a)
     {
         if (const auto self = weak.lock())
         {
-            self->answered(id, {number, a});
+            self->queue_answer(id, {number, a});
         }
     };
     if (const auto* const start = std::get_if<ports::start_order>(&o.body))
@@ -166,7 +169,7 @@
     }
 }
 
-void server_state::answered(std::uint64_t id, answer a)
+void server_state::queue_answer(std::uint64_t id, answer a)
 {
     const auto found = clients.find(id);
     if (found == clients.end())
@@ -174,9 +177,9 @@
         return;
     }
     found->second.answers.answers.push_back(std::move(a));
-    if (!flushing)
+    if (!flush_scheduled)
     {
-        flushing = true;
+        flush_scheduled = true;
         time.post(
             [weak = weak_from_this()]
             {
@@ -190,17 +193,18 @@
 
 void server_state::flush()
 {
-    flushing = false;
+    flush_scheduled = false;
     send_to([](const client& c) { return !c.answers.answers.empty(); });
 }
 
-/// Sends to the clients of whom \p picked is true; a client that can't take it is gone then.
-void server_state::send_to(const std::function<bool(const client&)>& picked)
+/// Sends the collected answers to the clients for which \p is_selected returns true. A client that
+/// can't be written to is removed.
+void server_state::send_to(const std::function<bool(const client&)>& is_selected)
 {
     std::vector<std::uint64_t> ids;
     for (const auto& [id, c] : clients)
     {
-        if (picked(c))
+        if (is_selected(c))
         {
             ids.push_back(id);
         }
@@ -216,18 +220,18 @@
 
 void server_state::send(client& c)
 {
-    c.sent_at = time.now();
-    const auto wire = c.wire;
+    c.last_sent = time.now();
+    const auto connection = c.connection;
     auto all = std::exchange(c.answers, {});
     answer_batch part;
     part.leaving = all.leaving;
     std::size_t bytes = 0;
     for (auto& it : all.answers)
     {
-        const auto more = size_bound(it);
-        if (bytes + more > batch_bytes && !part.answers.empty())
+        const auto more = max_encoded_size(it);
+        if (bytes + more > max_batch_bytes && !part.answers.empty())
         {
-            wire->send(encode(part));
+            connection->send(encode(part));
             part.answers.clear();
             bytes = 0;
         }
@@ -235,69 +239,71 @@
         part.answers.push_back(std::move(it));
     }
     const bool empty = part.answers.empty() && !part.leaving;
-    wire->send(empty ? std::string{} : encode(part));
+    connection->send(empty ? std::string{} : encode(part));
 }
 
-/// \return whether the process stood still for longer than its clients waited, suspended or not.
-bool server_state::woke()
+/// \return whether the process was paused, by a suspension or otherwise, for longer than its
+///   clients wait.
+bool server_state::was_paused()
 {
-    return parts.boot_now() - ticked_at > limits.longest_standstill + limits.heartbeat;
+    return parts.boot_now() - last_tick_at > limits.max_pause + limits.heartbeat_interval;
 }
 
-/// \return the reason for the log.
-std::string server_state::standstill()
+/// \return the length of the pause, as a reason for the log.
+std::string server_state::pause_reason()
 {
-    const auto gap = std::chrono::duration_cast<core::millis>(parts.boot_now() - ticked_at);
+    const auto gap = std::chrono::duration_cast<core::millis>(parts.boot_now() - last_tick_at);
     return "standstill of " + std::to_string(gap.count()) + " ms";
 }
 
 void server_state::tick()
 {
-    if (woke())
+    if (was_paused())
     {
-        drop_all(standstill());
+        disconnect_all_clients(pause_reason());
     }
-    ticked_at = parts.boot_now();
+    last_tick_at = parts.boot_now();
     const auto now = time.now();
-    std::vector<std::uint64_t> silent;
+    std::vector<std::uint64_t> unresponsive;
     for (auto& [id, c] : clients)
     {
-        if (c.wire->received() != c.received)
+        if (c.connection->receive_count() != c.receive_count)
         {
-            c.received = c.wire->received();
-            c.heard_at = now;
+            c.receive_count = c.connection->receive_count();
+            c.last_heard = now;
         }
-        if (now - c.heard_at > limits.longest_silence)
+        if (now - c.last_heard > limits.connection_timeout)
         {
-            silent.push_back(id);
+            unresponsive.push_back(id);
         }
     }
-    for (const auto id : silent)
+    for (const auto id : unresponsive)
     {
-        drop(id, "silent");
+        disconnect_client(id, "silent");
     }
-    send_to([&](const client& c) { return now - c.sent_at >= limits.heartbeat; });
-    timer = time.after(limits.heartbeat, [this] { tick(); });
+    send_to([&](const client& c) { return now - c.last_sent >= limits.heartbeat_interval; });
+    timer = time.after(limits.heartbeat_interval, [this] { tick(); });
 }
 
-void server_state::drop(std::uint64_t id, const std::string& why)
+void server_state::disconnect_client(std::uint64_t id, const std::string& reason)
 {
     const auto found = clients.find(id);
     if (found == clients.end())
     {
         return;
     }
-    const auto wire = found->second.wire; // may be inside its own event
+    // This call may come from an event of the channel, which must outlive the event.
+    const auto connection = found->second.connection;
     clients.erase(found);
-    wire->close();
-    parts.tel.log(log_level::info, "relay_client_gone", {{"reason", why}});
+    connection->close();
+    parts.tel.log(log_level::info, "relay_client_gone", {{"reason", reason}});
 }
 
-void server_state::drop_all(const std::string& why)
+void server_state::disconnect_all_clients(const std::string& reason)
 {
     while (!clients.empty())
     {
-        drop(clients.begin()->first, why);
+        disconnect_client(clients.begin()->first, reason);
     }
 }
 
@@ -312,7 +318,7 @@
     state_->acceptor.close();
     for (auto& [id, c] : state_->clients)
     {
-        c.wire->close();
+        c.connection->close();
     }
     state_->clients.clear();
 }
@@ -330,7 +336,7 @@
         return core::error{core::error_code::unavailable, "can't listen at " + address};
     }
     state->acceptor.enable(ACE_NONBLOCK);
-    state->ticked_at = state->parts.boot_now();
+    state->last_tick_at = state->parts.boot_now();
     state->parts.loop->watch_fd(state->acceptor.get_handle(),
         true,
         false,
@@ -338,7 +344,7 @@
         {
             if (const auto self = weak.lock())
             {
-                self->accept_all();
+                self->accept_connections();
             }
         });
     state->tick();
--- a/libs/relay/tests/codec_tests.cpp
+++ b/libs/relay/tests/codec_tests.cpp
@@ -43,7 +43,7 @@
 
 TEST_GROUP(relay_codec){};
 
-TEST(relay_codec, orders_come_back_as_they_were)
+TEST(relay_codec, orders_are_decoded_unchanged)
 {
     const auto read = decode_orders(encode(all_orders()));
     CHECK(core::is_ok(read));
@@ -69,14 +69,14 @@
     CHECK_EQUAL(4U, got[3].number);
 }
 
-TEST(relay_codec, answers_come_back_as_they_were)
+TEST(relay_codec, answers_are_decoded_unchanged)
 {
     const auto read = decode_answers(encode(all_answers()));
     CHECK(core::is_ok(read));
     const auto& got = core::value(read);
     CHECK(got.leaving);
-    CHECK(call_of(got.answers[0]).verdict == ports::runner_verdict::no_room);
-    CHECK_EQUAL(482113, call_of(got.answers[0]).clock_ms);
+    CHECK(runner_answer_of(got.answers[0]).verdict == ports::runner_verdict::no_room);
+    CHECK_EQUAL(482113, runner_answer_of(got.answers[0]).clock_ms);
     const auto& poll = std::get<ports::poll_answer>(got.answers[1].body);
     CHECK(poll.call.verdict == ports::runner_verdict::done);
     CHECK_EQUAL(482114, poll.call.clock_ms);
@@ -88,9 +88,9 @@
     CHECK_FALSE(poll.ends_truncated);
 }
 
-// Taken for a whole list, it would make a run whose end is left out look missing, and its task
-// would start again.
-TEST(relay_codec, an_answer_that_leaves_ends_out_stays_so)
+// Guards against losing the mark of a truncated list of ends: if the list counted as complete, a
+// run whose end is left out would seem to be missing, and its task would be started again.
+TEST(relay_codec, a_truncated_answer_stays_marked_as_truncated)
 {
     for (const bool left_out : {false, true})
     {
@@ -104,13 +104,14 @@
     }
 }
 
-TEST(relay_codec, every_verdict_and_every_end_has_its_place)
+TEST(relay_codec, every_verdict_and_every_end_is_encoded)
 {
     for (const auto& it : ports::runner_verdict_names)
     {
         answer_batch out;
         out.answers.push_back({1, ports::runner_answer{it.value, 1}});
-        CHECK(call_of(core::value(decode_answers(encode(out))).answers[0]).verdict == it.value);
+        CHECK(runner_answer_of(core::value(decode_answers(encode(out))).answers[0]).verdict ==
+              it.value);
     }
     for (const auto& it : ports::run_end_names)
     {
@@ -128,16 +129,16 @@
 {
     for (const auto& it : all_orders().orders)
     {
-        CHECK(encode(order_batch{{it}}).size() <= size_bound(it) + 64);
+        CHECK(encode(order_batch{{it}}).size() <= max_encoded_size(it) + 64);
     }
     for (const auto& it : all_answers().answers)
     {
-        CHECK(encode(answer_batch{{it}, false}).size() <= size_bound(it) + 64);
+        CHECK(encode(answer_batch{{it}, false}).size() <= max_encoded_size(it) + 64);
     }
 }
 
-// A frame cut short, or with a value that this version does not know, is an error of its
-// connection; it never reads as fewer orders or as another verdict.
+// Guards against a damaged message that is read as fewer orders or as another verdict. A truncated
+// frame, or a frame with a value that this version does not know, is an error of its connection.
 TEST(relay_codec, damaged_bytes_are_refused)
 {
     const auto whole = encode(all_orders());
@@ -153,8 +154,8 @@
     CHECK(!core::is_ok(decode_answers(encode(odd))));
 }
 
-// Any bytes may come from a broken sender: each ends as a batch or as an error, without reading
-// beyond them (the sanitizers watch).
+// Guards against out-of-bounds reads. A faulty sender may send any bytes; decoding must return a
+// batch or an error without reading beyond the bytes, which the sanitizers check.
 TEST(relay_codec, bytes_changed_at_random_are_a_batch_or_an_error)
 {
     constexpr int rounds = 4000;
--- a/libs/relay/tests/fixture.hpp
+++ b/libs/relay/tests/fixture.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// A pool and relays on loopback, each with an event loop of its own, so that one can stand still.
+/// Runs a relay pool and relays on loopback. Each has its own event loop, so that a test can pause
+/// it.
 #pragma once
 
 #include "http_fakes/fakes.hpp"
@@ -19,7 +20,7 @@
 struct log_lines
 {
     std::vector<std::string> lines;
-    std::map<std::string, double> levels;
+    std::map<std::string, double> gauges;
 
     ports::telemetry port()
     {
@@ -40,12 +41,12 @@
         };
         out.gauge = [this](const std::string& name, const ports::metric_labels&, double v)
         {
-            levels[name] = v;
+            gauges[name] = v;
         };
         return out;
     }
 
-    /// \return all lines, for the report of a failure.
+    /// \return all lines, for the message of a failed check.
     std::string text() const
     {
         std::string out;
@@ -69,15 +70,15 @@
     }
 };
 
-/// Runners that answer at once, or when told to.
+/// Runners that answer immediately, or when the test releases their answers.
 struct fake_runners
 {
-    std::vector<std::string> seen; ///< kind, runner and task of each order
+    std::vector<std::string> received_orders; ///< kind, runner and task of each order
     bool answers = true;
-    bool unreachable = false;                ///< orders end as unknown
-    std::vector<std::function<void()>> kept; ///< answers that are held back
+    bool unreachable = false;                        ///< orders end as unknown
+    std::vector<std::function<void()>> held_answers; ///< answers that are held back
 
-    /// \return the running row that each poll of the runner brings.
+    /// \return the answer to each poll of the runner.
     static ports::poll_answer poll_of(const std::string& runner)
     {
         ports::poll_answer out;
@@ -87,15 +88,15 @@
         return out;
     }
 
-    void answer(std::function<void()> say)
+    void answer(std::function<void()> reply)
     {
         if (answers)
         {
-            say();
+            reply();
         }
         else
         {
-            kept.push_back(std::move(say));
+            held_answers.push_back(std::move(reply));
         }
     }
 
@@ -105,7 +106,7 @@
         {
             return [this, kind](const ports::runner_ref& to, const auto& o, auto done)
             {
-                seen.push_back(std::string(kind) + ' ' + to.id + ' ' + o.task);
+                received_orders.push_back(std::string(kind) + ' ' + to.id + ' ' + o.task);
                 const ports::runner_answer good{ports::runner_verdict::done, 5};
                 answer([done, good, this] { done(unreachable ? ports::runner_answer{} : good); });
             };
@@ -116,14 +117,14 @@
         out.throttle = order("pace");
         out.poll = [this](const ports::runner_ref& to, const ports::poll_order&, auto done)
         {
-            seen.push_back("poll " + to.id);
+            received_orders.push_back("poll " + to.id);
             answer([done, id = to.id] { done(poll_of(id)); });
         };
         return out;
     }
 };
 
-/// A node that relays.
+/// A node with a relay.
 struct relay_node
 {
     std::string member;
@@ -131,9 +132,9 @@
     reactor::event_loop loop = reactor::event_loop::builder().build();
     fake_runners runners;
     log_lines log;
-    core::millis asleep{0}; ///< the machine was suspended for so long
-    bool frozen = false;
-    std::unique_ptr<server> made;
+    core::millis suspended_for{0}; ///< how long the machine was suspended
+    bool paused = false;
+    std::unique_ptr<server> instance;
     std::uint16_t port = 0;
 
     explicit relay_node(std::string name, std::string in = "z")
@@ -142,55 +143,56 @@
         open("127.0.0.1:0");
     }
 
-    server_limits limits; ///< in force from the next open()
+    server_limits limits; ///< take effect with the next open()
 
     void open(const std::string& address)
     {
         const auto boot_now = [this]
         {
-            return loop.scheduler().now() + asleep;
+            return loop.scheduler().now() + suspended_for;
         };
         auto opened = server::open(address, {&loop, runners.port(), log.port(), boot_now}, limits);
-        made = std::move(core::value(opened));
-        port = made->port();
+        instance = std::move(core::value(opened));
+        port = instance->port();
     }
 
-    ports::relay_endpoint place(double share = 1) const
+    ports::relay_endpoint endpoint(double share = 1) const
     {
         return {member, http_fakes::loopback(port), zone, share};
     }
 };
 
-/// The coordinator's side, and what runs beside it.
-struct bench
+/// The coordinator's node with its relay pool, and the relay nodes.
+struct pool_fixture
 {
     reactor::event_loop loop = reactor::event_loop::builder().build();
     fake_runners local;
     log_lines log;
     std::list<relay_node> relays;
-    core::micros longest_turn{0}; ///< of all loops; long when the machine is busy
-    bool owns = true;             ///< the lease of coordination holds
-    std::unique_ptr<pool> made;
+    /// Longest iteration of all loops; large when the machine is busy.
+    core::micros max_iteration{0};
+    bool has_lease = true; ///< the coordinator holds its lease
+    std::unique_ptr<pool> instance;
     ports::runners port;
 
-    explicit bench(pool_settings s = few_needed())
+    explicit pool_fixture(pool_settings s = settings_for_one_runner())
     {
-        made = std::make_unique<pool>(pool_parts{&loop,
-                                          "own",
-                                          local.port(),
-                                          log.port(),
-                                          [this]
-                                          {
-                                              return owns;
-                                          }},
+        instance = std::make_unique<pool>(pool_parts{&loop,
+                                              "own",
+                                              local.port(),
+                                              log.port(),
+                                              [this]
+                                              {
+                                                  return has_lease;
+                                              }},
             s);
-        port = made->port();
+        port = instance->port();
     }
 
-    static pool_settings few_needed()
+    static pool_settings settings_for_one_runner()
     {
         pool_settings s;
-        s.fewest_runners = 1;
+        s.min_runners = 1;
         return s;
     }
 
@@ -199,37 +201,37 @@
         return relays.emplace_back(member, zone);
     }
 
-    std::vector<ports::relay_endpoint> places() const
+    std::vector<ports::relay_endpoint> endpoints() const
     {
         std::vector<ports::relay_endpoint> out;
         for (const auto& it : relays)
         {
-            out.push_back(it.place());
+            out.push_back(it.endpoint());
         }
         return out;
     }
 
-    /// One turn of each loop that does not stand still.
-    void turn()
+    /// Runs one iteration of each event loop that is not paused.
+    void run_iteration()
     {
-        const auto begun = loop.scheduler().now();
+        const auto started = loop.scheduler().now();
         loop.run_once(core::millis{2});
         for (auto& it : relays)
         {
-            if (!it.frozen)
+            if (!it.paused)
             {
                 it.loop.run_once(core::millis{1});
             }
         }
-        longest_turn = std::max(longest_turn, loop.scheduler().now() - begun);
+        max_iteration = std::max(max_iteration, loop.scheduler().now() - started);
     }
 
-    bool until(const std::function<bool()>& holds)
+    bool run_until(const std::function<bool()>& holds)
     {
         const auto end = loop.scheduler().now() + http_fakes::give_up;
         while (!holds() && loop.scheduler().now() < end)
         {
-            turn();
+            run_iteration();
         }
         return holds();
     }
@@ -237,17 +239,17 @@
     void run_for(core::millis wait)
     {
         const auto end = loop.scheduler().now() + wait;
-        until([&] { return loop.scheduler().now() >= end; });
+        run_until([&] { return loop.scheduler().now() >= end; });
     }
 
-    /// Begins a term and connects to all relays.
+    /// Starts a term and connects to all relays.
     bool connect()
     {
-        made->begin();
-        made->set_relays(places());
+        instance->begin();
+        instance->set_relays(endpoints());
         bool polled = false;
         poll("first", [&](const ports::poll_answer&) { polled = true; });
-        return until([&] { return polled && connected() == relays.size(); });
+        return run_until([&] { return polled && connected() == relays.size(); });
     }
 
     std::size_t connected() const
--- a/libs/relay/tests/route_table_tests.cpp
+++ b/libs/relay/tests/route_table_tests.cpp
@@ -27,7 +27,7 @@
     return {"r" + std::to_string(i), "10.1.0.1:80", zone_of(i)};
 }
 
-/// A fleet of which each runner has been asked for once.
+/// A fleet in which each runner has a route.
 struct routed_fleet
 {
     route_table t;
@@ -39,10 +39,10 @@
         {
             add_relay(t, relay_of(i));
         }
-        look();
+        find_routes();
     }
 
-    std::vector<std::string> look()
+    std::vector<std::string> find_routes()
     {
         std::vector<std::string> out;
         for (int i = 0; i < runners; ++i)
@@ -65,40 +65,40 @@
 
 TEST_GROUP(route_table){};
 
-// Guards against the coordinator's standing still in a large fleet: relays renew their records many
-// times a second, and each renewal had all runners compared with all relays anew.
+// Guards against a coordinator that stops responding in a large fleet: relays renew their records
+// many times a second, and each renewal once compared all runners with all relays.
 TEST(route_table, a_renewed_record_costs_nothing)
 {
     for (const auto& it : sizes)
     {
         routed_fleet f(it.relays, it.runners);
-        const auto before = f.t.scored;
-        const auto routes = f.look();
+        const auto before = f.t.comparisons;
+        const auto routes = f.find_routes();
         for (int i = 0; i < it.relays; ++i)
         {
             add_relay(f.t, relay_of(i));
         }
-        CHECK(f.look() == routes);
-        CHECK_EQUAL(before, f.t.scored);
+        CHECK(f.find_routes() == routes);
+        CHECK_EQUAL(before, f.t.comparisons);
     }
 }
 
-// Guards against the same standstill while relays connect: each that became well, one by one, had
-// all runners compared with all relays anew.
-TEST(route_table, a_relay_that_comes_costs_one_look_at_each_runner)
+// Guards against the same overload while relays connect one by one: each relay that became ready
+// once caused a comparison of all runners with all relays.
+TEST(route_table, an_added_relay_costs_one_comparison_for_each_runner)
 {
     for (const auto& it : sizes)
     {
         routed_fleet f(it.relays, it.runners);
-        const auto before = f.t.scored;
+        const auto before = f.t.comparisons;
         add_relay(f.t, relay_of(it.relays));
-        f.look();
-        CHECK(f.t.scored - before <= static_cast<std::uint64_t>(it.runners));
+        f.find_routes();
+        CHECK(f.t.comparisons - before <= static_cast<std::uint64_t>(it.runners));
     }
 }
 
-// Guards against calls to one runner by two relays in turn: the order in which relays came must not
-// show in who calls it.
+// Guards against calls to one runner by two relays alternately: the relay of a runner must not
+// depend on the order in which the relays were added.
 TEST(route_table, routes_do_not_depend_on_the_order_of_events)
 {
     routed_fleet grown(2, 300);
@@ -106,28 +106,28 @@
     {
         add_relay(grown.t, relay_of(i));
     }
-    routed_fleet whole(20, 300);
-    CHECK(grown.look() == whole.look());
+    routed_fleet complete(20, 300);
+    CHECK(grown.find_routes() == complete.find_routes());
     remove_relay(grown.t, relay_of(7).member);
     remove_relay(grown.t, relay_of(8).member);
     add_relay(grown.t, relay_of(8));
-    remove_relay(whole.t, relay_of(7).member);
-    CHECK(grown.look() == whole.look());
+    remove_relay(complete.t, relay_of(7).member);
+    CHECK(grown.find_routes() == complete.find_routes());
 }
 
-TEST(route_table, a_relay_that_goes_moves_only_its_own_runners)
+TEST(route_table, a_removed_relay_moves_only_its_own_runners)
 {
     routed_fleet f(12, 300);
-    const auto before = f.look();
+    const auto before = f.find_routes();
     remove_relay(f.t, "n3");
-    const auto after = f.look();
+    const auto after = f.find_routes();
     for (std::size_t i = 0; i < before.size(); ++i)
     {
         CHECK(before[i] == "n3" ? after[i] != "n3" : after[i] == before[i]);
     }
 }
 
-TEST(route_table, the_own_zone_goes_before_others_and_any_before_none)
+TEST(route_table, a_relay_in_the_runners_zone_is_preferred_to_any_other)
 {
     route_table t;
     CHECK(find_route(t, runner_of(0), {}).empty());
@@ -139,7 +139,7 @@
     STRCMP_EQUAL("n1", find_route(t, runner_of(0), {}).c_str());
 }
 
-TEST(route_table, an_avoided_relay_is_not_chosen_when_it_comes_again)
+TEST(route_table, an_avoided_relay_is_not_chosen_when_it_is_added_again)
 {
     route_table t;
     add_relay(t, relay_of(0));
--- a/libs/relay/tests/server_tests.cpp
+++ b/libs/relay/tests/server_tests.cpp
@@ -43,7 +43,7 @@
     CHECK(!sound.closed());
 }
 
-TEST(relay_server, a_connection_that_says_nothing_hears_heartbeats)
+TEST(relay_server, an_idle_connection_receives_heartbeats)
 {
     http_fakes::raw_caller caller(node.port);
     http_fakes::run_for(node.loop, 900ms);
@@ -54,7 +54,7 @@
 TEST(relay_server, connections_are_bounded)
 {
     std::list<http_fakes::raw_caller> callers;
-    for (std::size_t i = 0; i < server_limits{}.most_connections + 2; ++i)
+    for (std::size_t i = 0; i < server_limits{}.max_connections + 2; ++i)
     {
         callers.emplace_back(node.port);
         http_fakes::run_for(node.loop, 5ms);
--- a/programs/camphorhitchd/src/hosted_node.cpp
+++ b/programs/camphorhitchd/src/hosted_node.cpp
@@ -44,7 +44,7 @@
     constexpr std::size_t least = 32;
     relay::pool_settings out;
     const auto by_share = static_cast<std::size_t>(whole_core_calls * processor_share);
-    out.most_local_calls = std::max(least, by_share);
+    out.max_local_calls = std::max(least, by_share);
     return out;
 }
 
