--- a/libs/experiment/include/experiment/lifecycle.hpp
+++ b/libs/experiment/include/experiment/lifecycle.hpp
@@ -1,11 +1,13 @@
 /// \file
-/// Start, run and end of an experiment, over two documents that can't be written at once: its own
-/// and the configuration.
+/// Starts, runs and ends an experiment. This involves two documents that can't be written in one
+/// transaction: the experiment's document and the configuration.
 ///
-/// The order is: own document `applying`, configuration with the arms' policies, own document
-/// `running`; and at the end own document `restoring`, configuration restored, own document
-/// `ended`. A pool under an experiment's policy says so in the configuration itself, with the
-/// policy before, and an operator's change of its policy takes that mark away.
+/// The order of the writes is: the experiment's document in state `applying`, the configuration
+/// with the arms' policies, the experiment's document in state `running`; and at the end the
+/// experiment's document in state `restoring`, the restored configuration, the experiment's
+/// document in state `ended`. The configuration itself marks a pool that is under an experiment's
+/// policy, together with the policy before the experiment. An operator's change of the pool's
+/// policy removes the mark.
 #pragma once
 
 #include "core/findings.hpp"
@@ -23,6 +25,7 @@
 namespace camphorhitch::experiment
 {
 
+/// An operator's request to start an experiment.
 struct start_request
 {
     std::string id;
@@ -34,22 +37,24 @@
     guard_rails guards;
 };
 
-/// \param hosts number of hosts by pool; a pool's configured size_class goes before it.
-/// \return the new document, or everything wrong with the request.
+/// \param hosts number of hosts by pool; a pool's configured size_class takes precedence.
+/// \return the new document, or everything that is wrong with the request.
 std::variant<experiment_document, core::findings> start(const start_request& request,
     const model::configuration& c,
     const std::map<std::string, int>& hosts,
     core::wall_time now);
 
-/// Deals pools to arms at random, within blocks of like size. The same in every run.
-/// \return records in the order of their size; pools that fill no whole block are left out.
-std::vector<pool_record> assign(
-    std::vector<pool_record> pools, const std::vector<arm>& arms, std::uint64_t seed);
+/// Assigns pools to arms at random, within blocks of pools of similar size. The result depends on
+/// the arguments only.
+/// \return records in the order of their size; pools that don't fill a whole block are left out.
+std::vector<experiment_pool> assign_pools(
+    std::vector<experiment_pool> pools, const std::vector<arm>& arms, std::uint64_t seed);
 
-/// What to write next.
+/// The next write of an experiment.
 struct write_configuration
 {
-    model::configuration next; ///< its version is one above the one it was decided from
+    /// Its version is one above the version that the decision is based on.
+    model::configuration next;
 };
 struct write_experiment
 {
@@ -57,39 +62,42 @@
 };
 using next_write = std::variant<std::monostate, write_configuration, write_experiment>;
 
-/// \return the next write, conditional on the very revisions that both documents were read at.
+/// \return the next write. It must be conditional on the revisions at which both documents were
+///   read.
 next_write next_step(
     const experiment_document& d, const model::configuration& c, core::wall_time now);
 
-/// Ends a running experiment. A repeat of the command, or an end by another cause, changes nothing.
-/// \return whether the document changed.
+/// Ends a running experiment. A repeated command, or an experiment that has already ended for
+/// another reason, changes nothing.
 bool stop(experiment_document& d, const std::string& command, core::wall_time now);
 
-/// One pool since the last sample.
+/// Observations of one pool since the last sample.
 struct pool_sample
 {
     std::string pool;
     int hosts = 0;
-    int held_back = 0; ///< hosts kept empty as spare capacity for it
+    int spare_hosts = 0; ///< hosts kept empty as spare capacity for the pool
     int absent = 0;
     int absent_budget = 0;
-    bool zone_at_limit = false;   ///< some zone's budget is used up
-    bool zone_over = false;       ///< some zone has more absent than its budget
-    int halted_waves = 0;         ///< halted since the last sample
-    std::vector<double> rollouts; ///< hours of the waves that finished since
+    bool zone_at_limit = false;    ///< the budget of at least one zone is used up
+    bool zone_over_budget = false; ///< at least one zone has more absent hosts than its budget
+    int halted_waves = 0;          ///< waves halted since the last sample
+    /// Durations of the waves that finished since the last sample, in hours.
+    std::vector<double> rollouts;
     int host_moves = 0;
     int job_moves = 0;
 };
 
+/// Observations of all pools of an experiment.
 struct sample
 {
-    std::string id;          ///< never used twice: a repeat is not counted again
-    core::millis elapsed{0}; ///< covered by it, on the monotonic clock of whoever took it
+    std::string id; ///< unique; a repeated sample is not counted again
+    /// Time covered by the sample, on the monotonic clock of the member that took it.
+    core::millis elapsed{0};
     std::vector<pool_sample> pools;
 };
 
-/// Counts a sample. May end the experiment, by its time or by a guard rail.
-/// \return whether the document changed.
+/// Counts a sample. May end the experiment when its duration is over or a guard rail is violated.
 bool add_sample(experiment_document& d, const sample& s, core::wall_time now);
 
 } // namespace camphorhitch::experiment
--- a/libs/experiment/include/experiment/report.hpp
+++ b/libs/experiment/include/experiment/report.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// An experiment's report: text for people, JSON, and a plot for gnuplot. The caller writes the
-/// files; no process is started.
+/// Reports of an experiment: text, JSON, and a plot for gnuplot. The caller writes the files; no
+/// process is started.
 #pragma once
 
 #include "experiment/outcome.hpp"
@@ -10,17 +10,21 @@
 namespace camphorhitch::experiment
 {
 
+/// \return the report as text.
 std::string report_text(const experiment_document& d, const outcome& o);
+/// \return the report as JSON.
 std::string report_json(const experiment_document& d, const outcome& o);
 
+/// Texts of the two files of a plot.
 struct plot_files
 {
-    std::string script; ///< reads `data_name`, writes an SVG
+    std::string script; ///< reads `data_name` and writes an SVG file
     std::string data;
 };
 
-/// \param data_name file name under which the caller stores the data, beside the script.
-/// \param svg_name file name of the picture.
+/// \param data_name name of the file in which the caller stores the data, in the directory of the
+///   script.
+/// \param svg_name name of the picture file.
 plot_files report_plot(const experiment_document& d,
     const outcome& o,
     const std::string& data_name,
--- a/libs/experiment/src/codec.cpp
+++ b/libs/experiment/src/codec.cpp
@@ -7,7 +7,7 @@
 namespace camphorhitch::experiment
 {
 
-/// T, or const T when writing.
+/// Matches Record when reading, and const Record when writing.
 template <class T, class Record>
 concept is_record = std::is_same_v<std::remove_const_t<T>, Record>;
 
@@ -18,7 +18,7 @@
         .required("policy", r.policy, checked_json::check_name);
 }
 
-template <class Keys, is_record<totals> R>
+template <class Keys, is_record<pool_measurements> R>
 void describe(Keys& keys, R& r)
 {
     using checked_json::real_range;
@@ -31,7 +31,7 @@
         .optional("job_moves", r.job_moves);
 }
 
-template <class Keys, is_record<pool_record> R>
+template <class Keys, is_record<experiment_pool> R>
 void describe(Keys& keys, R& r)
 {
     keys.required("pool", r.pool)
@@ -40,7 +40,7 @@
         .optional("size", r.size, checked_json::real_range{})
         .required("policy_before", r.policy_before)
         .optional("withdrawn", r.withdrawn)
-        .defaulted("sum", r.sum)
+        .defaulted("sum", r.measured)
         .optional("at_limit_ms", r.at_limit_ms);
 }
 
@@ -48,9 +48,9 @@
 void describe(Keys& keys, R& r)
 {
     using checked_json::int_range;
-    keys.defaulted("most_at_limit_ms", r.most_at_limit_ms, int_range{})
-        .defaulted("most_over_budget", r.most_over_budget, int_range{0, 1000000})
-        .defaulted("most_halted_waves", r.most_halted_waves, int_range{0, 1000000});
+    keys.defaulted("most_at_limit_ms", r.max_at_limit_ms, int_range{})
+        .defaulted("most_over_budget", r.max_over_budget, int_range{0, 1000000})
+        .defaulted("most_halted_waves", r.max_halted_waves, int_range{0, 1000000});
 }
 
 template <class Keys, is_record<experiment_document> R>
@@ -63,9 +63,9 @@
         .required("duration_ms", r.duration_ms)
         .defaulted("guards", r.guards)
         .required("state", r.state, experiment_state_names)
-        .required("cause", r.cause, end_cause_names)
+        .required("cause", r.reason, end_reason_names)
         .required("base_version", r.base_version)
-        .required("pools", r.pools, unique_by<pool_record>{"pool", &pool_record::pool})
+        .required("pools", r.pools, unique_by<experiment_pool>{"pool", &experiment_pool::pool})
         .optional("started_ms", r.started_ms)
         .optional("ended_ms", r.ended_ms)
         .optional("observed_ms", r.observed_ms)
@@ -73,9 +73,9 @@
         .optional("halted_waves", r.halted_waves)
         .optional("last_sample", r.last_sample)
         .optional("commands", r.commands)
-        .optional("rule", r.why.rule)
-        .optional("weighed", r.why.weighed)
-        .optional("decided_ms", r.why.at_ms);
+        .optional("rule", r.decision.rule)
+        .optional("weighed", r.decision.weighed)
+        .optional("decided_ms", r.decision.at_ms);
 }
 
 template <class Keys, is_record<start_request> R>
--- a/libs/experiment/src/experiment.cpp
+++ b/libs/experiment/src/experiment.cpp
@@ -14,18 +14,18 @@
 auto find_in(Document& d, const std::string& pool) -> decltype(d.pools.data())
 {
     const auto it = std::find_if(
-        d.pools.begin(), d.pools.end(), [&](const pool_record& p) { return p.pool == pool; });
+        d.pools.begin(), d.pools.end(), [&](const experiment_pool& p) { return p.pool == pool; });
     return it == d.pools.end() ? nullptr : &*it;
 }
 
 } // namespace
 
-pool_record* find_pool(experiment_document& d, const std::string& pool)
+experiment_pool* find_pool(experiment_document& d, const std::string& pool)
 {
     return find_in(d, pool);
 }
 
-const pool_record* find_pool(const experiment_document& d, const std::string& pool)
+const experiment_pool* find_pool(const experiment_document& d, const std::string& pool)
 {
     return find_in(d, pool);
 }
--- a/libs/experiment/src/lifecycle.cpp
+++ b/libs/experiment/src/lifecycle.cpp
@@ -8,46 +8,48 @@
 namespace
 {
 
-/// Ids of the newest commands that a configuration remembers.
-constexpr std::size_t most_commands = 200;
+/// Number of command ids kept in a configuration; the oldest are removed.
+constexpr std::size_t max_commands = 200;
 
 constexpr double ms_per_hour = 3600000.0;
 
-std::string command_of(const experiment_document& d, const char* what)
+std::string command_id(const experiment_document& d, const char* change)
 {
-    return "experiment/" + d.id + '@' + std::to_string(d.started_ms) + '/' + what;
+    return "experiment/" + d.id + '@' + std::to_string(d.started_ms) + '/' + change;
 }
 
-bool was_applied(const model::configuration& c, const std::string& command)
+bool was_command_applied(const model::configuration& c, const std::string& command)
 {
     return std::find(c.commands.begin(), c.commands.end(), command) != c.commands.end();
 }
 
-void finish_change(model::configuration& c, std::string command)
+void complete_change(model::configuration& c, std::string command)
 {
     c.version += 1;
     c.commands.push_back(std::move(command));
-    if (c.commands.size() > most_commands)
+    if (c.commands.size() > max_commands)
     {
         c.commands.erase(c.commands.begin());
     }
 }
 
-model::pool_config* find_config(model::configuration& c, const std::string& pool)
+model::pool_config* find_pool_config(model::configuration& c, const std::string& pool)
 {
     const auto it =
         std::find_if(c.pools.begin(), c.pools.end(), [&](const auto& p) { return p.name == pool; });
     return it == c.pools.end() ? nullptr : &*it;
 }
 
-/// An operator who edits the whole configuration may change the policy and leave the mark.
-bool is_under_arm(const experiment_document& d, const model::configuration& c, const pool_record& p)
+/// The policy is compared as well as the mark, because an operator who edits the whole
+/// configuration may change the policy and leave the mark.
+bool uses_arm_policy(
+    const experiment_document& d, const model::configuration& c, const experiment_pool& p)
 {
     const model::pool_config* it = model::find_pool(c, p.pool);
     return it != nullptr && it->experiment == d.id && it->policy == policy_of(d, p.arm);
 }
 
-bool any_is_marked(const experiment_document& d, const model::configuration& c)
+bool has_marked_pool(const experiment_document& d, const model::configuration& c)
 {
     return std::any_of(c.pools.begin(),
         c.pools.end(),
@@ -59,7 +61,7 @@
     model::configuration next = c;
     for (const auto& it : d.pools)
     {
-        model::pool_config* pool = find_config(next, it.pool);
+        model::pool_config* pool = find_pool_config(next, it.pool);
         if (it.withdrawn || pool == nullptr)
         {
             continue;
@@ -68,11 +70,12 @@
         pool->policy_before = pool->policy;
         pool->policy = policy_of(d, it.arm);
     }
-    finish_change(next, command_of(d, "apply"));
+    complete_change(next, command_id(d, "apply"));
     return next;
 }
 
-model::configuration restored(const experiment_document& d, const model::configuration& c)
+model::configuration with_policies_restored(
+    const experiment_document& d, const model::configuration& c)
 {
     model::configuration next = c;
     for (auto& it : next.pools)
@@ -81,7 +84,7 @@
         {
             continue;
         }
-        const pool_record* p = find_pool(d, it.name);
+        const experiment_pool* p = find_pool(d, it.name);
         if (p != nullptr && it.policy == policy_of(d, p->arm))
         {
             it.policy = it.policy_before;
@@ -89,17 +92,17 @@
         it.policy_before.clear();
         it.experiment.clear();
     }
-    finish_change(next, command_of(d, "restore"));
+    complete_change(next, command_id(d, "restore"));
     return next;
 }
 
-/// Takes pools out that operators gave another policy, or that are gone.
-bool withdraw(experiment_document& d, const model::configuration& c)
+/// Withdraws pools that operators have given another policy or have removed.
+bool withdraw_changed_pools(experiment_document& d, const model::configuration& c)
 {
     bool changed = false;
     for (auto& it : d.pools)
     {
-        if (!it.withdrawn && !is_under_arm(d, c, it))
+        if (!it.withdrawn && !uses_arm_policy(d, c, it))
         {
             it.withdrawn = true;
             changed = true;
@@ -108,7 +111,7 @@
     return changed;
 }
 
-/// The configuration moved on before the policies were applied: plan upon the new one.
+/// Updates the document for a configuration that changed before the policies were applied.
 experiment_document rebased(const experiment_document& d, const model::configuration& c)
 {
     experiment_document next = d;
@@ -123,12 +126,12 @@
     return next;
 }
 
-next_write next_of_applying(const experiment_document& d, const model::configuration& c)
+next_write next_step_when_applying(const experiment_document& d, const model::configuration& c)
 {
-    if (was_applied(c, command_of(d, "apply")) || any_is_marked(d, c))
+    if (was_command_applied(c, command_id(d, "apply")) || has_marked_pool(d, c))
     {
         experiment_document next = d;
-        withdraw(next, c);
+        withdraw_changed_pools(next, c);
         next.state = experiment_state::running;
         return write_experiment{std::move(next)};
     }
@@ -139,15 +142,16 @@
     return write_configuration{with_policies(d, c)};
 }
 
-/// The configuration is written also when no pool of it is ours: a write that applies the policies
-/// may be on its way, decided before the end. It is conditional on the version before this one, so
-/// that after this write it can only fail, and no pool is left under a policy that nobody chose.
-next_write next_of_restoring(
+/// The configuration is written even when no pool is marked: a write that applies the policies,
+/// decided before the end of the experiment, may still be in flight. That write is conditional on
+/// the version before this one and can only fail after this write, so no pool remains under a
+/// policy that no operator chose.
+next_write next_step_when_restoring(
     const experiment_document& d, const model::configuration& c, core::wall_time now)
 {
-    if (!was_applied(c, command_of(d, "restore")) || any_is_marked(d, c))
+    if (!was_command_applied(c, command_id(d, "restore")) || has_marked_pool(d, c))
     {
-        return write_configuration{restored(d, c)};
+        return write_configuration{with_policies_restored(d, c)};
     }
     experiment_document next = d;
     next.state = experiment_state::ended;
@@ -155,47 +159,49 @@
     return write_experiment{std::move(next)};
 }
 
-void end(experiment_document& d, end_cause cause, std::string weighed, core::wall_time now)
+void begin_restoring(
+    experiment_document& d, end_reason reason, std::string weighed, core::wall_time now)
 {
     d.state = experiment_state::restoring;
-    d.cause = cause;
-    d.why = {std::string{core::name_of(end_cause_names, cause)},
+    d.reason = reason;
+    d.decision = {std::string{core::name_of(end_reason_names, reason)},
         std::move(weighed),
         core::to_unix_ms(now)};
 }
 
-void count(pool_record& p, const pool_sample& s, core::millis elapsed)
+void add_measurements(experiment_pool& p, const pool_sample& s, core::millis elapsed)
 {
     const double hours = static_cast<double>(elapsed.count()) / ms_per_hour;
-    p.sum.observed_ms += elapsed.count();
-    p.sum.buffer_host_hours += s.held_back * hours;
-    p.sum.host_hours += s.hosts * hours;
-    p.sum.host_moves += s.host_moves;
-    p.sum.job_moves += s.job_moves;
+    p.measured.observed_ms += elapsed.count();
+    p.measured.buffer_host_hours += s.spare_hosts * hours;
+    p.measured.host_hours += s.hosts * hours;
+    p.measured.host_moves += s.host_moves;
+    p.measured.job_moves += s.job_moves;
     for (const double it : s.rollouts)
     {
-        p.sum.rollouts += 1;
-        p.sum.rollout_hours += it;
+        p.measured.rollouts += 1;
+        p.measured.rollout_hours += it;
     }
     const bool at_limit = s.absent >= s.absent_budget || s.zone_at_limit;
     p.at_limit_ms = at_limit ? p.at_limit_ms + elapsed.count() : 0;
 }
 
-/// \return why the experiment must end now, or an empty text.
-std::string danger_of(const experiment_document& d, const pool_record& p, const pool_sample& s)
+/// \return the reason why a guard rail ends the experiment, or an empty text.
+std::string guard_rail_violation(
+    const experiment_document& d, const experiment_pool& p, const pool_sample& s)
 {
-    if (d.over_budget > d.guards.most_over_budget)
+    if (d.over_budget > d.guards.max_over_budget)
     {
         return "pool " + p.pool + " has " + std::to_string(s.absent) +
                " hosts absent, over its budget of " + std::to_string(s.absent_budget) +
                " or a zone's";
     }
-    if (p.at_limit_ms > d.guards.most_at_limit_ms)
+    if (p.at_limit_ms > d.guards.max_at_limit_ms)
     {
         return "pool " + p.pool + " has had its budget used up for " +
                std::to_string(p.at_limit_ms / 1000) + " s: the next failure would break it";
     }
-    if (d.halted_waves > d.guards.most_halted_waves)
+    if (d.halted_waves > d.guards.max_halted_waves)
     {
         return "a wave halted in pool " + p.pool + " because hosts did not come back";
     }
@@ -210,18 +216,18 @@
     switch (d.state)
     {
     case experiment_state::applying:
-        return next_of_applying(d, c);
+        return next_step_when_applying(d, c);
     case experiment_state::running:
     {
         experiment_document next = d;
-        if (withdraw(next, c))
+        if (withdraw_changed_pools(next, c))
         {
             return write_experiment{std::move(next)};
         }
         return {};
     }
     case experiment_state::restoring:
-        return next_of_restoring(d, c, now);
+        return next_step_when_restoring(d, c, now);
     case experiment_state::ended:
         return {};
     }
@@ -232,13 +238,14 @@
 {
     const bool repeat =
         std::find(d.commands.begin(), d.commands.end(), command) != d.commands.end();
-    const bool over = d.state == experiment_state::restoring || d.state == experiment_state::ended;
-    if (repeat || over)
+    const bool has_ended =
+        d.state == experiment_state::restoring || d.state == experiment_state::ended;
+    if (repeat || has_ended)
     {
         return false;
     }
     d.commands.push_back(command);
-    end(d, end_cause::stopped, command, now);
+    begin_restoring(d, end_reason::stopped, command, now);
     return true;
 }
 
@@ -250,26 +257,26 @@
     }
     d.last_sample = s.id;
     d.observed_ms += s.elapsed.count();
-    std::string danger;
+    std::string violation;
     for (const auto& it : s.pools)
     {
-        pool_record* p = find_pool(d, it.pool);
+        experiment_pool* p = find_pool(d, it.pool);
         if (p == nullptr || p->withdrawn)
         {
             continue;
         }
-        count(*p, it, s.elapsed);
-        d.over_budget += it.absent > it.absent_budget || it.zone_over ? 1 : 0;
+        add_measurements(*p, it, s.elapsed);
+        d.over_budget += it.absent > it.absent_budget || it.zone_over_budget ? 1 : 0;
         d.halted_waves += it.halted_waves;
-        danger = danger.empty() ? danger_of(d, *p, it) : danger;
+        violation = violation.empty() ? guard_rail_violation(d, *p, it) : violation;
     }
-    if (!danger.empty())
+    if (!violation.empty())
     {
-        end(d, end_cause::endangered, danger, now);
+        begin_restoring(d, end_reason::endangered, violation, now);
     }
     else if (d.observed_ms >= d.duration_ms)
     {
-        end(d, end_cause::completed, "observed for its whole duration", now);
+        begin_restoring(d, end_reason::completed, "observed for its whole duration", now);
     }
     return true;
 }
--- a/libs/experiment/src/outcome.cpp
+++ b/libs/experiment/src/outcome.cpp
@@ -19,9 +19,9 @@
 namespace
 {
 
-constexpr int fewest_blocks = 3;
+constexpr int min_blocks = 3;
 constexpr int resamples = 4000;
-constexpr double whole_confidence = 0.95;
+constexpr double overall_confidence = 0.95;
 constexpr double per_hundred = 100.0;
 
 using accumulator = boost::accumulators::accumulator_set<double,
@@ -35,16 +35,16 @@
     double other = 0;
 };
 
-/// The blocks in which both arms have a value.
+/// \return the blocks in which both arms have a value.
 std::vector<block_values> blocks_of(
-    const experiment_document& d, const std::string& other, measure what)
+    const experiment_document& d, const std::string& other, measure quantity)
 {
     std::map<int, std::map<std::string, double>> by_block;
     for (const auto& it : d.pools)
     {
-        if (!it.withdrawn && has_value(it, what))
+        if (!it.withdrawn && has_value(it, quantity))
         {
-            by_block[it.block][it.arm] = value_of(it, what);
+            by_block[it.block][it.arm] = value_of(it, quantity);
         }
     }
     std::vector<block_values> blocks;
@@ -64,12 +64,12 @@
 {
     const auto n = static_cast<double>(boost::accumulators::count(differences));
     const double mean = boost::accumulators::mean(differences);
-    // The library's variance divides by n.
+    // The variance of the library divides by n.
     const double variance = boost::accumulators::variance(differences) * n / (n - 1);
     const boost::math::students_t t{n - 1};
-    const double reach =
+    const double half_width =
         boost::math::quantile(t, 1 - (1 - confidence) / 2) * std::sqrt(variance / n);
-    return {mean - reach, mean + reach};
+    return {mean - half_width, mean + half_width};
 }
 
 interval bootstrap_interval(
@@ -106,8 +106,8 @@
     return it.low > 0;
 }
 
-/// With few blocks resampling gives intervals that are too narrow, and Student's assume too much
-/// about the tails: a difference is shown when both show it.
+/// With few blocks, resampling gives intervals that are too narrow, and Student's t assumes too
+/// much about the tails. A difference is reported only when both intervals show it.
 verdict verdict_of(const comparison& c)
 {
     if (is_below(c.student) && is_below(c.bootstrap))
@@ -122,12 +122,12 @@
 }
 
 comparison compare(
-    const experiment_document& d, const std::string& other, measure what, double confidence)
+    const experiment_document& d, const std::string& other, measure quantity, double confidence)
 {
     comparison c;
-    c.what = what;
+    c.quantity = quantity;
     c.arm = other;
-    const std::vector<block_values> blocks = blocks_of(d, other, what);
+    const std::vector<block_values> blocks = blocks_of(d, other, quantity);
     c.blocks = static_cast<int>(blocks.size());
     accumulator first;
     accumulator second;
@@ -147,55 +147,55 @@
     c.first_mean = boost::accumulators::mean(first);
     c.mean = boost::accumulators::mean(second);
     c.difference = boost::accumulators::mean(difference);
-    if (c.blocks < fewest_blocks)
+    if (c.blocks < min_blocks)
     {
         return c;
     }
     c.student = student_interval(difference, confidence);
     c.bootstrap = bootstrap_interval(differences, confidence, d.seed);
-    c.found = verdict_of(c);
+    c.conclusion = verdict_of(c);
     return c;
 }
 
 } // namespace
 
-bool has_value(const pool_record& p, measure what)
+bool has_value(const experiment_pool& p, measure quantity)
 {
-    return what == measure::rollout_time ? p.sum.rollouts > 0 : p.sum.host_hours > 0;
+    return quantity == measure::rollout_time ? p.measured.rollouts > 0 : p.measured.host_hours > 0;
 }
 
-double value_of(const pool_record& p, measure what)
+double value_of(const experiment_pool& p, measure quantity)
 {
-    switch (what)
+    switch (quantity)
     {
     case measure::buffer_cost:
-        return p.sum.buffer_host_hours / p.sum.host_hours * per_hundred;
+        return p.measured.buffer_host_hours / p.measured.host_hours * per_hundred;
     case measure::rollout_time:
-        return p.sum.rollout_hours / p.sum.rollouts;
+        return p.measured.rollout_hours / p.measured.rollouts;
     case measure::moves:
-        return static_cast<double>(p.sum.host_moves + p.sum.job_moves) / p.sum.host_hours *
-               per_hundred;
+        return static_cast<double>(p.measured.host_moves + p.measured.job_moves) /
+               p.measured.host_hours * per_hundred;
     }
     return 0;
 }
 
 outcome outcome_of(const experiment_document& d)
 {
-    outcome made;
+    outcome result;
     if (d.arms.size() < 2)
     {
-        return made;
+        return result;
     }
     const auto verdicts = static_cast<double>((d.arms.size() - 1) * measure_names.size());
-    made.confidence = 1 - (1 - whole_confidence) / verdicts;
+    result.confidence = 1 - (1 - overall_confidence) / verdicts;
     for (std::size_t i = 1; i < d.arms.size(); ++i)
     {
         for (const auto& it : measure_names)
         {
-            made.comparisons.push_back(compare(d, d.arms[i].name, it.value, made.confidence));
+            result.comparisons.push_back(compare(d, d.arms[i].name, it.value, result.confidence));
         }
     }
-    return made;
+    return result;
 }
 
 } // namespace camphorhitch::experiment
--- a/libs/experiment/src/report.cpp
+++ b/libs/experiment/src/report.cpp
@@ -27,14 +27,14 @@
     return text;
 }
 
-std::string name(measure what)
+std::string name(measure quantity)
 {
-    return std::string{core::name_of(measure_names, what)};
+    return std::string{core::name_of(measure_names, quantity)};
 }
 
-std::string name(verdict found)
+std::string name(verdict conclusion)
 {
-    return std::string{core::name_of(verdict_names, found)};
+    return std::string{core::name_of(verdict_names, conclusion)};
 }
 
 std::string percent(double share)
@@ -50,13 +50,13 @@
 std::string head_text(const experiment_document& d)
 {
     const auto withdrawn = std::count_if(
-        d.pools.begin(), d.pools.end(), [](const pool_record& it) { return it.withdrawn; });
+        d.pools.begin(), d.pools.end(), [](const experiment_pool& it) { return it.withdrawn; });
     std::string text =
         "experiment " + d.id + ": " + std::string{core::name_of(experiment_state_names, d.state)};
-    if (d.cause != end_cause::none)
+    if (d.reason != end_reason::none)
     {
-        text += ", " + std::string{core::name_of(end_cause_names, d.cause)} + " (" + d.why.weighed +
-                ')';
+        text += ", " + std::string{core::name_of(end_reason_names, d.reason)} + " (" +
+                d.decision.weighed + ')';
     }
     text += "\nobserved " + fixed(static_cast<double>(d.observed_ms) / ms_per_hour, 2) + " of " +
             fixed(static_cast<double>(d.duration_ms) / ms_per_hour, 2) + " hours, " +
@@ -72,19 +72,19 @@
 std::string row_text(const comparison& c, const std::string& first)
 {
     std::string text =
-        padded(name(c.what), 14) + padded(c.arm, 16) + padded(std::to_string(c.blocks), 8);
+        padded(name(c.quantity), 14) + padded(c.arm, 16) + padded(std::to_string(c.blocks), 8);
     if (c.blocks == 0)
     {
-        return text + name(c.found) + '\n';
+        return text + name(c.conclusion) + '\n';
     }
     text += padded(fixed(c.first_mean, 3), 11) + padded(fixed(c.mean, 3), 11) +
             padded(fixed(c.difference, 3), 12);
-    if (c.found == verdict::too_few_blocks)
+    if (c.conclusion == verdict::too_few_blocks)
     {
-        return text + padded("-", 20) + name(c.found) + '\n';
+        return text + padded("-", 20) + name(c.conclusion) + '\n';
     }
-    const bool differs = c.found == verdict::less || c.found == verdict::more;
-    return text + padded(interval_text(c.student), 20) + name(c.found) +
+    const bool differs = c.conclusion == verdict::less || c.conclusion == verdict::more;
+    return text + padded(interval_text(c.student), 20) + name(c.conclusion) +
            (differs ? " than " + first : "") + '\n';
 }
 
@@ -99,7 +99,7 @@
 template <class Keys>
 void describe(Keys& keys, const comparison& r)
 {
-    keys.required("measure", r.what, measure_names)
+    keys.required("measure", r.quantity, measure_names)
         .required("arm", r.arm)
         .required("blocks", r.blocks)
         .required("first_mean", r.first_mean)
@@ -107,7 +107,7 @@
         .required("difference", r.difference)
         .required("student", r.student)
         .required("bootstrap", r.bootstrap)
-        .required("verdict", r.found, verdict_names);
+        .required("verdict", r.conclusion, verdict_names);
 }
 
 template <class Keys>
@@ -137,8 +137,8 @@
     checked_json::object_writer keys;
     keys.required("id", d.id)
         .required("state", d.state, experiment_state_names)
-        .required("cause", d.cause, end_cause_names)
-        .required("why", d.why.weighed)
+        .required("cause", d.reason, end_reason_names)
+        .required("why", d.decision.weighed)
         .required("seed", d.seed)
         .required("observed_ms", d.observed_ms)
         .required("duration_ms", d.duration_ms)
@@ -153,34 +153,36 @@
     const std::string& data_name,
     const std::string& svg_name)
 {
-    plot_files made;
-    made.data = "# measure arm difference low high\n";
+    plot_files result;
+    result.data = "# measure arm difference low high\n";
     for (const auto& it : o.comparisons)
     {
-        if (it.found != verdict::too_few_blocks)
+        if (it.conclusion != verdict::too_few_blocks)
         {
-            made.data += '"' + name(it.what) + "\" \"" + it.arm + "\" " + fixed(it.difference, 6) +
-                         ' ' + fixed(it.student.low, 6) + ' ' + fixed(it.student.high, 6) + "\n";
+            result.data += '"' + name(it.quantity) + "\" \"" + it.arm + "\" " +
+                           fixed(it.difference, 6) + ' ' + fixed(it.student.low, 6) + ' ' +
+                           fixed(it.student.high, 6) + "\n";
         }
     }
-    made.script = "set terminal svg size 720,360 noenhanced background '#ffffff'\n"
-                  "set output '" +
-                  svg_name +
-                  "'\n"
-                  "set title 'experiment " +
-                  d.id + ": difference from " + d.arms.front().name + ", intervals at " +
-                  percent(o.confidence) +
-                  "' noenhanced\n"
-                  "set ylabel 'difference'\n"
-                  "set xrange [-0.5:*]\n"
-                  "set offsets 0.5, 0.5, 0, 0\n"
-                  "set xzeroaxis\n"
-                  "set key off\n"
-                  "plot '" +
-                  data_name +
-                  "' using 0:3:4:5:xticlabels(sprintf('%s %s', stringcolumn(2), stringcolumn(1))) "
-                  "with yerrorbars pointtype 7\n";
-    return made;
+    result.script =
+        "set terminal svg size 720,360 noenhanced background '#ffffff'\n"
+        "set output '" +
+        svg_name +
+        "'\n"
+        "set title 'experiment " +
+        d.id + ": difference from " + d.arms.front().name + ", intervals at " +
+        percent(o.confidence) +
+        "' noenhanced\n"
+        "set ylabel 'difference'\n"
+        "set xrange [-0.5:*]\n"
+        "set offsets 0.5, 0.5, 0, 0\n"
+        "set xzeroaxis\n"
+        "set key off\n"
+        "plot '" +
+        data_name +
+        "' using 0:3:4:5:xticlabels(sprintf('%s %s', stringcolumn(2), stringcolumn(1))) "
+        "with yerrorbars pointtype 7\n";
+    return result;
 }
 
 } // namespace camphorhitch::experiment
--- a/libs/experiment/src/start.cpp
+++ b/libs/experiment/src/start.cpp
@@ -12,8 +12,8 @@
 namespace
 {
 
-/// With fewer no interval can be given.
-constexpr std::size_t fewest_blocks = 3;
+/// Smallest number of blocks for which an interval can be computed.
+constexpr std::size_t min_blocks = 3;
 
 struct checker
 {
@@ -118,15 +118,15 @@
     {
         check_pool(c, i, seen);
     }
-    const std::size_t fewest = fewest_blocks * request.arms.size();
-    if (request.pools.size() < fewest)
+    const std::size_t min_pools = min_blocks * request.arms.size();
+    if (request.pools.size() < min_pools)
     {
-        c.add("/pools", "needs at least " + std::to_string(fewest) + " pools for these arms");
+        c.add("/pools", "needs at least " + std::to_string(min_pools) + " pools for these arms");
     }
     return std::move(c.found);
 }
 
-double size_of(const model::pool_config& pool, const std::map<std::string, int>& hosts)
+double pool_size(const model::pool_config& pool, const std::map<std::string, int>& hosts)
 {
     if (pool.size_class > 0)
     {
@@ -138,12 +138,12 @@
 
 } // namespace
 
-std::vector<pool_record> assign(
-    std::vector<pool_record> pools, const std::vector<arm>& arms, std::uint64_t seed)
+std::vector<experiment_pool> assign_pools(
+    std::vector<experiment_pool> pools, const std::vector<arm>& arms, std::uint64_t seed)
 {
     std::sort(pools.begin(),
         pools.end(),
-        [](const pool_record& a, const pool_record& b)
+        [](const experiment_pool& a, const experiment_pool& b)
         { return a.size != b.size ? a.size < b.size : a.pool < b.pool; });
     const std::size_t blocks = pools.size() / arms.size();
     pools.resize(blocks * arms.size());
@@ -162,7 +162,7 @@
         }
         for (std::size_t i = 0; i < order.size(); ++i)
         {
-            pool_record& p = pools[b * order.size() + i];
+            experiment_pool& p = pools[b * order.size() + i];
             p.block = static_cast<int>(b);
             p.arm = arms[order[i]].name;
         }
@@ -180,13 +180,13 @@
     {
         return wrong;
     }
-    std::vector<pool_record> pools;
+    std::vector<experiment_pool> pools;
     for (const auto& it : request.pools)
     {
         const model::pool_config& pool = *model::find_pool(c, it);
-        pool_record p;
+        experiment_pool p;
         p.pool = it;
-        p.size = size_of(pool, hosts);
+        p.size = pool_size(pool, hosts);
         p.policy_before = pool.policy;
         pools.push_back(std::move(p));
     }
@@ -197,10 +197,10 @@
     d.duration_ms = request.duration.count();
     d.guards = request.guards;
     d.base_version = c.version;
-    d.pools = assign(std::move(pools), request.arms, request.seed);
+    d.pools = assign_pools(std::move(pools), request.arms, request.seed);
     d.started_ms = core::to_unix_ms(now);
     d.commands.push_back(request.command);
-    d.why = {"started_by_command",
+    d.decision = {"started_by_command",
         request.command + "; " + std::to_string(d.pools.size()) + " pools in " +
             std::to_string(d.pools.size() / d.arms.size()) + " blocks, seed " +
             std::to_string(d.seed),
--- a/libs/experiment/tests/lifecycle_tests.cpp
+++ b/libs/experiment/tests/lifecycle_tests.cpp
@@ -49,8 +49,9 @@
     return r;
 }
 
-/// Both documents in a store with compare-and-swap, and an owner that takes one step at a time.
-struct documents
+/// Both documents, as in a store with compare-and-swap, with an owner that takes one step at a
+/// time.
+struct stored_documents
 {
     model::configuration config = make_config();
     experiment_document it = std::get<experiment_document>(start(make_request(), config, {}, now));
@@ -67,7 +68,7 @@
         }
     }
 
-    void settle()
+    void run_to_completion()
     {
         for (int i = 0; i < 10; ++i)
         {
@@ -80,7 +81,7 @@
         return config.pools[static_cast<std::size_t>(pool)].policy;
     }
 
-    bool all_as_before() const
+    bool is_restored() const
     {
         const model::configuration before = make_config();
         for (std::size_t i = 0; i < config.pools.size(); ++i)
@@ -104,7 +105,7 @@
         pool_sample p;
         p.pool = "p" + std::to_string(i);
         p.hosts = 10;
-        p.held_back = 1;
+        p.spare_hosts = 1;
         p.absent = i == 3 ? absent : 0;
         p.absent_budget = 2;
         s.pools.push_back(p);
@@ -116,32 +117,32 @@
 
 TEST_GROUP(lifecycle)
 {
-    documents d;
+    stored_documents d;
 };
 
-TEST(lifecycle, pools_are_dealt_within_blocks_of_like_size)
+TEST(lifecycle, pools_are_assigned_within_blocks_of_similar_size)
 {
-    std::set<std::string> deals;
+    std::set<std::string> assignments;
     for (std::uint64_t seed = 0; seed < 20; ++seed)
     {
         start_request r = make_request();
         r.seed = seed;
-        const auto made = std::get<experiment_document>(start(r, d.config, {}, now));
-        std::string deal;
-        for (std::size_t i = 0; i < made.pools.size(); i += 2)
+        const auto result = std::get<experiment_document>(start(r, d.config, {}, now));
+        std::string assignment;
+        for (std::size_t i = 0; i < result.pools.size(); i += 2)
         {
-            CHECK(made.pools[i].size == made.pools[i + 1].size);
-            CHECK(made.pools[i].arm != made.pools[i + 1].arm);
-            deal += made.pools[i].arm;
+            CHECK(result.pools[i].size == result.pools[i + 1].size);
+            CHECK(result.pools[i].arm != result.pools[i + 1].arm);
+            assignment += result.pools[i].arm;
         }
-        deals.insert(deal);
+        assignments.insert(assignment);
         const auto again = std::get<experiment_document>(start(r, d.config, {}, now));
-        STRCMP_EQUAL(encode(made).c_str(), encode(again).c_str());
+        STRCMP_EQUAL(encode(result).c_str(), encode(again).c_str());
     }
-    CHECK(deals.size() > 5);
+    CHECK(assignments.size() > 5);
 }
 
-TEST(lifecycle, everything_wrong_with_a_request_is_told)
+TEST(lifecycle, all_findings_of_a_request_are_reported)
 {
     start_request r = make_request();
     r.arms[1].policy = "fats";
@@ -160,7 +161,7 @@
 
 TEST(lifecycle, applies_runs_and_restores)
 {
-    d.settle();
+    d.run_to_completion();
     CHECK(d.it.state == experiment_state::running);
     for (const auto& it : d.it.pools)
     {
@@ -170,80 +171,81 @@
     STRCMP_EQUAL("careful", d.policy(8).c_str());
     CHECK(stop(d.it, "c2", now));
     CHECK_FALSE(stop(d.it, "c2", now));
-    d.settle();
+    d.run_to_completion();
     CHECK(d.it.state == experiment_state::ended);
-    CHECK(d.all_as_before());
+    CHECK(d.is_restored());
 }
 
-// Operators change a pool's policy while the experiment runs, by a command that takes the mark
-// away or by an edit of the whole configuration that leaves it. Their choice stands, also at the
-// end.
-TEST(lifecycle, operators_changes_win)
+// Operators change a pool's policy while the experiment runs, either by a command that removes the
+// mark or by an edit of the whole configuration that leaves it. Their choice must remain, also
+// after the end of the experiment.
+TEST(lifecycle, changes_by_operators_take_precedence)
 {
-    d.settle();
+    d.run_to_completion();
     d.config.pools[0].policy = "careful";
     d.config.pools[0].experiment.clear();
     d.config.pools[0].policy_before.clear();
     d.config.pools[1].policy = d.config.pools[1].policy == "slow" ? "fast" : "slow";
     const std::string chosen = d.config.pools[1].policy;
-    d.settle();
+    d.run_to_completion();
     CHECK(find_pool(d.it, "p0")->withdrawn);
     CHECK(find_pool(d.it, "p1")->withdrawn);
     stop(d.it, "c2", now);
-    d.settle();
+    d.run_to_completion();
     STRCMP_EQUAL("careful", d.policy(0).c_str());
     STRCMP_EQUAL(chosen.c_str(), d.policy(1).c_str());
     d.config.pools[1].policy = "careful";
-    CHECK(d.all_as_before());
+    CHECK(d.is_restored());
 }
 
-// The owner decided to apply the policies and is paused before its write. Another member stops the
-// experiment. The late write must find the configuration moved on, or the pools would stay under
-// the experiment's policies with nobody left to restore them.
+// Guards against a late write. The owner decides to apply the policies and is paused before its
+// write. Another member stops the experiment. The late write must find a newer version of the
+// configuration; otherwise the pools would remain under the experiment's policies, and no member
+// would restore them.
 TEST(lifecycle, a_late_apply_after_the_stop_changes_nothing)
 {
     const auto late = std::get<write_configuration>(next_step(d.it, d.config, now));
     const experiment_document stale = d.it;
     const std::int64_t decided_from = d.config.version;
     stop(d.it, "c2", now);
-    d.settle();
+    d.run_to_completion();
     CHECK(d.it.state == experiment_state::ended);
     CHECK(d.config.version != decided_from);
     CHECK_EQUAL(decided_from + 1, late.next.version);
-    CHECK(d.all_as_before());
-    // Deciding anew from its old view of the experiment it may only write that document, and that
-    // write is in conflict.
+    CHECK(d.is_restored());
+    // A new decision of the paused owner, based on its outdated document, may only write that
+    // document, and that write is in conflict.
     CHECK(std::holds_alternative<write_experiment>(next_step(stale, d.config, now)));
 }
 
-// Each write may be the last of its owner, or be done twice by two owners: wherever the work is
-// cut off and taken up again, the end is the same.
-TEST(lifecycle, cut_off_at_any_step)
+// Guards against interruptions. The owner may end after any write, and two owners may make the same
+// write. Wherever the sequence is interrupted and continued, the result is the same.
+TEST(lifecycle, interrupted_at_any_step)
 {
-    for (int cut = 0; cut < 8; ++cut)
+    for (int interrupted_at = 0; interrupted_at < 8; ++interrupted_at)
     {
-        d = documents{};
+        d = stored_documents{};
         for (int step = 0; step < 8; ++step)
         {
-            if (step == cut)
+            if (step == interrupted_at)
             {
                 stop(d.it, "c2", now);
             }
             d.write(next_step(d.it, d.config, now));
         }
-        d.settle();
+        d.run_to_completion();
         CHECK(d.it.state == experiment_state::ended);
-        CHECK(d.all_as_before());
+        CHECK(d.is_restored());
     }
 }
 
-// An operator changes the configuration after the draw and before the policies are applied: a pool
-// with a newly chosen policy is left to it.
+// An operator changes the configuration after the pools were assigned and before the policies are
+// applied. A pool with a newly chosen policy keeps this policy.
 TEST(lifecycle, a_change_before_the_policies_are_applied)
 {
     d.config.version += 1;
     d.config.pools[2].policy = "fast";
-    d.settle();
+    d.run_to_completion();
     CHECK(d.it.state == experiment_state::running);
     CHECK(find_pool(d.it, "p2")->withdrawn);
     STRCMP_EQUAL("fast", d.policy(2).c_str());
@@ -257,40 +259,41 @@
         const char* name;
         int absent;
         int samples;
-        end_cause cause;
-        const char* why;
+        end_reason reason;
+        const char* decision;
     };
     const row rows[] = {
-        {"time", 0, 6, end_cause::completed, "observed"},
-        {"over", 3, 1, end_cause::endangered, "pool p3 has 3 hosts absent"},
-        {"limit", 2, 2, end_cause::endangered, "pool p3 has had its budget used up for 1200 s"},
-        {"not yet", 2, 1, end_cause::none, "started"},
+        {"time", 0, 6, end_reason::completed, "observed"},
+        {"over", 3, 1, end_reason::endangered, "pool p3 has 3 hosts absent"},
+        {"limit", 2, 2, end_reason::endangered, "pool p3 has had its budget used up for 1200 s"},
+        {"not yet", 2, 1, end_reason::none, "started"},
     };
     for (const auto& it : rows)
     {
-        d = documents{};
-        d.settle();
+        d = stored_documents{};
+        d.run_to_completion();
         for (int i = 0; i < it.samples; ++i)
         {
             const sample s = make_sample("s" + std::to_string(i), it.absent);
             CHECK(add_sample(d.it, s, now));
             CHECK_FALSE(add_sample(d.it, s, now)); // a repeat after a lost answer
         }
-        CHECK_TEXT(it.cause == d.it.cause, it.name);
-        CHECK_TEXT(d.it.why.rule.find("started") == 0 || d.it.cause != end_cause::none, it.name);
-        if (it.cause != end_cause::none)
+        CHECK_TEXT(it.reason == d.it.reason, it.name);
+        CHECK_TEXT(
+            d.it.decision.rule.find("started") == 0 || d.it.reason != end_reason::none, it.name);
+        if (it.reason != end_reason::none)
         {
-            STRCMP_CONTAINS(it.why, d.it.why.weighed.c_str());
-            d.settle();
+            STRCMP_CONTAINS(it.decision, d.it.decision.weighed.c_str());
+            d.run_to_completion();
             CHECK(d.it.state == experiment_state::ended);
-            CHECK(d.all_as_before());
+            CHECK(d.is_restored());
         }
     }
 }
 
 TEST(lifecycle, documents_return_unchanged)
 {
-    d.settle();
+    d.run_to_completion();
     add_sample(d.it, make_sample("s1", 0), now);
     const auto read = decode_experiment(encode(d.it), "e1");
     CHECK(std::holds_alternative<experiment_document>(read));
--- a/libs/experiment/tests/outcome_tests.cpp
+++ b/libs/experiment/tests/outcome_tests.cpp
@@ -11,7 +11,8 @@
 namespace
 {
 
-/// Blocks of two pools whose buffer costs differ by \p effect, with noise of one.
+/// Blocks of two pools whose buffer costs differ by \p effect, with noise of standard deviation
+/// one.
 experiment_document make_measured(int blocks, double effect, std::uint64_t seed)
 {
     boost::random::mt19937_64 random{seed};
@@ -25,15 +26,16 @@
         const double size = 10 + 3 * noise(random);
         for (const auto& arm : d.arms)
         {
-            pool_record p;
+            experiment_pool p;
             p.pool = arm.name + std::to_string(i);
             p.arm = arm.name;
             p.block = i;
-            p.sum.host_hours = 100;
-            p.sum.buffer_host_hours = 20 + size + noise(random) + (arm.name == "b" ? effect : 0);
-            p.sum.rollouts = 1;
-            p.sum.rollout_hours = 5 + noise(random);
-            p.sum.host_moves = 4;
+            p.measured.host_hours = 100;
+            p.measured.buffer_host_hours =
+                20 + size + noise(random) + (arm.name == "b" ? effect : 0);
+            p.measured.rollouts = 1;
+            p.measured.rollout_hours = 5 + noise(random);
+            p.measured.host_moves = 4;
             d.pools.push_back(p);
         }
     }
@@ -42,7 +44,7 @@
 
 verdict buffer_verdict(const experiment_document& d)
 {
-    return outcome_of(d).comparisons.front().found;
+    return outcome_of(d).comparisons.front().conclusion;
 }
 
 } // namespace
@@ -55,7 +57,7 @@
     {
         int blocks;
         double effect;
-        verdict found;
+        verdict conclusion;
     };
     const row rows[] = {
         {2, 50, verdict::too_few_blocks},
@@ -65,12 +67,12 @@
     };
     for (const auto& it : rows)
     {
-        CHECK(it.found == buffer_verdict(make_measured(it.blocks, it.effect, 1)));
+        CHECK(it.conclusion == buffer_verdict(make_measured(it.blocks, it.effect, 1)));
     }
 }
 
-// Policies that are equal must seldom look different: over many experiments in which nothing
-// differs, any of the three verdicts is wrong in about one of twenty at the most.
+// Guards against false verdicts. Over many experiments without a difference, any of the three
+// verdicts must be wrong in at most about one of twenty experiments.
 TEST(outcome, equal_arms_rarely_look_different)
 {
     int wrong = 0;
@@ -78,7 +80,7 @@
     {
         for (const auto& it : outcome_of(make_measured(8, 0, seed)).comparisons)
         {
-            wrong += it.found == verdict::no_difference_shown ? 0 : 1;
+            wrong += it.conclusion == verdict::no_difference_shown ? 0 : 1;
         }
     }
     CHECK(wrong <= 14);
@@ -88,7 +90,7 @@
 {
     experiment_document d = make_measured(6, 5, 1);
     d.pools[0].withdrawn = true;
-    d.pools[3].sum.rollouts = 0;
+    d.pools[3].measured.rollouts = 0;
     const outcome o = outcome_of(d);
     CHECK_EQUAL(5, o.comparisons[0].blocks);
     CHECK_EQUAL(4, o.comparisons[1].blocks);
@@ -98,8 +100,8 @@
 {
     experiment_document d = make_measured(12, -5, 1);
     d.state = experiment_state::ended;
-    d.cause = end_cause::completed;
-    d.why.weighed = "observed for its whole duration";
+    d.reason = end_reason::completed;
+    d.decision.weighed = "observed for its whole duration";
     d.observed_ms = d.duration_ms = 7200000;
     const outcome o = outcome_of(d);
     const std::string text = report_text(d, o);
--- a/programs/camphorhitchd/src/experiment_service.cpp
+++ b/programs/camphorhitchd/src/experiment_service.cpp
@@ -251,13 +251,13 @@
     const auto& d = view->document;
     const auto absent = fleet::count_absences(d);
     out.hosts = static_cast<int>(d.hosts.size());
-    out.held_back = held_in(d);
+    out.spare_hosts = held_in(d);
     out.absent = absent.missing;
     out.absent_budget = budget->absent;
     for (const auto& [zone, n] : absent.by_zone)
     {
         out.zone_at_limit = out.zone_at_limit || n >= budget->absent_per_zone;
-        out.zone_over = out.zone_over || n > budget->absent_per_zone;
+        out.zone_over_budget = out.zone_over_budget || n > budget->absent_per_zone;
     }
     auto& before = s.pools[pool];
     for (const auto& host : d.hosts)
@@ -366,7 +366,7 @@
         }
         t.rows.push_back({id,
             std::string(core::name_of(experiment::experiment_state_names, d.state)),
-            std::string(core::name_of(experiment::end_cause_names, d.cause)),
+            std::string(core::name_of(experiment::end_reason_names, d.reason)),
             arms,
             static_cast<std::int64_t>(d.pools.size()),
             core::millis{d.observed_ms},
