--- a/libs/claims/tests/world.cpp
+++ b/libs/claims/tests/world.cpp
@@ -45,9 +45,9 @@
     p.freshness.settings = freshness_;
     p.freshness.self = p.roster.self = p.claims.self = p.who;
     p.claims.settings = settings_;
-    p.roster.settings.silence_limit = millis{1000};
+    p.roster.settings.unresponsive_after = millis{1000};
     p.roster.settings.return_after = millis{2000};
-    p.roster.settings.store_settle = millis{2500};
+    p.roster.settings.lease_recovery_time = millis{2500};
     listening_[id] = &p;
     tick(p);
 }
--- a/libs/claims/tests/world_members.cpp
+++ b/libs/claims/tests/world_members.cpp
@@ -64,7 +64,7 @@
 {
     if (const auto* it = std::get_if<membership::propose_roster>(&action))
     {
-        at_store(p, [it = *it](store& s) { s.write(it.next, it.expected); });
+        at_store(p, [it = *it](store& s) { s.write(it.next, it.expected_revision); });
     }
     else if (std::holds_alternative<membership::register_self>(action))
     {
@@ -84,7 +84,7 @@
     message.beat.incarnation = p.who.incarnation;
     message.beat.epoch = p.freshness.epoch;
     message.beat.store_reachable = membership::is_store_reachable(p.freshness, bag_.now());
-    message.beat.silent_peers = membership::silent_peers(p.roster, bag_.now());
+    message.beat.unresponsive_peers = membership::unresponsive_peers(p.roster, bag_.now());
     if (known < p.freshness.epoch)
     {
         message.roster = p.claims.roster;
@@ -97,7 +97,7 @@
     const auto& beat = message.beat;
     const member_record who{beat.member, beat.incarnation, {}, {}};
     membership::on_epoch_heard(p.freshness, beat.epoch);
-    membership::on_heard(p.roster, who, beat.silent_peers, bag_.now());
+    membership::on_heard(p.roster, who, beat.unresponsive_peers, bag_.now());
     if (message.roster)
     {
         adopt(p, *message.roster);
--- a/libs/dispatch/src/admission.cpp
+++ b/libs/dispatch/src/admission.cpp
@@ -126,7 +126,7 @@
     {
         return {refusal::queue_full, bounded_retry_after(d, wait)};
     }
-    const auto run = expected_service(d, request.klass, request.expected);
+    const auto run = expected_service(d, request.klass, request.expected_run_time);
     if (request.time_left.count() <= 0 || (queued > 0 && wait + run > request.time_left))
     {
         return {refusal::deadline, bounded_retry_after(d, wait)};
--- a/libs/dispatch/src/dispatcher.cpp
+++ b/libs/dispatch/src/dispatcher.cpp
@@ -39,7 +39,7 @@
     it.klass = request.klass;
     it.arrived = now;
     it.deadline = now + std::min(request.time_left, limits_of(d.pool, request.klass).longest);
-    it.expected = request.expected;
+    it.expected = request.expected_run_time;
     it.avoid = request.avoid;
     it.queue_position = queue.size() + 1;
     d.next_wakeup_at = std::min(d.next_wakeup_at, it.deadline);
@@ -65,7 +65,7 @@
         }
         break;
     case ports::permit_outcome::failed:
-    case ports::permit_outcome::silent:
+    case ports::permit_outcome::unanswered:
         record_failure(d, target, permit.probe, now);
         break;
     }
@@ -95,7 +95,7 @@
         return;
     }
     record_outcome(d, it->second, back, now);
-    if (back.outcome == ports::permit_outcome::silent)
+    if (back.outcome == ports::permit_outcome::unanswered)
     {
         keep_slot_while_running(d, it->second, now);
         return;
--- a/libs/dispatch/src/flow_permit.cpp
+++ b/libs/dispatch/src/flow_permit.cpp
@@ -101,7 +101,7 @@
     it.message.zone = sender.zone;
     it.message.klass = flow.request.klass;
     it.message.time_left = std::chrono::duration_cast<core::millis>(flow.deadline - now);
-    it.message.expected = flow.request.expected;
+    it.message.expected_run_time = flow.request.expected;
     it.message.avoid = flow.avoid;
     it.message.retry = flow.is_retry || flow.request.earlier_attempts > 0;
     out.emplace_back(std::move(it));
--- a/libs/dispatch/src/flow_send.cpp
+++ b/libs/dispatch/src/flow_send.cpp
@@ -106,7 +106,7 @@
         record_run_time(
             sender.measured_times[flow.request.pool][index_of(flow.request.klass)], elapsed);
     }
-    if (outcome == ports::permit_outcome::silent)
+    if (outcome == ports::permit_outcome::unanswered)
     {
         const auto until = now + sender.settings.max_run_after_disconnect;
         flow.interrupted_sends.push_back(
@@ -122,7 +122,7 @@
         return outcome.response.status >= status_server_error ? ports::permit_outcome::failed
                                                               : ports::permit_outcome::answered;
     case ports::call_end::interrupted:
-        return ports::permit_outcome::silent;
+        return ports::permit_outcome::unanswered;
     case ports::call_end::not_sent:
     case ports::call_end::answer_broken:
         break;
@@ -198,7 +198,7 @@
     request_flow& flow, request_sender& sender, core::mono_time now, flow_actions& out)
 {
     out.emplace_back(cancel_send{});
-    end_send(flow, sender, ports::permit_outcome::silent, now - flow.sent_at, now, out);
+    end_send(flow, sender, ports::permit_outcome::unanswered, now - flow.sent_at, now, out);
     flow.phase = flow_phase::ended;
     flow.may_have_run = true;
 }
--- a/libs/dispatch/tests/dispatcher_tests.cpp
+++ b/libs/dispatch/tests/dispatcher_tests.cpp
@@ -275,7 +275,7 @@
     {
         f.return_permit(f.granted(at(i)), permit_outcome::answered, at(i), core::millis{20});
     }
-    f.return_permit(f.granted(at(200)), permit_outcome::silent, at(250));
+    f.return_permit(f.granted(at(200)), permit_outcome::unanswered, at(250));
     CHECK(f.request(f.make_request(), at(251)).empty());
     CHECK(is_granted(on_tick(f.d, at(275))));
     CHECK_FALSE(is_certainly_idle(outstanding_on(f.d, "h1", at(300))));
@@ -288,7 +288,7 @@
 TEST(dispatcher, a_lost_call_keeps_its_slot_for_a_while)
 {
     pool_fixture f{1, 1};
-    f.return_permit(f.granted(at(0)), permit_outcome::silent, at(100));
+    f.return_permit(f.granted(at(0)), permit_outcome::unanswered, at(100));
     const auto next = f.make_request(request_class::quick, core::millis{9000});
     CHECK(f.request(next, at(101)).empty());
     const auto free = at(100) + f.d.settings.max_run_after_disconnect;
--- a/libs/dispatch/tests/flow_tests.cpp
+++ b/libs/dispatch/tests/flow_tests.cpp
@@ -161,14 +161,14 @@
         {kind::idempotent, answered, 200, false, false, permit_outcome::answered},
         {kind::idempotent, answered, 404, false, false, permit_outcome::answered},
         {kind::idempotent, answered, 500, true, true, permit_outcome::failed},
-        {kind::idempotent, interrupted, 0, true, true, permit_outcome::silent},
+        {kind::idempotent, interrupted, 0, true, true, permit_outcome::unanswered},
         {kind::idempotent, answer_broken, 0, true, true, permit_outcome::failed},
         {kind::idempotent, not_sent, 0, true, false, permit_outcome::failed},
         {kind::plain, answered, 500, false, false, permit_outcome::failed},
-        {kind::plain, interrupted, 0, false, false, permit_outcome::silent},
+        {kind::plain, interrupted, 0, false, false, permit_outcome::unanswered},
         {kind::plain, answer_broken, 0, false, false, permit_outcome::failed},
         {kind::plain, not_sent, 0, true, false, permit_outcome::failed},
-        {kind::keyed, interrupted, 0, false, false, permit_outcome::silent},
+        {kind::keyed, interrupted, 0, false, false, permit_outcome::unanswered},
         {kind::keyed, not_sent, 0, true, false, permit_outcome::failed},
     };
     for (const auto& it : rows)
--- a/libs/membership/include/membership/roster_logic.hpp
+++ b/libs/membership/include/membership/roster_logic.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// Proposes the next roster from the leased member records, the roster in force and what heartbeats
-/// show. Safety rests on the store's compare-and-swap; this decides when a write is worth making,
-/// and keeps nine members from making it at once.
+/// Decides when this member proposes a new roster, from the leased member records, the current
+/// roster and the evidence of heartbeats. Safety rests on the store's compare-and-swap; this logic
+/// decides when a write is worthwhile and keeps all members from writing at the same time.
 #pragma once
 
 #include "core/time.hpp"
@@ -18,116 +18,133 @@
 namespace camphorhitch::membership
 {
 
+/// Limits and delays of roster proposals.
 struct roster_settings
 {
-    int refused_limit = 3;            ///< refusals in a row that prove a process gone
-    core::millis silence_limit{2000}; ///< then a member is suspected
-    core::millis lease_grace{1000};   ///< a lapsed lease's holder may be registering again
-    core::millis settle{200};         ///< a difference must stand this long
-    core::millis rank_step{400};      ///< head start of each rank over the next
-    core::millis jitter{200};         ///< most, added to all ranks but the first
-    core::millis return_after{5000};  ///< a removed process must be heard this long without a break
-    core::millis store_settle{8000};  ///< after the store's return, leases may still be missing
-    core::millis tick_gap{1000};      ///< a longer gap between ticks means that we were paused
-    core::millis repeat{1000};        ///< before an action without an effect is asked for again
-    std::size_t history = 16;         ///< former rosters kept
+    /// This many refused connections in a row prove that a process has ended.
+    int refused_limit = 3;
+    /// A member that is not heard for longer counts as unresponsive.
+    core::millis unresponsive_after{2000};
+    /// After a lease expires, its holder may be about to register again.
+    core::millis lease_grace{1000};
+    /// A difference from the current roster must persist this long.
+    core::millis proposal_delay{200};
+    core::millis rank_delay{400}; ///< additional delay of a proposal for each rank below the first
+    core::millis max_jitter{200}; ///< largest random delay, added for all ranks but the first
+    /// A removed process must be heard without interruption this long.
+    core::millis return_after{5000};
+    /// After the store becomes reachable, leases may still be missing for this long.
+    core::millis lease_recovery_time{8000};
+    /// A longer time between ticks means that this process was paused.
+    core::millis max_tick_gap{1000};
+    /// Delay before an action without effect is requested again.
+    core::millis action_retry_delay{1000};
+    std::size_t max_history = 16; ///< largest number of previous rosters kept in the document
 };
 
-/// What heartbeats show of one process.
+/// Evidence about one process, from heartbeats and refused connections.
 struct peer_evidence
 {
-    model::member_record who;
-    core::mono_time heard{};       ///< last; at first, when it was first expected
-    core::mono_time heard_since{}; ///< begin of the present unbroken run
+    model::member_record process;
+    core::mono_time last_heard{}; ///< when it was last heard; initially, when it was first expected
+    core::mono_time heard_since{}; ///< start of the current interval without interruption
     bool ever_heard = false;
-    int refused = 0;                       ///< in a row
-    std::vector<std::string> silent_peers; ///< that it reported
+    int consecutive_refusals = 0;                ///< refused connections since it was last heard
+    std::vector<std::string> unresponsive_peers; ///< members that it reported as unresponsive
 };
 
-/// A lease that was seen to be missing.
+/// A member of the roster without a lease.
 struct missing_lease
 {
-    model::member_record who;
+    model::member_record process;
     core::mono_time since{};
 };
 
+/// State of one member for roster proposals.
 struct roster_state
 {
     roster_settings settings;
     model::member_record self;
     bool leaving = false;
-    std::optional<model::roster_document> current; ///< none: no such document
+    std::optional<model::roster_document> current; ///< none: the document does not exist
     ports::revision revision = 0;
     member_list leased;
-    bool read = false;              ///< since the start, the last pause and the last outage
-    std::uint64_t read_ticket = 0;  ///< newest asked for
-    std::uint64_t valid_ticket = 1; ///< oldest that counts
-    core::mono_time store_back{};   ///< when the reading after the start or an outage ended
+    /// The store was read since the start, the last pause and the last outage.
+    bool store_was_read = false;
+    std::uint64_t read_ticket = 0;         ///< ticket of the newest read requested
+    std::uint64_t oldest_valid_ticket = 1; ///< oldest ticket that still counts
+    /// When the first read after the start or an outage was complete.
+    core::mono_time store_readable_since{};
     std::vector<peer_evidence> peers;
     std::vector<missing_lease> missing;
     std::optional<core::mono_time> last_tick;
-    member_list wanted; ///< what a standing difference asks for
-    std::optional<core::mono_time> wanted_since;
-    core::millis wait{0};
-    std::optional<core::mono_time> acted; ///< last action; bounds repeats
+    member_list pending_members; ///< members of the roster that this member is about to propose
+    std::optional<core::mono_time> pending_since;  ///< since when pending_members differs
+    core::millis pending_delay{0};                 ///< wait from pending_since until the proposal
+    std::optional<core::mono_time> last_action_at; ///< time of the last action; limits repeats
 };
 
-/// Write this roster if the document's revision still is \p expected.
+/// Write this roster if the document still has the revision \p expected_revision.
 struct propose_roster
 {
     model::roster_document next;
-    ports::revision expected = 0;
-    std::vector<std::string> reasons; ///< one a change, for people
+    ports::revision expected_revision = 0;
+    std::vector<std::string> reasons; ///< one reason for each change, for operators
 };
 
-/// Read the roster and the members' records now, call on_roster and on_leased, then on_reread.
+/// Read the roster and the member records now, pass them to on_roster and on_leased, then call
+/// on_reread.
 struct reread_store
 {
     std::uint64_t ticket = 0;
 };
 
-/// Write our own leased record again.
+/// Write the leased record of this member again.
 struct register_self
 {
 };
 
+/// An action that the caller must take.
 using roster_action = std::variant<propose_roster, reread_store, register_self>;
 
-/// The roster document was read, or a watch brought it. \param document none: it does not exist.
+/// Handles a roster document that was read, or delivered by a watch.
+/// \param document none: the document does not exist.
 void on_roster(roster_state& state,
     std::optional<model::roster_document> document,
     ports::revision modified,
     core::mono_time now);
 
-/// Both reads that \p ticket asked for were sent after it and have been handed in. Watch events
-/// that lay in a buffer during a pause show what was true before it, so they don't count as
-/// reading.
+/// Records that both reads requested with \p ticket were sent after the request and have been
+/// passed in. Watch events that were buffered during a pause show the state before the pause, so
+/// they don't count as a read.
 void on_reread(roster_state& state, std::uint64_t ticket, core::mono_time now);
 
-/// All leased records, read or kept up to date by a watch.
+/// Replaces all leased records, whether read or kept up to date by a watch.
 void on_leased(roster_state& state, member_list leased, core::mono_time now);
 
-/// The store went out of reach: what it said of leases counts no longer.
+/// Records that the store is unreachable. Its statements about leases no longer count.
 void on_store_lost(roster_state& state);
 
-/// A heartbeat of that process arrived, or it answered one. Send heartbeats to all of the roster
-/// and to all with a leased record.
+/// Records that a heartbeat or an answer of this process arrived. Heartbeats must be sent to all
+/// members of the roster and to all processes with a leased record.
 void on_heard(roster_state& state,
-    const model::member_record& who,
-    const std::vector<std::string>& silent_peers,
+    const model::member_record& process,
+    const std::vector<std::string>& unresponsive_peers,
     core::mono_time now);
 
-/// Its address refused a connection. Silence needs no event.
-void on_refused(roster_state& state, const model::member_record& who, core::mono_time now);
+/// Records that the address of this process refused a connection. A process that does not answer
+/// needs no event.
+void on_refused(roster_state& state, const model::member_record& process, core::mono_time now);
 
-/// From now on the proposals leave this member out.
+/// Excludes this member from all further proposals.
 void leave(roster_state& state);
 
-/// \return members, and processes with a lease, not heard for longer than the silence limit: for
-/// our heartbeats.
-std::vector<std::string> silent_peers(const roster_state& state, core::mono_time now);
+/// \return ids of members, and of processes with a lease, that have not been heard for longer than
+///   `unresponsive_after`; reported in this member's heartbeats.
+std::vector<std::string> unresponsive_peers(const roster_state& state, core::mono_time now);
 
-/// To be called every 100 to 500 ms. \param random in [0, 1).
+/// Must be called every 100 to 500 ms.
+/// \param random a random number in [0, 1).
 std::vector<roster_action> on_tick(roster_state& state, double random, core::mono_time now);
 
 } // namespace camphorhitch::membership
--- a/libs/membership/include/membership/stop_bound.hpp
+++ b/libs/membership/include/membership/stop_bound.hpp
@@ -1,9 +1,10 @@
 /// \file
-/// When may others be sure that a silent member has stopped acting under an older epoch?
+/// Bounds the time until which unresponsive members may still act under an older epoch.
 ///
-/// By its word (it adopted a newer epoch), by proof (its process is gone), or by time: without a
-/// new confirmation it stops being fresh. Silent members that are a majority of a former roster may
-/// be confirming one another; then only `outage_grace` ends their freshness.
+/// A member has stopped acting under an older epoch when it reports a newer epoch, when its process
+/// is proven to have ended, or when enough time has passed: without a new confirmation it stops
+/// being fresh. Unresponsive members that form a majority of a previous roster may be confirming
+/// one another; in that case only `outage_grace` ends their freshness.
 #pragma once
 
 #include "membership/freshness.hpp"
@@ -11,19 +12,21 @@
 namespace camphorhitch::membership
 {
 
-/// \param roster_size members of the former roster.
-/// \param silent members of it that gave neither word nor proof.
-/// \return how long after the last word of the others a silent one may still be fresh.
-core::millis silent_bound(
-    const freshness_settings& settings, std::size_t roster_size, std::size_t silent);
+/// \param roster_size number of members of the previous roster.
+/// \param unresponsive number of its members that neither reported a newer epoch nor are proven to
+///   have ended.
+/// \return how long an unresponsive member may remain fresh after the last report of the other
+///   members.
+core::millis max_remaining_freshness(
+    const freshness_settings& settings, std::size_t roster_size, std::size_t unresponsive);
 
-/// The newest word of one process, or the proof that it is gone.
-struct process_word
+/// The newest epoch reported by one process, or the proof that the process has ended.
+struct process_report
 {
-    model::member_record who;
-    ports::epoch_number epoch = 0; ///< newest that it was known to have adopted
-    core::mono_time at{};          ///< when that was first heard
-    bool gone = false;             ///< connection refused, or another process took its place
+    model::member_record process;
+    ports::epoch_number epoch = 0; ///< newest epoch that the process is known to have adopted
+    core::mono_time at{};          ///< when this report first arrived
+    bool ended = false; ///< its address refused connections, or another process has replaced it
 };
 
 /// When this process adopted an epoch.
@@ -33,28 +36,36 @@
     core::mono_time at{};
 };
 
-struct stop_state
+/// Reports and epochs that the bound is computed from.
+struct stop_bound_state
 {
     freshness_settings settings;
     model::member_record self;
     std::vector<epoch_adoption> adoptions; ///< oldest first, bounded
-    std::vector<process_word> words;       ///< of processes in the adopted roster or its history
+    /// Reports of processes in the adopted roster or its history.
+    std::vector<process_report> reports;
 };
 
-void on_epoch_adopted(stop_state& state, const model::roster_document& roster, core::mono_time now);
+/// Records that this process adopted \p roster at \p now, and removes the reports of processes that
+/// are neither in the roster nor in its history.
+void on_epoch_adopted(
+    stop_bound_state& state, const model::roster_document& roster, core::mono_time now);
 
-/// A heartbeat or an answer of \p who named \p epoch.
-void on_word(stop_state& state,
-    const model::member_record& who,
+/// Records that a heartbeat or an answer of \p process named \p epoch.
+void on_epoch_reported(stop_bound_state& state,
+    const model::member_record& process,
     ports::epoch_number epoch,
     core::mono_time now);
 
-/// Proof that the process of \p who is gone.
-void on_process_gone(stop_state& state, const model::member_record& who, core::mono_time now);
+/// Records the proof that the process \p process has ended.
+void on_process_gone(
+    stop_bound_state& state, const model::member_record& process, core::mono_time now);
 
-/// \param roster the adopted one, with its history.
-/// \return the time from which no other process acts under an epoch before \p roster 's, as far as
-///   is known now; it may move closer with more words, and is in the past when all have spoken.
-core::mono_time stopped_from(const stop_state& state, const model::roster_document& roster);
+/// \param roster the adopted roster, with its history.
+/// \return the time from which no other process acts under an epoch older than that of \p roster,
+///   according to the reports so far. The time may move closer with further reports, and is in the
+///   past when all processes have reported.
+core::mono_time older_epochs_end(
+    const stop_bound_state& state, const model::roster_document& roster);
 
 } // namespace camphorhitch::membership
--- a/libs/membership/src/freshness.cpp
+++ b/libs/membership/src/freshness.cpp
@@ -24,12 +24,13 @@
 
 bool confirmed_by_store(const freshness_state& state, core::mono_time now)
 {
-    return state.store_started && state.store_epoch == state.epoch &&
-           within(*state.store_started, state.settings.freshness, now);
+    return state.store_read_started && state.store_epoch == state.epoch &&
+           within(*state.store_read_started, state.settings.freshness, now);
 }
 
-/// The store is out of everybody's reach, as far as a majority can tell. A peer that reaches it
-/// shows that only we are cut off; then the others may have gone on to a newer epoch without us.
+/// \return whether a majority confirms the epoch and, as far as the majority can tell, no member
+///   reaches the store. A peer that reaches the store shows that only this member is cut off from
+///   the store; the other members may then have adopted a newer epoch without this member.
 bool confirmed_by_peers(const freshness_state& state, core::mono_time now)
 {
     std::size_t confirmed = 1;
@@ -69,12 +70,13 @@
 void on_store_confirmed(freshness_state& state, ports::epoch_number epoch, core::mono_time started)
 {
     on_epoch_heard(state, epoch);
-    if (epoch < state.store_epoch || (state.store_started && started < *state.store_started))
+    if (epoch < state.store_epoch ||
+        (state.store_read_started && started < *state.store_read_started))
     {
         return;
     }
     state.store_epoch = epoch;
-    state.store_started = started;
+    state.store_read_started = started;
 }
 
 void on_peer_confirmed(
@@ -85,32 +87,33 @@
     {
         return;
     }
-    const peer_confirmation news{
+    const peer_confirmation confirmation{
         answer.member, answer.incarnation, started, answer.epoch, answer.store_reachable};
     for (auto& it : state.peers)
     {
         if (it.id == answer.member)
         {
-            it = it.started <= started ? news : it;
+            it = it.started <= started ? confirmation : it;
             return;
         }
     }
-    state.peers.push_back(news);
+    state.peers.push_back(confirmation);
 }
 
 void on_epoch_heard(freshness_state& state, ports::epoch_number epoch)
 {
-    state.newest_known = std::max(state.newest_known, epoch);
+    state.newest_known_epoch = std::max(state.newest_known_epoch, epoch);
 }
 
 bool is_store_reachable(const freshness_state& state, core::mono_time now)
 {
-    return state.store_started && within(*state.store_started, state.settings.store_window, now);
+    return state.store_read_started &&
+           within(*state.store_read_started, state.settings.store_window, now);
 }
 
 bool is_fresh(const freshness_state& state, core::mono_time now)
 {
-    if (state.newest_known > state.epoch || !contains_process(state.members, state.self))
+    if (state.newest_known_epoch > state.epoch || !contains_process(state.members, state.self))
     {
         return false;
     }
@@ -118,9 +121,10 @@
     {
         return true;
     }
-    // Without this bound two halves of a broken network could confirm themselves for ever; with it,
-    // who takes over has only to wait.
-    if (!state.store_started || !within(*state.store_started, state.settings.outage_grace, now))
+    // Without this bound, two halves of a partitioned network could confirm themselves for ever.
+    // With it, a member that takes over only has to wait.
+    if (!state.store_read_started ||
+        !within(*state.store_read_started, state.settings.outage_grace, now))
     {
         return false;
     }
--- a/libs/membership/src/owners.cpp
+++ b/libs/membership/src/owners.cpp
@@ -19,18 +19,18 @@
     return it == members.end() ? nullptr : &*it;
 }
 
-bool contains_process(const member_list& members, const model::member_record& who)
+bool contains_process(const member_list& members, const model::member_record& process)
 {
     return std::any_of(
-        members.begin(), members.end(), [&](const auto& m) { return same_process(m, who); });
+        members.begin(), members.end(), [&](const auto& m) { return same_process(m, process); });
 }
 
-std::string process_name(const model::member_record& who)
+std::string process_name(const model::member_record& process)
 {
-    return who.id + "/" + who.incarnation;
+    return process.id + "/" + process.incarnation;
 }
 
-std::vector<std::size_t> order_for(const member_list& members, std::string_view key)
+std::vector<std::size_t> rank_members(const member_list& members, std::string_view key)
 {
     std::vector<std::string_view> ids;
     ids.reserve(members.size());
@@ -47,7 +47,7 @@
     {
         return nullptr;
     }
-    return &roster.members[order_for(roster.members, key).front()];
+    return &roster.members[rank_members(roster.members, key).front()];
 }
 
 const model::member_record* owner_of_pool(
@@ -71,7 +71,7 @@
 slot_holders claim_holders(const member_list& members, std::uint32_t slot)
 {
     slot_holders holders;
-    for (const auto it : order_for(members, "claims/" + std::to_string(slot)))
+    for (const auto it : rank_members(members, "claims/" + std::to_string(slot)))
     {
         const auto& candidate = members[it];
         if (holders.first == nullptr)
--- a/libs/membership/tests/fixture.hpp
+++ b/libs/membership/tests/fixture.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Members and rosters for tests.
+/// Builds members and rosters for tests.
 #pragma once
 
 #include "core/time.hpp"
--- a/libs/membership/tests/freshness_tests.cpp
+++ b/libs/membership/tests/freshness_tests.cpp
@@ -45,12 +45,13 @@
 
 TEST_GROUP(freshness){};
 
-/// Looked at from member 1 at 100 s, under epoch 5; a confirmation holds for 3 s, outages for 60 s.
+/// Evaluates freshness at member 1, at 100 s, under epoch 5. A confirmation is valid for 3 s, and
+/// the outage grace is 60 s.
 TEST(freshness, rule)
 {
     struct row
     {
-        const char* what;
+        const char* name;
         int members;
         int store_ms; ///< start of the last read that the store answered
         ports::epoch_number store_epoch;
@@ -58,8 +59,8 @@
         bool fresh;
     };
     const row rows[] = {
-        {"store just now", 3, 99000, 5, {}, true},
-        {"store too long ago", 3, 97000, 5, {}, false},
+        {"store confirmed recently", 3, 99000, 5, {}, true},
+        {"store confirmed too long ago", 3, 97000, 5, {}, false},
         {"store named a newer epoch", 3, 99000, 6, {}, false},
         {"store named an older epoch", 3, 99000, 4, {}, false},
         {"majority of 3", 3, 90000, 5, {{2, 99000}}, true},
@@ -68,15 +69,15 @@
         {"majority of 4", 4, 90000, 5, {{2, 99000}, {3, 98000}}, true},
         {"two members need each other", 2, 90000, 5, {}, false},
         {"two members", 2, 90000, 5, {{2, 99000}}, true},
-        {"a single one is its own majority", 1, 90000, 5, {}, true},
-        {"a single one, but the outage is too long", 1, 40000, 5, {}, false},
+        {"a single member is its own majority", 1, 90000, 5, {}, true},
+        {"a single member, but the outage is too long", 1, 40000, 5, {}, false},
         {"outage too long", 3, 40000, 5, {{2, 99000}, {3, 99000}}, false},
         {"a peer reaches the store", 3, 90000, 5, {{2, 99000, 5, true}, {3, 99000}}, false},
-        {"it reached the store long ago", 3, 90000, 5, {{2, 96000, 5, true}, {3, 99000}}, true},
+        {"a peer reached the store long ago", 3, 90000, 5, {{2, 96000, 5, true}, {3, 99000}}, true},
         {"a peer is ahead", 3, 99000, 5, {{2, 99000, 6}}, false},
         {"a peer is behind", 3, 90000, 5, {{2, 99000, 4}}, false},
-        {"another process has its address", 3, 90000, 5, {{2, 99000, 5, false, "2"}}, false},
-        {"no member", 3, 90000, 5, {{8, 99000}}, false},
+        {"another process answers at its address", 3, 90000, 5, {{2, 99000, 5, false, "2"}}, false},
+        {"the peer is not a member", 3, 90000, 5, {{8, 99000}}, false},
     };
     for (const auto& it : rows)
     {
@@ -87,12 +88,13 @@
         {
             on_peer_confirmed(state, answer_of(peer), at_ms(peer.started_ms));
         }
-        CHECK_EQUAL_TEXT(it.fresh, is_fresh(state, at_ms(100000)), it.what);
+        CHECK_EQUAL_TEXT(it.fresh, is_fresh(state, at_ms(100000)), it.name);
     }
 }
 
-/// A process is stopped for 30 s with answers in its sockets. On waking it reads them first; were
-/// they counted from their arrival, it would send a request to a host that was rebooted meanwhile.
+/// Guards against dating answers by their arrival. A process is paused for 30 s with unread answers
+/// in its sockets and reads them first when it resumes. If the answers counted from their arrival,
+/// the process would send a request to a host that was rebooted meanwhile.
 TEST(freshness, answers_read_after_a_pause_count_from_their_requests)
 {
     auto state = state_of(3);
@@ -117,53 +119,54 @@
 
 TEST_GROUP(stop_bound){};
 
-/// Seen from member 1, which adopted epoch 6 at 10 s after the others were in epoch 5 with it.
-TEST(stop_bound, word_proof_freshness_or_grace)
+/// Evaluated at member 1, which adopted epoch 6 at 10 s. All members were in epoch 5 before.
+TEST(stop_bound, report_proof_freshness_or_grace)
 {
     struct row
     {
-        const char* what;
+        const char* name;
         int members;
-        std::vector<int> words; ///< members that spoke at 11 s
-        std::vector<int> gone;  ///< members proven gone at 11 s
+        std::vector<int> reports; ///< members that reported epoch 6 at 11 s
+        std::vector<int> ended;   ///< members proven to have ended at 11 s
         int from_ms;
     };
     const row rows[] = {
-        {"all spoke", 3, {2, 3}, {}, 10000},
-        {"one spoke, one is gone", 3, {2}, {3}, 10000},
-        {"one of three is silent", 3, {2}, {}, 11000 + 3500},
+        {"all reported", 3, {2, 3}, {}, 10000},
+        {"one reported, one has ended", 3, {2}, {3}, 10000},
+        {"one of three is unresponsive", 3, {2}, {}, 11000 + 3500},
         {"two of three may confirm one another", 3, {}, {}, 10000 + 60500},
-        {"two of four can't", 4, {2}, {}, 11000 + 3500},
-        {"the other one of two can't alone", 2, {}, {}, 10000 + 3500},
+        {"two of four can't confirm one another", 4, {2}, {}, 11000 + 3500},
+        {"a single member of two can't alone", 2, {}, {}, 10000 + 3500},
     };
     for (const auto& it : rows)
     {
-        stop_state state;
+        stop_bound_state state;
         state.settings.outage_grace = core::millis{60000};
         state.self = member(1);
         auto next = roster(6, {member(1)});
         next.history.push_back({5, members(it.members)});
         on_epoch_adopted(state, next, at_ms(10000));
-        for (const auto n : it.words)
+        for (const auto n : it.reports)
         {
-            on_word(state, member(n), 6, at_ms(11000));
-            on_word(state, member(n), 6, at_ms(19000));
+            on_epoch_reported(state, member(n), 6, at_ms(11000));
+            on_epoch_reported(state, member(n), 6, at_ms(19000));
         }
-        for (const auto n : it.gone)
+        for (const auto n : it.ended)
         {
             on_process_gone(state, member(n), at_ms(11000));
         }
-        const auto from = stopped_from(state, next).time_since_epoch();
+        const auto from = older_epochs_end(state, next).time_since_epoch();
         LONGS_EQUAL_TEXT(
-            it.from_ms, std::chrono::duration_cast<core::millis>(from).count(), it.what);
+            it.from_ms, std::chrono::duration_cast<core::millis>(from).count(), it.name);
     }
 }
 
-/// A single member is its own majority: whoever takes over waits for word, proof or the grace.
+/// A single member is its own majority: a member that takes over from it waits for a report, a
+/// proof or the outage grace.
 TEST(stop_bound, a_single_member_is_a_majority)
 {
     const freshness_settings settings;
-    LONGS_EQUAL(600500, silent_bound(settings, 1, 1).count());
-    LONGS_EQUAL(3500, silent_bound(settings, 2, 1).count());
-    LONGS_EQUAL(0, silent_bound(settings, 3, 0).count());
+    LONGS_EQUAL(600500, max_remaining_freshness(settings, 1, 1).count());
+    LONGS_EQUAL(3500, max_remaining_freshness(settings, 2, 1).count());
+    LONGS_EQUAL(0, max_remaining_freshness(settings, 3, 0).count());
 }
--- a/libs/membership/tests/owners_tests.cpp
+++ b/libs/membership/tests/owners_tests.cpp
@@ -13,8 +13,8 @@
 
 TEST_GROUP(owners){};
 
-/// Two versions that rank differently would have two first holders for a slot at one epoch, and a
-/// key could be granted by both. These figures are part of the protocol.
+/// Guards against two versions that rank members differently: a slot would have two first holders
+/// at one epoch, and both could grant the same key. These values are part of the protocol.
 TEST(owners, ranks_are_the_same_in_every_version)
 {
     struct row
@@ -69,9 +69,10 @@
 
 TEST_GROUP(accept_config){};
 
-/// A host boots while the service is down and hears only a peer that was cut off before the newest
-/// change. In force there would be what operators have replaced; so it waits.
-TEST(accept_config, never_goes_back)
+/// Guards against putting replaced settings in force. A host boots while the service is down and
+/// hears only a peer that was cut off before the newest change. That peer's configuration contains
+/// settings that operators have replaced, so the host waits.
+TEST(accept_config, never_returns_to_an_older_version)
 {
     struct row
     {
--- a/libs/membership/tests/roster_logic_tests.cpp
+++ b/libs/membership/tests/roster_logic_tests.cpp
@@ -14,8 +14,8 @@
 namespace
 {
 
-/// One member with its view of the others, driven on virtual time.
-struct driven
+/// One member with its view of the other members, driven on virtual time.
+struct member_driver
 {
     roster_state state;
     int now = 0;
@@ -25,23 +25,24 @@
     bool store_answers = true;
     member_list leased;
     std::optional<model::roster_document> stored;
-    std::vector<int> talking;                      ///< members whose heartbeats arrive
-    std::vector<int> refusing;                     ///< members whose address refuses
-    std::vector<std::pair<int, std::string>> says; ///< member, whom it reports as silent
+    std::vector<int> responding; ///< members whose heartbeats arrive
+    std::vector<int> refusing;   ///< members whose address refuses connections
+    /// reporting member, id that it reports as unresponsive
+    std::vector<std::pair<int, std::string>> silence_reports;
 
     void tick()
     {
-        for (const auto n : talking)
+        for (const auto n : responding)
         {
-            std::vector<std::string> silent;
-            for (const auto& [who, about] : says)
+            std::vector<std::string> ids;
+            for (const auto& [reporter, unresponsive] : silence_reports)
             {
-                if (who == n)
+                if (reporter == n)
                 {
-                    silent.push_back(about);
+                    ids.push_back(unresponsive);
                 }
             }
-            on_heard(state, member(n), silent, at_ms(now));
+            on_heard(state, member(n), ids, at_ms(now));
         }
         for (const auto n : refusing)
         {
@@ -49,11 +50,11 @@
         }
         for (const auto& it : on_tick(state, 0.5, at_ms(now)))
         {
-            take(it);
+            apply(it);
         }
     }
 
-    void take(const roster_action& action)
+    void apply(const roster_action& action)
     {
         if (const auto* proposal = std::get_if<propose_roster>(&action))
         {
@@ -89,25 +90,25 @@
         }
     }
 
-    void lease_only(member_list those)
+    void set_leases(member_list those)
     {
         leased = std::move(those);
         on_leased(state, leased, at_ms(now));
     }
 };
 
-/// Member \p self of a roster of \p count that is whole and talks.
-driven settled(int self, int count)
+/// \return member \p self of a stable roster of \p count members that all respond.
+member_driver stable_member(int self, int count)
 {
-    driven d;
+    member_driver d;
     d.state.self = member(self);
     d.leased = members(count);
     d.stored = roster(5, members(count));
     for (int n = 1; n <= count; ++n)
     {
-        d.talking.push_back(n);
+        d.responding.push_back(n);
     }
-    std::erase(d.talking, self);
+    std::erase(d.responding, self);
     d.run(10000);
     return d;
 }
@@ -125,81 +126,85 @@
 {
     struct row
     {
-        const char* what;
+        const char* name;
         int members;
-        std::function<void(driven&)> cause;
+        std::function<void(member_driver&)> cause;
         bool removed;
     };
-    const auto silent = [](driven& d)
+    const auto unresponsive = [](member_driver& d)
     {
-        std::erase(d.talking, 3);
+        std::erase(d.responding, 3);
     };
-    const auto refuses = [](driven& d)
+    const auto refuses = [](member_driver& d)
     {
-        std::erase(d.talking, 3);
+        std::erase(d.responding, 3);
         d.refusing = {3};
     };
-    const auto majority = [](driven& d)
+    const auto majority = [](member_driver& d)
     {
-        std::erase(d.talking, 3);
-        d.says = {{2, "e3"}, {4, "e3"}};
+        std::erase(d.responding, 3);
+        d.silence_reports = {{2, "e3"}, {4, "e3"}};
     };
-    const auto hearsay = [](driven& d)
+    const auto reports_by_unresponsive = [](member_driver& d)
     {
-        d.says = {{2, "e3"}, {4, "e3"}};
+        d.silence_reports = {{2, "e3"}, {4, "e3"}};
         d.run(100);
-        d.talking = {5};
+        d.responding = {5};
     };
-    const auto lapsed = [](driven& d)
+    const auto expired = [](member_driver& d)
     {
-        d.lease_only({member(1), member(2)});
+        d.set_leases({member(1), member(2)});
     };
-    const auto replaced = [](driven& d)
+    const auto replaced = [](member_driver& d)
     {
-        d.lease_only({member(1), member(2), member(3, "2")});
+        d.set_leases({member(1), member(2), member(3, "2")});
     };
     const row rows[] = {
-        {"nothing happened", 3, [](driven&) {}, false},
+        {"nothing happened", 3, [](member_driver&) {}, false},
         {"its address refuses", 3, refuses, true},
-        {"silent to us alone", 5, silent, false},
-        {"silent to a majority", 5, majority, true},
-        {"heard by us, silent to one",
+        {"unresponsive to this member only", 5, unresponsive, false},
+        {"unresponsive to a majority", 5, majority, true},
+        {"heard by this member, unresponsive to another",
             5,
-            [](driven& d) {
-                d.says = {{2, "e3"}};
+            [](member_driver& d) {
+                d.silence_reports = {{2, "e3"}};
             },
             false},
-        {"those who reported it are silent themselves", 5, hearsay, false},
-        {"its lease is gone", 3, lapsed, true},
+        {"the members that reported it are unresponsive themselves",
+            5,
+            reports_by_unresponsive,
+            false},
+        {"its lease has expired", 3, expired, true},
         {"a new process took its id", 3, replaced, true},
     };
     for (const auto& it : rows)
     {
-        auto d = settled(1, it.members);
-        LONGS_EQUAL_TEXT(0, d.proposals.size(), it.what);
+        auto d = stable_member(1, it.members);
+        LONGS_EQUAL_TEXT(0, d.proposals.size(), it.name);
         it.cause(d);
         d.run(5000);
-        CHECK_EQUAL_TEXT(it.removed, !d.proposals.empty(), it.what);
+        CHECK_EQUAL_TEXT(it.removed, !d.proposals.empty(), it.name);
         if (it.removed)
         {
-            CHECK_FALSE_TEXT(is_in(d.proposals[0], 3), it.what);
-            CHECK_TEXT(is_in(d.proposals[0], 1) && is_in(d.proposals[0], 2), it.what);
+            CHECK_FALSE_TEXT(is_in(d.proposals[0], 3), it.name);
+            CHECK_TEXT(is_in(d.proposals[0], 1) && is_in(d.proposals[0], 2), it.name);
             LONGS_EQUAL(6, d.proposals[0].next.epoch);
-            LONGS_EQUAL(5, d.proposals[0].expected);
+            LONGS_EQUAL(5, d.proposals[0].expected_revision);
             LONGS_EQUAL(5, d.proposals[0].next.history.front().epoch);
         }
     }
 }
 
-/// Nine members see the same loss. If all wrote, eight writes would fail and be read again; so they
-/// write in rendezvous order, and the first one's write stops the others.
+/// Guards against simultaneous writes. Nine members observe the same loss; if all wrote at once,
+/// eight writes would fail and be read again. Members write in rendezvous order, and the first
+/// write stops the others.
 TEST(roster_logic, members_write_one_after_the_other)
 {
     std::vector<int> waits;
     for (int self = 1; self <= 8; ++self)
     {
-        auto d = settled(self, 9);
-        std::erase(d.talking, 9);
+        auto d = stable_member(self, 9);
+        std::erase(d.responding, 9);
         d.refusing = {9};
         const int begin = d.now;
         while (d.proposals.empty())
@@ -216,11 +221,12 @@
     }
 }
 
-/// A member is stopped for a minute. On waking everybody looks silent and its own lease has lapsed;
-/// what it believes is old, so it reads first, registers again, and proposes nothing until then.
-TEST(roster_logic, a_paused_member_reads_again_and_removes_nobody)
+/// Guards against decisions on outdated state. A member is paused for a minute. When it resumes,
+/// every peer seems unresponsive and its own lease has expired. It therefore reads the store first,
+/// registers again, and proposes nothing until then.
+TEST(roster_logic, a_paused_member_reads_again_and_removes_no_member)
 {
-    auto d = settled(1, 3);
+    auto d = stable_member(1, 3);
     const int rereads = d.rereads;
     d.store_answers = false;
     d.now += 60000;
@@ -234,37 +240,37 @@
     CHECK(d.registers > 0);
 }
 
-/// The store comes back after minutes; all leases have lapsed and their holders register one by
-/// one.
-TEST(roster_logic, missing_leases_after_an_outage_remove_nobody_at_first)
+/// Guards against removing members whose leases expired together. The store becomes reachable again
+/// after minutes; all leases have expired, and their holders register one by one.
+TEST(roster_logic, missing_leases_after_an_outage_remove_no_member_at_first)
 {
-    auto d = settled(1, 3);
+    auto d = stable_member(1, 3);
     d.leased = {member(1)};
     on_store_lost(d.state);
     d.run(6000);
     LONGS_EQUAL(0, d.proposals.size());
-    d.lease_only(members(3));
+    d.set_leases(members(3));
     d.run(10000);
     LONGS_EQUAL(0, d.proposals.size());
 }
 
 TEST(roster_logic, a_removed_process_returns_after_it_was_heard_for_a_while)
 {
-    auto d = settled(1, 3);
+    auto d = stable_member(1, 3);
     d.stored = roster(6, {member(1), member(2)});
     d.stored->history = {{5, members(3)}};
-    d.talking = {2};
+    d.responding = {2};
     on_roster(d.state, d.stored, 6, at_ms(d.now));
     d.run(6000);
     LONGS_EQUAL(0, d.proposals.size());
-    d.talking = {2, 3};
+    d.responding = {2, 3};
     d.run(4000);
     LONGS_EQUAL(0, d.proposals.size());
     d.run(4000);
     CHECK(!d.proposals.empty() && is_in(d.proposals[0], 3));
 }
 
-TEST(roster_logic, who_is_outside_writes_only_when_nobody_inside_can)
+TEST(roster_logic, a_process_outside_the_roster_writes_only_when_no_member_can)
 {
     struct row
     {
@@ -277,7 +283,7 @@
     };
     for (const auto& it : rows)
     {
-        driven d;
+        member_driver d;
         d.state.self = member(4);
         d.stored = roster(5, members(2));
         d.leased = it.leased;
@@ -288,14 +294,14 @@
 
 TEST(roster_logic, first_roster_leaving_and_bounded_history)
 {
-    driven d;
+    member_driver d;
     d.state.self = member(1);
     d.leased = {member(1)};
     d.run(1000);
     LONGS_EQUAL(1, d.proposals.at(0).next.epoch);
-    LONGS_EQUAL(0, d.proposals[0].expected);
+    LONGS_EQUAL(0, d.proposals[0].expected_revision);
 
-    d = settled(1, 3);
+    d = stable_member(1, 3);
     d.state.current->history.assign(16, {});
     leave(d.state);
     d.tick();
--- a/libs/peer/schema/peer.capnp
+++ b/libs/peer/schema/peer.capnp
@@ -1,4 +1,4 @@
-# The calls between entry hosts. The README says how to add fields and how to compile this file.
+# Calls between entry hosts. The README describes how to add fields and how to compile this file.
 
 @0xe0f1a7c3b5d29846;
 
@@ -6,7 +6,8 @@
 $Cxx.namespace("camphorhitch::peer::schema");
 
 interface Gate {
-  # The first object of a connection. Its only method gives out the peer.
+  # The bootstrap object of a connection. Its only method returns the peer to a caller with the
+  # right token.
   authenticate @0 (token :Data) -> (peer :Peer);
 }
 
--- a/libs/peer/src/calls.cpp
+++ b/libs/peer/src/calls.cpp
@@ -5,31 +5,31 @@
 namespace camphorhitch::peer
 {
 
-calls::calls(kj::AsyncIoContext& io, const call_settings& settings, tally& counts)
+calls::calls(kj::AsyncIoContext& io, const call_settings& settings, atomic_counters& counts)
     : io_(io), settings_(settings), counts_(counts), tasks_(*this)
 {
 }
 
-bool calls::take(const std::string& address)
+bool calls::try_begin_call(const std::string& address)
 {
     auto& state = peers_[address];
-    if (state.open_calls >= settings_.bounds.calls_per_peer)
+    if (state.open_calls >= settings_.bounds.max_calls_per_peer)
     {
-        add(counts_.not_taken);
-        count(ports::peer_status::unreachable);
+        add(counts_.calls_over_limit);
+        count_failure(ports::peer_status::unreachable);
         return false;
     }
     ++state.open_calls;
     return true;
 }
 
-void calls::release(const std::string& address)
+void calls::end_call(const std::string& address)
 {
     --peers_[address].open_calls;
-    forget_if_idle(address);
+    remove_if_idle(address);
 }
 
-void calls::forget_if_idle(const std::string& address)
+void calls::remove_if_idle(const std::string& address)
 {
     const auto it = peers_.find(address);
     if (it != peers_.end() && it->second.open_calls == 0 && it->second.current == nullptr &&
@@ -39,102 +39,103 @@
     }
 }
 
-kj::Promise<connect_end> calls::obtain(const std::string& address)
+kj::Promise<connect_result> calls::get_connection(const std::string& address)
 {
     auto& state = peers_[address];
     if (state.current)
     {
-        return connect_end{ports::peer_status::ok, state.current};
+        return connect_result{ports::peer_status::ok, state.current};
     }
     if (state.connecting == nullptr)
     {
         auto& attempt = state.connecting.emplace(connect(address).fork());
-        // This branch comes first, so that the state is right before any call goes on.
+        // This branch is added first, so that the state is updated before any call continues.
         tasks_.add(attempt.addBranch().then(
-            [this, address](const connect_end& end) { keep(address, end); }));
+            [this, address](const connect_result& end) { store_connection(address, end); }));
     }
     return KJ_ASSERT_NONNULL(state.connecting).addBranch();
 }
 
-kj::Promise<connect_end> calls::connect(const std::string& address)
+kj::Promise<connect_result> calls::connect(const std::string& address)
 {
     const auto to = parse_address(address);
     if (!core::is_ok(to))
     {
-        return connect_end{};
+        return connect_result{};
     }
-    add(counts_.connects);
-    auto made = kj::evalNow(
+    add(counts_.connection_attempts);
+    auto attempt = kj::evalNow(
         [&]() {
             return connect_to(io_.unixEventPort, core::value(to));
-        }).then([this](connect_outcome socket) { return greet(kj::mv(socket)); });
+        }).then([this](socket_result socket) { return authenticate_connection(kj::mv(socket)); });
     return io_.lowLevelProvider->getTimer()
-        .timeoutAfter(settings_.connect_timeout.count() * kj::MILLISECONDS, kj::mv(made))
-        .catch_([](kj::Exception&&) { return connect_end{}; });
+        .timeoutAfter(settings_.connect_timeout.count() * kj::MILLISECONDS, kj::mv(attempt))
+        .catch_([](kj::Exception&&) { return connect_result{}; });
 }
 
-kj::Promise<connect_end> calls::greet(connect_outcome socket)
+kj::Promise<connect_result> calls::authenticate_connection(socket_result socket)
 {
     if (socket.error == ECONNREFUSED)
     {
-        // The only proof that no process listens there.
-        return connect_end{ports::peer_status::refused, nullptr};
+        // A refused connection is the only proof that no process listens at the address.
+        return connect_result{ports::peer_status::refused, nullptr};
     }
     if (socket.error != 0)
     {
-        return connect_end{};
+        return connect_result{};
     }
-    constexpr auto as_made = kj::LowLevelAsyncIoProvider::ALREADY_NONBLOCK |
-                             kj::LowLevelAsyncIoProvider::ALREADY_CLOEXEC;
-    auto link =
-        std::make_shared<connection>(io_.lowLevelProvider->wrapSocketFd(kj::mv(socket.fd), as_made),
-            ++serials_,
-            counts_,
-            settings_.bounds.largest_message);
-    auto shown = link->authenticate(settings_.token);
-    return shown.then(
-        [link = std::move(link)]() mutable {
-            return connect_end{ports::peer_status::ok, std::move(link)};
+    constexpr auto fd_flags = kj::LowLevelAsyncIoProvider::ALREADY_NONBLOCK |
+                              kj::LowLevelAsyncIoProvider::ALREADY_CLOEXEC;
+    auto new_connection = std::make_shared<connection>(
+        io_.lowLevelProvider->wrapSocketFd(kj::mv(socket.fd), fd_flags),
+        ++last_serial_,
+        counts_,
+        settings_.bounds.max_message_bytes);
+    auto authenticated = new_connection->authenticate(settings_.token);
+    return authenticated.then(
+        [new_connection = std::move(new_connection)]() mutable {
+            return connect_result{ports::peer_status::ok, std::move(new_connection)};
         });
 }
 
-void calls::keep(const std::string& address, const connect_end& end)
+void calls::store_connection(const std::string& address, const connect_result& end)
 {
     auto& state = peers_[address];
     state.connecting = nullptr;
-    if (end.made)
+    if (end.established)
     {
-        state.current = end.made;
-        auto ended = end.made->on_disconnect().catch_([](kj::Exception&&) {});
-        tasks_.add(ended.then(
-            [this, address, serial = end.made->serial()]() { retire(address, serial); }));
+        state.current = end.established;
+        auto ended = end.established->on_disconnect().catch_([](kj::Exception&&) {});
+        tasks_.add(ended.then([this, address, serial = end.established->serial()]()
+            { retire_connection(address, serial); }));
     }
-    forget_if_idle(address);
+    remove_if_idle(address);
 }
 
-void calls::retire(const std::string& address, std::uint64_t serial)
+void calls::retire_connection(const std::string& address, std::uint64_t serial)
 {
     const auto it = peers_.find(address);
     if (it != peers_.end() && it->second.current && it->second.current->serial() == serial)
     {
         it->second.current = nullptr;
     }
-    forget_if_idle(address);
+    remove_if_idle(address);
 }
 
 void calls::on_timeout(const std::string& address, open_call& call)
 {
     add(counts_.timed_out);
-    // A connection can go silent for good while new ones work: every call on it would time out.
-    // One that gave no sign of life during a whole call is not used for new calls; calls still open
-    // on it keep it until they end, in case it was only slow.
+    // A connection can stop working for ever while new connections work, and every call on it would
+    // time out. Therefore a connection that received nothing during a whole call is not used for
+    // new calls. Calls in flight on it keep it until they end, in case the connection was only
+    // slow.
     if (call.used && call.used->received() == call.received_before)
     {
-        retire(address, call.used->serial());
+        retire_connection(address, call.used->serial());
     }
 }
 
-void calls::count(ports::peer_status status)
+void calls::count_failure(ports::peer_status status)
 {
     if (status != ports::peer_status::ok)
     {
@@ -144,7 +145,7 @@
 
 void calls::taskFailed(kj::Exception&&)
 {
-    // Every task ends its own failures; one that comes here has nobody left to tell.
+    // Every task handles its own failures; a failure that arrives here has no receiver.
 }
 
 } // namespace camphorhitch::peer
--- a/libs/peer/src/codec.cpp
+++ b/libs/peer/src/codec.cpp
@@ -26,7 +26,7 @@
     to.setRosterDocument(to_data(from.roster_document));
     to.setConfigDocument(to_data(from.config_document));
     to.setFresh(from.fresh);
-    encode_texts(from.silent_peers, to.initSilentPeers(from.silent_peers.size()));
+    encode_texts(from.unresponsive_peers, to.initSilentPeers(from.unresponsive_peers.size()));
 }
 
 ports::heartbeat decode(schema::Heartbeat::Reader from)
@@ -41,7 +41,7 @@
     to.roster_document = from_data(from.getRosterDocument());
     to.config_document = from_data(from.getConfigDocument());
     to.fresh = from.getFresh();
-    to.silent_peers = decode_texts(from.getSilentPeers());
+    to.unresponsive_peers = decode_texts(from.getSilentPeers());
     return to;
 }
 
@@ -55,7 +55,7 @@
     to.setZone(to_text(from.zone));
     to.setKlass(to_enum<schema::RequestClass>(from.klass));
     to.setTimeLeftMs(from.time_left.count());
-    to.setExpectedMs(from.expected.count());
+    to.setExpectedMs(from.expected_run_time.count());
     encode_texts(from.avoid, to.initAvoid(from.avoid.size()));
     to.setRetry(from.retry);
 }
@@ -72,7 +72,7 @@
     to.klass = from_enum(
         from.getKlass(), ports::request_class::long_running, ports::request_class::long_running);
     to.time_left = from_ms(from.getTimeLeftMs());
-    to.expected = from_ms(from.getExpectedMs());
+    to.expected_run_time = from_ms(from.getExpectedMs());
     to.avoid = decode_texts(from.getAvoid());
     to.retry = from.getRetry();
     return to;
@@ -133,7 +133,7 @@
         one.pool = from_text(it.getPool());
         one.host = from_text(it.getHost());
         one.outcome = from_enum(
-            it.getOutcome(), ports::permit_outcome::silent, ports::permit_outcome::silent);
+            it.getOutcome(), ports::permit_outcome::unanswered, ports::permit_outcome::unanswered);
         one.elapsed = from_us(it.getElapsedUs());
     }
     return to;
--- a/libs/peer/src/codec.hpp
+++ b/libs/peer/src/codec.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// Messages of ports/peer.hpp to their Cap'n Proto form and back.
+/// Converts the messages of ports/peer.hpp to and from their Cap'n Proto form.
 ///
-/// Decoding trusts nothing: an enumerator that a newer peer sent becomes the most careful one we
-/// know, and times are held to a range in which arithmetic can't overflow.
+/// Decoding doesn't trust the sender: an enumerator sent by a newer peer becomes the known one with
+/// the safest effect, and times are limited to a range in which arithmetic can't overflow.
 #pragma once
 
 #include "peer.capnp.h"
--- a/libs/peer/src/connection.cpp
+++ b/libs/peer/src/connection.cpp
@@ -8,21 +8,23 @@
 namespace
 {
 
-// Room for what RPC itself wraps around a message.
-constexpr std::size_t envelope_bytes = 1024;
+// Upper bound of the data that the RPC protocol adds to a message.
+constexpr std::size_t rpc_overhead_bytes = 1024;
 
 } // namespace
 
-void require_size(capnp::MessageSize size, std::size_t largest)
+void check_size(capnp::MessageSize size, std::size_t largest)
 {
     const std::size_t bytes = size.wordCount * sizeof(capnp::word);
-    KJ_REQUIRE(bytes + envelope_bytes <= largest, "message too large", bytes);
+    KJ_REQUIRE(bytes + rpc_overhead_bytes <= largest, "message too large", bytes);
 }
 
-connection::connection(
-    kj::Own<kj::AsyncIoStream> io, std::uint64_t serial, tally& counts, std::size_t largest_message)
+connection::connection(kj::Own<kj::AsyncIoStream> io,
+    std::uint64_t serial,
+    atomic_counters& counts,
+    std::size_t max_message_bytes)
     : serial_(serial), io_(kj::mv(io)), stream_(*io_, counts, 0),
-      network_(stream_, capnp::rpc::twoparty::Side::CLIENT, reader_options(largest_message)),
+      network_(stream_, capnp::rpc::twoparty::Side::CLIENT, reader_options(max_message_bytes)),
       rpc_(capnp::makeRpcClient(network_)), peer_(nullptr)
 {
 }
--- a/libs/peer/src/connection.hpp
+++ b/libs/peer/src/connection.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// One connection to another entry host, from connect() to the token's acceptance.
+/// A connection to another entry host, from connect() to the acceptance of the token.
 #pragma once
 
 #include "message_stream.hpp"
@@ -13,21 +13,21 @@
 namespace camphorhitch::peer
 {
 
-/// Throws when a message of \p size would not be taken by the other side, which would then close
-/// the connection and so end other calls too.
-void require_size(capnp::MessageSize size, std::size_t largest);
+/// Throws when a message of \p size is larger than the other side accepts. The other side would
+/// close the connection and thereby end other calls as well.
+void check_size(capnp::MessageSize size, std::size_t largest);
 
 class connection final
 {
 public:
-    /// \param serial never used twice; tells a connection from a later one at the same place in
-    ///     memory.
+    /// \param serial unique number; distinguishes a connection from a later one at the same memory
+    ///   address.
     connection(kj::Own<kj::AsyncIoStream> io,
         std::uint64_t serial,
-        tally& counts,
-        std::size_t largest_message);
+        atomic_counters& counts,
+        std::size_t max_message_bytes);
 
-    /// Shows the token; peer() may be used when the promise has come true.
+    /// Sends the token. peer() may be used once the promise is fulfilled.
     kj::Promise<void> authenticate(const std::string& token);
     schema::Peer::Client& peer();
     std::uint64_t serial() const;
@@ -43,11 +43,12 @@
     schema::Peer::Client peer_;
 };
 
-/// How an attempt to connect ended. Copies share the connection, all on the peer thread.
-struct connect_end
+/// Result of a connection attempt. Copies share the connection; all of them stay on the peer
+/// thread.
+struct connect_result
 {
     ports::peer_status status = ports::peer_status::unreachable;
-    std::shared_ptr<connection> made; ///< when the status is ok
+    std::shared_ptr<connection> established; ///< set when the status is ok
 };
 
 } // namespace camphorhitch::peer
--- a/libs/peer/src/message_stream.cpp
+++ b/libs/peer/src/message_stream.cpp
@@ -9,10 +9,11 @@
 namespace
 {
 
-constexpr int deepest_nesting = 16; // our messages nest four deep, those of RPC a few more
+// Messages are nested four levels deep, those of the RPC protocol a few more.
+constexpr int max_nesting = 16;
 
-/// MessageReader::sizeInWords() of Cap'n Proto 0.9.2 locks its mutex twice, and so never returns,
-/// on a message of more than one segment.
+/// Replaces MessageReader::sizeInWords(), which in Cap'n Proto 0.9.2 locks its mutex twice for a
+/// message of more than one segment and therefore never returns.
 std::size_t size_in_words(capnp::MessageReader& message)
 {
     std::size_t words = 0;
@@ -27,19 +28,19 @@
 
 } // namespace
 
-message_stream::message_stream(kj::AsyncIoStream& io, tally& counts, std::size_t budget)
-    : below_(io), counts_(counts), budget_(budget), trusted_(budget == 0)
+message_stream::message_stream(kj::AsyncIoStream& io, atomic_counters& counts, std::size_t budget)
+    : base_stream_(io), counts_(counts), budget_(budget), authenticated_(budget == 0)
 {
 }
 
-void message_stream::trust()
+void message_stream::mark_authenticated()
 {
-    trusted_ = true;
+    authenticated_ = true;
 }
 
-bool message_stream::trusted() const
+bool message_stream::is_authenticated() const
 {
-    return trusted_;
+    return authenticated_;
 }
 
 std::uint64_t message_stream::received() const
@@ -52,15 +53,16 @@
     capnp::ReaderOptions options,
     kj::ArrayPtr<capnp::word> scratch)
 {
-    // A message's length is claimed in its first bytes and its memory is taken at once. Strangers
-    // could claim the largest message on each connection and hold that memory; so until the token
-    // was shown, a connection has one small budget for all that it sends.
-    if (!trusted_)
+    // The first bytes of a message state its length, and the memory is allocated at once. Clients
+    // without the token could announce the largest message on each connection and occupy that
+    // memory. Until it has authenticated, a connection therefore has one small budget for all of
+    // its data.
+    if (!authenticated_)
     {
         options.traversalLimitInWords =
             std::min<std::uint64_t>(options.traversalLimitInWords, budget_ / sizeof(capnp::word));
     }
-    return below_.tryReadMessage(fds, options, scratch)
+    return base_stream_.tryReadMessage(fds, options, scratch)
         .then(
             [this](kj::Maybe<capnp::MessageReaderAndFds> message)
             {
@@ -76,7 +78,7 @@
     kj::ArrayPtr<const int> fds, kj::ArrayPtr<const kj::ArrayPtr<const capnp::word>> segments)
 {
     count_out(segments);
-    return below_.writeMessage(fds, segments);
+    return base_stream_.writeMessage(fds, segments);
 }
 
 kj::Promise<void> message_stream::writeMessages(
@@ -86,17 +88,17 @@
     {
         count_out(it);
     }
-    return below_.writeMessages(messages);
+    return base_stream_.writeMessages(messages);
 }
 
 kj::Maybe<int> message_stream::getSendBufferSize()
 {
-    return below_.getSendBufferSize();
+    return base_stream_.getSendBufferSize();
 }
 
 kj::Promise<void> message_stream::end()
 {
-    return below_.end();
+    return base_stream_.end();
 }
 
 void message_stream::count_in(capnp::MessageReader& message)
@@ -118,7 +120,7 @@
 {
     capnp::ReaderOptions options;
     options.traversalLimitInWords = bytes / sizeof(capnp::word);
-    options.nestingLimit = deepest_nesting;
+    options.nestingLimit = max_nesting;
     return options;
 }
 
--- a/libs/peer/src/message_stream.hpp
+++ b/libs/peer/src/message_stream.hpp
@@ -1,8 +1,9 @@
 /// \file
-/// Messages of one connection, counted, and bounded until the other side has shown the token.
+/// Counts the messages of one connection, and limits their size until the other side has
+/// authenticated.
 #pragma once
 
-#include "tally.hpp"
+#include "atomic_counters.hpp"
 
 #include <capnp/serialize-async.h>
 
@@ -12,13 +13,14 @@
 class message_stream final : public capnp::MessageStream
 {
 public:
-    /// \param budget bytes that may come before trust(); 0: trusted from the start.
-    message_stream(kj::AsyncIoStream& io, tally& counts, std::size_t budget);
+    /// \param budget bytes accepted before mark_authenticated() is called; 0: authenticated from
+    ///   the start.
+    message_stream(kj::AsyncIoStream& io, atomic_counters& counts, std::size_t budget);
 
-    void trust();
-    bool trusted() const;
+    void mark_authenticated();
+    bool is_authenticated() const;
 
-    /// \return messages that came in on this connection.
+    /// \return number of messages received on this connection.
     std::uint64_t received() const;
 
     using capnp::MessageStream::tryReadMessage;
@@ -40,14 +42,14 @@
     void count_in(capnp::MessageReader& message);
     void count_out(kj::ArrayPtr<const kj::ArrayPtr<const capnp::word>> segments);
 
-    capnp::AsyncIoMessageStream below_;
-    tally& counts_;
+    capnp::AsyncIoMessageStream base_stream_;
+    atomic_counters& counts_;
     std::size_t budget_;
-    bool trusted_;
+    bool authenticated_;
     std::uint64_t received_ = 0;
 };
 
-/// Options for a connection whose messages may be as large as \p bytes.
+/// \return options for a connection with messages of up to \p bytes.
 capnp::ReaderOptions reader_options(std::size_t bytes);
 
 } // namespace camphorhitch::peer
--- a/libs/peer/src/network.cpp
+++ b/libs/peer/src/network.cpp
@@ -2,9 +2,9 @@
 
 #include "calls.hpp"
 #include "core/invariant.hpp"
-#include "mailbox.hpp"
 #include "service.hpp"
 #include "sockets.hpp"
+#include "task_queue.hpp"
 
 #include <csignal>
 #include <kj/exception.h>
@@ -18,11 +18,12 @@
 namespace
 {
 
-constexpr core::millis usual_timeout{500};
+constexpr core::millis default_timeout{500};
 
-/// kj writes its complaints about broken connections to the standard error, and in some builds it
-/// starts a process to name the lines of a stack trace. Neither may happen in a daemon.
-class quiet_callback final : public kj::ExceptionCallback
+/// Suppresses kj's output. kj writes messages about broken connections to the standard error and,
+/// in some builds, starts a process to resolve the lines of a stack trace. Neither may happen in a
+/// daemon.
+class output_suppressor final : public kj::ExceptionCallback
 {
 public:
     void logMessage(kj::LogSeverity, const char*, int, int, kj::String&&) override
@@ -35,43 +36,45 @@
     }
 };
 
-/// kj's set-up fills static tables at its first use. Their guard is inside a library that the
-/// thread sanitizer can't see into; one thread at a time spares it a false report.
-kj::AsyncIoContext set_up_loop()
+/// Creates the event loop of the peer thread. The set-up of kj fills static tables at its first
+/// use. Their guard is inside a library that the thread sanitizer doesn't instrument; the mutex
+/// prevents a false report.
+kj::AsyncIoContext create_event_loop()
 {
     static std::mutex one_at_a_time;
     const std::lock_guard lock(one_at_a_time);
     return kj::setupAsyncIo();
 }
 
-/// Blocks all signals while it lives, so that a thread started then leaves them to the others.
-class signals_blocked
+/// Blocks all signals while it exists, so that a thread started meanwhile leaves them to the other
+/// threads.
+class signal_blocker
 {
 public:
-    signals_blocked()
+    signal_blocker()
     {
         sigset_t all;
         ::sigfillset(&all);
         ::pthread_sigmask(SIG_SETMASK, &all, &before_);
     }
 
-    ~signals_blocked()
+    ~signal_blocker()
     {
         ::pthread_sigmask(SIG_SETMASK, &before_, nullptr);
     }
 
-    signals_blocked(const signals_blocked&) = delete;
-    signals_blocked& operator=(const signals_blocked&) = delete;
+    signal_blocker(const signal_blocker&) = delete;
+    signal_blocker& operator=(const signal_blocker&) = delete;
 
 private:
     sigset_t before_{};
 };
 
-/// How work reaches the scheduler's thread, as long as the network stands.
-struct way_back
+/// Runs functions on the scheduler's thread until the network is closed.
+struct reply_route
 {
     std::function<void(std::function<void()>)> post;
-    std::shared_ptr<bool> closed; ///< on the scheduler's thread only
+    std::shared_ptr<bool> closed; ///< used on the scheduler's thread only
 
     void run(std::function<void()> fn) const
     {
@@ -87,64 +90,65 @@
 };
 
 template <class Method>
-core::millis timeout_for(const typename Method::request& message, core::millis usual)
+core::millis timeout_for(const typename Method::request& message, core::millis base_timeout)
 {
     if constexpr (Method::kind == call_kind::request_permit)
     {
-        // The owner may hold the request in its queue for all of the time that it has left.
-        return usual + std::max(message.time_left, core::millis{0});
+        // The owner may keep the request in its queue for all of its remaining time.
+        return base_timeout + std::max(message.time_left, core::millis{0});
     }
     else
     {
-        return usual;
+        return base_timeout;
     }
 }
 
 template <class Method>
 void bind_client(ports::peer_client& client,
-    const std::shared_ptr<mailbox>& box,
-    const way_back& back,
-    core::millis usual)
+    const std::shared_ptr<task_queue>& queue,
+    const reply_route& route,
+    core::millis base_timeout)
 {
     using request = typename Method::request;
     using reply = typename Method::reply;
-    client.*Method::client =
-        [box, back, usual](std::string address, request message, ports::peer_callback<reply> fn)
+    client.*Method::client = [queue, route, base_timeout](std::string address,
+                                 request message,
+                                 ports::peer_callback<reply> fn)
     {
-        box->put(
-            [back,
-                usual,
+        queue->post(
+            [route,
+                base_timeout,
                 address = std::move(address),
                 message = std::move(message),
-                fn = std::move(fn)](loop_parts& loop)
+                fn = std::move(fn)](peer_thread_objects& loop)
             {
                 loop.outgoing.make<Method>(address,
                     message,
-                    timeout_for<Method>(message, usual),
-                    [back, fn](call_end<reply> end)
-                    { back.run([fn, end = std::move(end)]() { fn(end.status, end.reply); }); });
+                    timeout_for<Method>(message, base_timeout),
+                    [route, fn](call_result<reply> end)
+                    { route.run([fn, end = std::move(end)]() { fn(end.status, end.reply); }); });
             });
     };
 }
 
 template <class Method>
 void bind_handler(handler_calls& to,
-    const std::shared_ptr<mailbox>& box,
-    const way_back& back,
+    const std::shared_ptr<task_queue>& queue,
+    const reply_route& route,
     const std::shared_ptr<const ports::peer_handlers>& handlers)
 {
     using request = typename Method::request;
     using reply = typename Method::reply;
-    std::get<handler_calls::handler<Method>>(to.all) = [box, back, handlers](
-                                                           served_id id, request message)
+    std::get<handler_calls::handler<Method>>(to.all) = [queue, route, handlers](
+                                                           incoming_call_id id, request message)
     {
-        back.run(
-            [box, handlers, id, message = std::move(message)]()
+        route.run(
+            [queue, handlers, id, message = std::move(message)]()
             {
                 (handlers.get()->*Method::handler)(message,
-                    [box, id](reply answer)
+                    [queue, id](reply answer)
                     {
-                        box->put([id, answer = std::move(answer)](loop_parts& loop)
+                        queue->post([id, answer = std::move(answer)](peer_thread_objects& loop)
                             { loop.incoming.reply(id, answer); });
                     });
             });
@@ -172,7 +176,7 @@
     return names;
 }
 
-/// \return what a builder lacks, or an empty string.
+/// \return the names of the missing parts, or an empty string.
 std::string missing_parts(
     const std::string& token, const ports::scheduler& s, const ports::peer_handlers& h)
 {
@@ -199,11 +203,13 @@
 {
     call_settings outgoing;
     service_settings incoming;
-    tally counts;
-    std::shared_ptr<mailbox> box = std::make_shared<mailbox>();
+    atomic_counters counts;
+    std::shared_ptr<task_queue> queue = std::make_shared<task_queue>();
     std::shared_ptr<bool> closed = std::make_shared<bool>(false);
     ports::peer_client client;
-    /// Owned here and not by the thread: it must stay open for as long as the process may send.
+    /// Owned by this object and not by the thread: the socket must stay open for as long as the
+    /// process may send requests to a target, because a refused connection proves that the process
+    /// has ended.
     listening_socket listening;
     std::thread thread;
 
@@ -214,16 +220,17 @@
 {
     try
     {
-        auto io = set_up_loop();
-        const quiet_callback quiet;
+        auto io = create_event_loop();
+        const output_suppressor suppressor;
         calls out(io, outgoing, counts);
         service in(io, incoming, counts);
         in.start(listening.fd.get());
-        box->run(*io.lowLevelProvider, {out, in}).wait(io.waitScope);
+        queue->run(*io.lowLevelProvider, {out, in}).wait(io.waitScope);
     }
     catch (const kj::Exception& e)
     {
-        // A process that can't be asked any more must not go on half alive.
+        // A process whose peers can't reach it any more must not continue with only a part of its
+        // functions.
         core::require(false, "peer thread ended by an exception", e.getDescription().cStr());
     }
 }
@@ -235,7 +242,7 @@
 network::~network()
 {
     *parts_->closed = true;
-    parts_->box->stop();
+    parts_->queue->stop();
     parts_->thread.join();
 }
 
@@ -313,26 +320,26 @@
     {
         return core::failure(listening);
     }
-    auto made = std::make_unique<parts>();
-    made->listening = std::move(core::value(listening));
-    made->outgoing = {token_, connect_timeout_, limits_};
-    made->incoming = {token_, limits_, {}};
-    const way_back back{scheduler_.post, made->closed};
+    auto built = std::make_unique<parts>();
+    built->listening = std::move(core::value(listening));
+    built->outgoing = {token_, connect_timeout_, limits_};
+    built->incoming = {token_, limits_, {}};
+    const reply_route route{scheduler_.post, built->closed};
     const auto handlers = std::make_shared<const ports::peer_handlers>(handlers_);
     for_each_method(
         [&](auto method)
         {
             using type = decltype(method);
             const auto own = timeouts_.find(type::kind);
-            const auto usual = own == timeouts_.end() ? usual_timeout : own->second;
-            bind_client<type>(made->client, made->box, back, usual);
-            bind_handler<type>(made->incoming.handlers, made->box, back, handlers);
+            const auto base_timeout = own == timeouts_.end() ? default_timeout : own->second;
+            bind_client<type>(built->client, built->queue, route, base_timeout);
+            bind_handler<type>(built->incoming.handlers, built->queue, route, handlers);
         });
     {
-        const signals_blocked quiet;
-        made->thread = std::thread([p = made.get()]() { p->run(); });
+        const signal_blocker blocker;
+        built->thread = std::thread([p = built.get()]() { p->run(); });
     }
-    return std::make_unique<network>(std::move(made));
+    return std::make_unique<network>(std::move(built));
 }
 
 } // namespace camphorhitch::peer
--- a/libs/peer/src/served_peer.hpp
+++ b/libs/peer/src/peer_server.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The objects that other entry hosts call on us.
+/// RPC objects that other entry hosts call.
 #pragma once
 
 #include "codec.hpp"
@@ -9,10 +9,10 @@
 namespace camphorhitch::peer
 {
 
-class served_peer final : public schema::Peer::Server
+class peer_server final : public schema::Peer::Server
 {
 public:
-    explicit served_peer(service& owner) : owner_(owner)
+    explicit peer_server(service& s) : service_(s)
     {
     }
 
@@ -68,46 +68,47 @@
         auto message = decode(context.getParams());
         context.releaseParams();
         context.allowCancellation();
-        return owner_.ask<Method>(std::move(message))
+        return service_.call_handler<Method>(std::move(message))
             .then(
-                [context, largest = owner_.largest_message()](
+                [context, largest = service_.max_message_bytes()](
                     kj::Own<typename Method::reply> reply) mutable
                 {
                     auto results = context.getResults();
                     encode(*reply, results);
-                    require_size(results.totalSize(), largest);
+                    check_size(results.totalSize(), largest);
                 });
     }
 
-    service& owner_;
+    service& service_;
 };
 
-class served_gate final : public schema::Gate::Server
+class gate_server final : public schema::Gate::Server
 {
 public:
-    served_gate(service& owner, message_stream& messages) : owner_(owner), messages_(messages)
+    gate_server(service& s, message_stream& messages) : service_(s), messages_(messages)
     {
     }
 
     kj::Promise<void> authenticate(AuthenticateContext context) override
     {
-        // One guess a connection; a wrong one is closed when its time for the token is over.
-        const bool first = !tried_;
-        tried_ = true;
-        if (!first || !owner_.right_token(context.getParams().getToken()))
+        // A connection may present one token only. After a wrong token the connection is closed
+        // when its time for the token is over.
+        const bool first = !token_checked_;
+        token_checked_ = true;
+        if (!first || !service_.is_correct_token(context.getParams().getToken()))
         {
-            add(owner_.counts().wrong_tokens);
+            add(service_.counts().wrong_tokens);
             return KJ_EXCEPTION(FAILED, "wrong token");
         }
-        owner_.trust(messages_);
-        context.getResults().setPeer(kj::heap<served_peer>(owner_));
+        service_.mark_authenticated(messages_);
+        context.getResults().setPeer(kj::heap<peer_server>(service_));
         return kj::READY_NOW;
     }
 
 private:
-    service& owner_;
+    service& service_;
     message_stream& messages_;
-    bool tried_ = false;
+    bool token_checked_ = false;
 };
 
 } // namespace camphorhitch::peer
--- a/libs/peer/src/service.cpp
+++ b/libs/peer/src/service.cpp
@@ -1,7 +1,7 @@
 #include "service.hpp"
 
 #include "connection.hpp"
-#include "served_peer.hpp"
+#include "peer_server.hpp"
 
 #include <capnp/rpc-twoparty.h>
 
@@ -11,10 +11,11 @@
 namespace
 {
 
-// Pause after a failed accept(): when file descriptors have run out it fails at once, for ever.
-constexpr kj::Duration accept_pause = 100 * kj::MILLISECONDS;
+// Delay after a failed accept(): when the process has no file descriptors left, accept() fails
+// immediately each time.
+constexpr kj::Duration accept_retry_delay = 100 * kj::MILLISECONDS;
 
-// Calls of one connection that are being served hold at most this many largest messages.
+// Limit of the total size of one connection's calls in progress, in messages of maximum size.
 constexpr std::size_t messages_in_flight = 2;
 
 } // namespace
@@ -22,35 +23,36 @@
 struct service::session
 {
     session(service& s, kj::Own<kj::AsyncIoStream> stream)
-        : owner(s), io(kj::mv(stream)), messages(*io, s.counts_, s.settings_.bounds.before_token),
+        : parent(s), io(kj::mv(stream)),
+          messages(*io, s.counts_, s.settings_.bounds.max_bytes_before_token),
           network(messages,
               capnp::rpc::twoparty::Side::SERVER,
-              reader_options(s.settings_.bounds.largest_message)),
-          rpc(capnp::makeRpcServer(network, kj::heap<served_gate>(s, messages)))
+              reader_options(s.settings_.bounds.max_message_bytes)),
+          rpc(capnp::makeRpcServer(network, kj::heap<gate_server>(s, messages)))
     {
         rpc.setFlowLimit(
-            messages_in_flight * s.settings_.bounds.largest_message / sizeof(capnp::word));
-        ++owner.open_;
-        ++owner.untrusted_;
+            messages_in_flight * s.settings_.bounds.max_message_bytes / sizeof(capnp::word));
+        ++parent.open_sessions_;
+        ++parent.unauthenticated_sessions_;
     }
 
     ~session()
     {
-        --owner.open_;
-        owner.untrusted_ -= messages.trusted() ? 0 : 1;
+        --parent.open_sessions_;
+        parent.unauthenticated_sessions_ -= messages.is_authenticated() ? 0 : 1;
     }
 
     session(const session&) = delete;
     session& operator=(const session&) = delete;
 
-    service& owner;
+    service& parent;
     kj::Own<kj::AsyncIoStream> io;
     message_stream messages;
     capnp::TwoPartyVatNetwork network;
     capnp::RpcSystem<capnp::rpc::twoparty::VatId> rpc;
 };
 
-service::service(kj::AsyncIoContext& io, const service_settings& settings, tally& counts)
+service::service(kj::AsyncIoContext& io, const service_settings& settings, atomic_counters& counts)
     : io_(io), settings_(settings), counts_(counts), tasks_(*this)
 {
 }
@@ -61,76 +63,78 @@
 {
     listener_ = io_.lowLevelProvider->wrapListenSocketFd(
         listening, kj::LowLevelAsyncIoProvider::ALREADY_NONBLOCK);
-    tasks_.add(take_connections(*listener_));
+    tasks_.add(accept_connections(*listener_));
 }
 
-kj::Promise<void> service::take_connections(kj::ConnectionReceiver& listener)
+kj::Promise<void> service::accept_connections(kj::ConnectionReceiver& listener)
 {
     return listener.accept()
-        .then([this](kj::Own<kj::AsyncIoStream> io) { take(kj::mv(io)); })
+        .then([this](kj::Own<kj::AsyncIoStream> io) { open_session(kj::mv(io)); })
         .catch_(
             [this](kj::Exception&&)
             {
-                // The socket stays open: closing it would tell the others that we are gone.
-                return io_.lowLevelProvider->getTimer().afterDelay(accept_pause);
+                // The socket stays open: closing it would be taken by the other members as proof
+                // that this process has ended.
+                return io_.lowLevelProvider->getTimer().afterDelay(accept_retry_delay);
             })
-        .then([this, &listener]() { return take_connections(listener); });
+        .then([this, &listener]() { return accept_connections(listener); });
 }
 
-void service::take(kj::Own<kj::AsyncIoStream> io)
+void service::open_session(kj::Own<kj::AsyncIoStream> io)
 {
     const auto& bounds = settings_.bounds;
-    if (open_ >= bounds.connections || untrusted_ >= bounds.connections_before_token)
+    if (open_sessions_ >= bounds.max_connections ||
+        unauthenticated_sessions_ >= bounds.max_unauthenticated_connections)
     {
-        add(counts_.turned_away);
+        add(counts_.connections_rejected);
         return;
     }
-    add(counts_.accepted);
+    add(counts_.connections_accepted);
     auto one = kj::heap<session>(*this, kj::mv(io));
     auto& messages = one->messages;
     auto expiry = io_.lowLevelProvider->getTimer()
-                      .afterDelay(bounds.token_within.count() * kj::MILLISECONDS)
+                      .afterDelay(bounds.token_timeout.count() * kj::MILLISECONDS)
                       .then(
                           [&messages]() -> kj::Promise<void>
                           {
-                              return messages.trusted() ? kj::Promise<void>(kj::NEVER_DONE)
-                                                        : kj::Promise<void>(kj::READY_NOW);
+                              return messages.is_authenticated() ? kj::Promise<void>(kj::NEVER_DONE)
+                                                                 : kj::Promise<void>(kj::READY_NOW);
                           });
     auto ended = one->network.onDisconnect().exclusiveJoin(kj::mv(expiry));
     tasks_.add(ended.attach(kj::mv(one)));
 }
 
-bool service::right_token(capnp::Data::Reader shown) const
+bool service::is_correct_token(capnp::Data::Reader presented) const
 {
     const auto& token = settings_.token;
-    // Looks at every byte, so that the time taken tells nothing about the token.
-    unsigned difference = shown.size() == token.size() ? 0 : 1;
-    for (std::size_t i = 0; i < shown.size(); ++i)
+    // Compares every byte, so that the duration reveals nothing about the token.
+    unsigned difference = presented.size() == token.size() ? 0 : 1;
+    for (std::size_t i = 0; i < presented.size(); ++i)
     {
-        difference |= shown[i] ^ static_cast<unsigned char>(token[i % token.size()]);
+        difference |= presented[i] ^ static_cast<unsigned char>(token[i % token.size()]);
     }
     return difference == 0;
 }
 
-void service::trust(message_stream& messages)
+void service::mark_authenticated(message_stream& messages)
 {
-    messages.trust();
-    --untrusted_;
+    messages.mark_authenticated();
+    --unauthenticated_sessions_;
 }
 
-tally& service::counts()
+atomic_counters& service::counts()
 {
     return counts_;
 }
 
-std::size_t service::largest_message() const
+std::size_t service::max_message_bytes() const
 {
-    return settings_.bounds.largest_message;
+    return settings_.bounds.max_message_bytes;
 }
 
 void service::taskFailed(kj::Exception&&)
 {
-    // A connection broke; its session is closed with its task.
+    // A connection broke; its session is closed together with its task.
 }
 
 } // namespace camphorhitch::peer
--- a/libs/peer/src/sockets.cpp
+++ b/libs/peer/src/sockets.cpp
@@ -12,10 +12,10 @@
 namespace
 {
 
-constexpr int backlog = 128;         // connections
-constexpr int keepalive_idle_s = 10; // seconds before the first probe
-constexpr int keepalive_every_s = 5; // seconds between probes
-constexpr int keepalive_probes = 3;  // unanswered, to give up
+constexpr int backlog = 128;            // connections
+constexpr int keepalive_idle_s = 10;    // seconds before the first probe
+constexpr int keepalive_interval_s = 5; // seconds between probes
+constexpr int keepalive_probes = 3;     // unanswered probes after which the connection ends
 
 core::error invalid(const std::string& text)
 {
@@ -53,7 +53,7 @@
     return ::getsockopt(fd, SOL_SOCKET, SO_ERROR, &ec, &size) == 0 ? ec : errno;
 }
 
-const sockaddr* raw(const socket_address& a)
+const sockaddr* as_sockaddr(const socket_address& a)
 {
     return reinterpret_cast<const sockaddr*>(&a.bytes);
 }
@@ -95,8 +95,8 @@
         return unavailable("socket", errno);
     }
     set_option(fd.get(), SOL_SOCKET, SO_REUSEADDR, 1);
-    tune(fd.get()); // accepted sockets inherit it
-    if (::bind(fd.get(), raw(at), at.size) != 0)
+    configure_socket(fd.get()); // accepted sockets inherit it
+    if (::bind(fd.get(), as_sockaddr(at), at.size) != 0)
     {
         return unavailable("bind", errno);
     }
@@ -108,17 +108,17 @@
     return listening_socket{kj::mv(fd), port};
 }
 
-kj::Promise<connect_outcome> connect_to(kj::UnixEventPort& port, const socket_address& to)
+kj::Promise<socket_result> connect_to(kj::UnixEventPort& port, const socket_address& to)
 {
     auto fd = stream_socket(to.bytes.ss_family);
     if (fd.get() < 0)
     {
-        return connect_outcome{nullptr, errno};
+        return socket_result{nullptr, errno};
     }
-    tune(fd.get());
-    if (::connect(fd.get(), raw(to), to.size) != 0 && errno != EINPROGRESS)
+    configure_socket(fd.get());
+    if (::connect(fd.get(), as_sockaddr(to), to.size) != 0 && errno != EINPROGRESS)
     {
-        return connect_outcome{nullptr, errno};
+        return socket_result{nullptr, errno};
     }
     auto watch = kj::heap<kj::UnixEventPort::FdObserver>(
         port, fd.get(), kj::UnixEventPort::FdObserver::OBSERVE_WRITE);
@@ -128,16 +128,16 @@
         {
             watch = nullptr;
             const int ec = pending_error(fd.get());
-            return connect_outcome{kj::mv(fd), ec};
+            return socket_result{kj::mv(fd), ec};
         });
 }
 
-void tune(int fd)
+void configure_socket(int fd)
 {
     set_option(fd, IPPROTO_TCP, TCP_NODELAY, 1);
     set_option(fd, SOL_SOCKET, SO_KEEPALIVE, 1);
     set_option(fd, IPPROTO_TCP, TCP_KEEPIDLE, keepalive_idle_s);
-    set_option(fd, IPPROTO_TCP, TCP_KEEPINTVL, keepalive_every_s);
+    set_option(fd, IPPROTO_TCP, TCP_KEEPINTVL, keepalive_interval_s);
     set_option(fd, IPPROTO_TCP, TCP_KEEPCNT, keepalive_probes);
 }
 
--- a/libs/peer/src/wire_values.hpp
+++ b/libs/peer/src/wire_values.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Single values of messages to and from their Cap'n Proto form.
+/// Converts single values of messages to and from their Cap'n Proto form.
 #pragma once
 
 #include "core/time.hpp"
@@ -34,21 +34,22 @@
     return {reinterpret_cast<const char*>(r.begin()), r.size()};
 }
 
-/// A peer's number of milliseconds could overflow once it becomes microseconds or is added to a
-/// time point, which is undefined; no time that peers tell each other is longer than this.
-inline constexpr std::int64_t longest_ms = std::int64_t{30} * 24 * 3600 * 1000;
+/// Upper bound of all times in messages, in milliseconds. A larger number from a peer could
+/// overflow when it is converted to microseconds or added to a time point, which is undefined
+/// behaviour. No valid message contains a longer time.
+inline constexpr std::int64_t max_ms = std::int64_t{30} * 24 * 3600 * 1000;
 
 inline core::millis from_ms(std::int64_t ms)
 {
-    return core::millis{std::clamp(ms, std::int64_t{0}, longest_ms)};
+    return core::millis{std::clamp(ms, std::int64_t{0}, max_ms)};
 }
 
 inline core::micros from_us(std::int64_t us)
 {
-    return core::micros{std::clamp(us, std::int64_t{0}, longest_ms * 1000)};
+    return core::micros{std::clamp(us, std::int64_t{0}, max_ms * 1000)};
 }
 
-/// Enumerators stand in the same order on both sides.
+/// The enumerators have the same order in the ports and in the schema.
 template <class To, class From>
 To to_enum(From v)
 {
@@ -56,12 +57,12 @@
 }
 
 /// \param last the last enumerator that this version knows.
-/// \param careful what one of a newer version is taken for.
+/// \param fallback the value to use for an enumerator of a newer version.
 template <class To, class From>
-To from_enum(From v, To last, To careful)
+To from_enum(From v, To last, To fallback)
 {
     const auto n = static_cast<std::uint16_t>(v);
-    return n <= static_cast<std::uint16_t>(last) ? static_cast<To>(n) : careful;
+    return n <= static_cast<std::uint16_t>(last) ? static_cast<To>(n) : fallback;
 }
 
 inline void encode_texts(const std::vector<std::string>& from, capnp::List<capnp::Text>::Builder to)
--- a/libs/peer/tests/codec_tests.cpp
+++ b/libs/peer/tests/codec_tests.cpp
@@ -13,8 +13,8 @@
 namespace
 {
 
-// Every field of each message, by structured bindings: a field that is added to a port breaks the
-// build here, so that it can't be forgotten on the wire.
+// Compares every field of each message by structured bindings: a field that is added to a port
+// breaks the build here, so that its encoding can't be forgotten.
 
 auto fields_of(const ports::heartbeat& m)
 {
@@ -147,7 +147,8 @@
            same(slots, y.slots);
 }
 
-/// Sends \p message to ourselves, answered by \p answer, and compares both ends.
+/// Sends \p message through a network to itself, answers it with \p answer, and compares both
+/// messages at both ends.
 template <class Request, class Reply>
 void check_round_trip(ports::peer_client::call<Request, Reply> ports::peer_client::*call,
     ports::peer_handlers::handler<Request, Reply> ports::peer_handlers::*handler,
@@ -156,14 +157,14 @@
 {
     test_scheduler loop;
     Request arrived;
-    auto handlers = plain_handlers();
+    auto handlers = empty_reply_handlers();
     handlers.*handler = [&](Request r, const std::function<void(Reply)>& reply)
     {
         arrived = std::move(r);
         reply(answer);
     };
-    auto b = plain_builder(loop);
-    const auto net = built(b.handlers(handlers));
+    auto b = default_builder(loop);
+    const auto net = build_network(b.handlers(handlers));
     call_record<Reply> end;
     (net->client().*call)(address_of(*net), message, end.callback());
     CHECK(loop.run_until([&]() { return end.ends == 1; }));
@@ -222,7 +223,7 @@
     check_round_trip(
         &ports::peer_client::request_permit, &ports::peer_handlers::request_permit, ask, answer);
     const std::vector<ports::permit_return> returns{
-        {"e1", "i1", 1, 2, "p", "h", ports::permit_outcome::silent, micros{12345}},
+        {"e1", "i1", 1, 2, "p", "h", ports::permit_outcome::unanswered, micros{12345}},
         {"e2", "i2", 3, 4, "q", "g", ports::permit_outcome::unused, micros{0}}};
     check_round_trip(&ports::peer_client::return_permits,
         &ports::peer_handlers::return_permits,
--- a/libs/peer/tests/fixture.hpp
+++ b/libs/peer/tests/fixture.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// What the tests of this package share: a scheduler drained by the test's own thread, and
-/// networks with handlers that record what they were asked.
+/// Shared fixtures: a scheduler whose queue is drained by the test's own thread, and networks with
+/// handlers that return empty replies.
 #pragma once
 
 #include "peer/network.hpp"
@@ -13,8 +13,8 @@
 namespace camphorhitch::peer::testing
 {
 
-/// Longest that a test waits for something that must come.
-constexpr std::chrono::seconds patience{20};
+/// Longest time that a test waits for an expected event.
+constexpr std::chrono::seconds max_wait{20};
 
 /// A queue that any thread fills and the test's thread empties.
 class test_scheduler
@@ -32,11 +32,11 @@
         return s;
     }
 
-    /// Runs what is posted until \p met.
-    /// \return false when that took longer than patience.
+    /// Runs posted functions until \p met returns true.
+    /// \return false when that took longer than max_wait.
     bool run_until(const std::function<bool()>& met)
     {
-        const auto end = std::chrono::steady_clock::now() + patience;
+        const auto end = std::chrono::steady_clock::now() + max_wait;
         while (!met())
         {
             std::unique_lock lock(mutex_);
@@ -58,8 +58,8 @@
     std::deque<std::function<void()>> queue_;
 };
 
-/// Handlers that answer with an empty reply at once.
-inline ports::peer_handlers plain_handlers()
+/// Handlers that answer immediately with an empty reply.
+inline ports::peer_handlers empty_reply_handlers()
 {
     ports::peer_handlers h;
     h.beat = [](auto, auto reply)
@@ -101,20 +101,20 @@
     return h;
 }
 
-/// A builder with everything set but what a test is about. What must come may take its time.
-inline network::builder plain_builder(test_scheduler& loop)
+/// A complete builder, for tests that change only the settings under test. All timeouts are long.
+inline network::builder default_builder(test_scheduler& loop)
 {
     network::builder b;
-    b.listen("127.0.0.1:0").token("secret").scheduler(loop.port()).handlers(plain_handlers());
-    b.connect_timeout(patience);
+    b.listen("127.0.0.1:0").token("secret").scheduler(loop.port()).handlers(empty_reply_handlers());
+    b.connect_timeout(max_wait);
     for (const auto& it : call_kind_names)
     {
-        b.timeout(it.value, patience);
+        b.timeout(it.value, max_wait);
     }
     return b;
 }
 
-inline std::unique_ptr<network> built(network::builder& b)
+inline std::unique_ptr<network> build_network(network::builder& b)
 {
     auto made = b.build();
     return core::is_ok(made) ? std::move(core::value(made)) : nullptr;
@@ -125,7 +125,7 @@
     return "127.0.0.1:" + std::to_string(n.port());
 }
 
-/// The end of one call, when it came.
+/// The result of one call, once it has ended.
 template <class Reply>
 struct call_record
 {
--- a/libs/peer/tests/network_tests.cpp
+++ b/libs/peer/tests/network_tests.cpp
@@ -15,13 +15,14 @@
 namespace
 {
 
-constexpr millis soon{50};
-constexpr millis a_while{1000}; ///< enough for a few messages on loopback
-constexpr millis never{3600 * 1000};
+constexpr millis short_timeout{50};
+constexpr millis long_timeout{1000}; ///< enough for a few messages on loopback
+constexpr millis hour_timeout{3600 * 1000};
 
 using beat_record = call_record<ports::heartbeat>;
 
-/// A heartbeat to \p address and its end.
+/// Sends a heartbeat to \p address.
+/// \return the status with which it ended.
 peer_status beat(test_scheduler& loop, const network& from, const std::string& address)
 {
     beat_record end;
@@ -30,13 +31,14 @@
     return end.status;
 }
 
-/// Handlers whose heartbeats are kept unanswered in \p kept.
-ports::peer_handlers keeping(std::vector<std::function<void(ports::heartbeat)>>& kept)
+/// Handlers that don't answer heartbeats and store their reply functions in \p held_replies.
+ports::peer_handlers holding_handlers(
+    std::vector<std::function<void(ports::heartbeat)>>& held_replies)
 {
-    auto h = plain_handlers();
-    h.beat = [&kept](const ports::heartbeat&, std::function<void(ports::heartbeat)> reply)
+    auto h = empty_reply_handlers();
+    h.beat = [&held_replies](const ports::heartbeat&, std::function<void(ports::heartbeat)> reply)
     {
-        kept.push_back(std::move(reply));
+        held_replies.push_back(std::move(reply));
     };
     return h;
 }
@@ -48,16 +50,17 @@
     test_scheduler loop;
 };
 
-// The caller sees "refused" and takes it for proof that the process is gone, so that its permits
-// and claims may be forgotten. Any other failure may hide a process that is paused or cut off and
-// still sends: it must be "unreachable", whatever the cause.
-TEST(endings, refused_only_when_nobody_listens)
+// Guards against a false proof that a process has ended. The caller takes "refused" as this proof,
+// after which the permits and claims of the process may be removed. Any other failure may hide a
+// process that is paused or cut off and can still send requests, so it must be reported as
+// "unreachable", whatever its cause.
+TEST(endings, refused_only_when_no_process_listens)
 {
     raw_socket closed;
-    raw_socket silent;
-    auto b = plain_builder(loop);
-    const auto net = built(b);
-    const auto hasty = built(b.connect_timeout(soon));
+    raw_socket unanswered;
+    auto b = default_builder(loop);
+    const auto net = build_network(b);
+    const auto impatient = build_network(b.connect_timeout(short_timeout));
     const struct
     {
         const network& from;
@@ -65,7 +68,7 @@
         peer_status status;
     } rows[] = {
         {*net, closed.bind(), peer_status::refused},
-        {*hasty, silent.listen(), peer_status::unreachable},
+        {*impatient, unanswered.listen(), peer_status::unreachable},
         {*net, "no address", peer_status::unreachable},
         {*net, "localhost:80", peer_status::unreachable},
         {*net, "255.255.255.255:9", peer_status::unreachable},
@@ -77,39 +80,41 @@
     }
     LONGS_EQUAL(1, net->counters().refused);
     LONGS_EQUAL(3, net->counters().unreachable);
-    LONGS_EQUAL(1, hasty->counters().unreachable);
+    LONGS_EQUAL(1, impatient->counters().unreachable);
 }
 
-// A paused peer's kernel goes on taking connections; its process answers nothing. The caller's
-// calls to it wait for their timeouts, an hour here, and the calls to the others go on.
-TEST(endings, a_paused_peer_does_not_hold_up_the_others)
+// Guards against calls that block calls to other peers. The kernel of a paused peer still accepts
+// connections, but its process answers nothing. The calls to it wait for their timeouts, an hour in
+// this test, while the calls to other peers continue.
+TEST(endings, a_paused_peer_does_not_delay_calls_to_others)
 {
     raw_socket paused;
     const auto address = paused.listen();
     beat_record waiting;
-    auto b = plain_builder(loop);
-    b.connect_timeout(never).timeout(call_kind::beat, never);
-    const auto net = built(b);
+    auto b = default_builder(loop);
+    b.connect_timeout(hour_timeout).timeout(call_kind::beat, hour_timeout);
+    const auto net = build_network(b);
     net->client().beat(address, {}, waiting.callback());
     CHECK(beat(loop, *net, address_of(*net)) == peer_status::ok);
     LONGS_EQUAL(0, waiting.ends);
 }
 
-// The caller gives up at its timeout; the handler answers afterwards. The answer belongs to a call
-// that is over and must neither reach it nor a later one.
+// Guards against misdirected replies. The caller's timeout ends the call, and the handler answers
+// afterwards. The reply belongs to an ended call and must reach neither that call nor a later one.
 TEST(endings, a_late_reply_is_dropped)
 {
-    std::vector<std::function<void(ports::heartbeat)>> kept;
-    auto b = plain_builder(loop);
-    const auto net = built(b.handlers(keeping(kept)).timeout(call_kind::beat, soon));
+    std::vector<std::function<void(ports::heartbeat)>> held_replies;
+    auto b = default_builder(loop);
+    const auto net = build_network(
+        b.handlers(holding_handlers(held_replies)).timeout(call_kind::beat, short_timeout));
     beat_record first;
     net->client().beat(address_of(*net), {}, first.callback());
-    CHECK(loop.run_until([&]() { return first.ends == 1 && kept.size() == 1; }));
+    CHECK(loop.run_until([&]() { return first.ends == 1 && held_replies.size() == 1; }));
     CHECK(first.status == peer_status::unreachable);
     ports::heartbeat late;
     late.member = "late";
-    kept[0](late);
-    kept[0](late);
+    held_replies[0](late);
+    held_replies[0](late);
     ports::explain_query query;
     call_record<ports::explain_reply> other;
     net->client().explain(address_of(*net), query, other.callback());
@@ -119,47 +124,48 @@
     CHECK(net->counters().late_replies >= 1);
 }
 
-// An open connection can go silent for good while new ones work. A call on it times out without
-// any sign of life from the other side; the next call must not be lost in the same connection. One
-// that did give a sign of life meanwhile is kept.
-TEST(endings, a_silent_connection_is_replaced)
+// Guards against calls on a dead connection. An open connection can stop working for ever while new
+// connections work. A call on it times out without any data from the other side, and the next call
+// must use a new connection. A connection that received data meanwhile is kept.
+TEST(endings, an_unresponsive_connection_is_replaced)
 {
     const struct
     {
-        bool sign_of_life;
+        bool receives_data;
         millis timeout;
-        std::uint64_t connects;
-    } rows[] = {{false, soon, 2}, {true, a_while, 1}};
+        std::uint64_t connection_attempts;
+    } rows[] = {{false, short_timeout, 2}, {true, long_timeout, 1}};
     for (const auto& it : rows)
     {
-        std::vector<std::function<void(ports::heartbeat)>> kept;
-        auto b = plain_builder(loop);
+        std::vector<std::function<void(ports::heartbeat)>> held_replies;
+        auto b = default_builder(loop);
         b.timeout(call_kind::beat, it.timeout);
-        const auto net = built(b.handlers(keeping(kept)));
+        const auto net = build_network(b.handlers(holding_handlers(held_replies)));
         const auto address = address_of(*net);
-        beat_record silent;
-        call_record<ports::explain_reply> sign;
+        beat_record unanswered;
+        call_record<ports::explain_reply> other;
         call_record<ports::explain_reply> next;
-        net->client().beat(address, {}, silent.callback());
-        if (it.sign_of_life)
+        net->client().beat(address, {}, unanswered.callback());
+        if (it.receives_data)
         {
-            net->client().explain(address, {}, sign.callback());
+            net->client().explain(address, {}, other.callback());
         }
-        CHECK(loop.run_until([&]() { return silent.ends == 1; }));
+        CHECK(loop.run_until([&]() { return unanswered.ends == 1; }));
         net->client().explain(address, {}, next.callback());
         CHECK(loop.run_until([&]() { return next.ends == 1; }));
         CHECK(next.status == peer_status::ok);
-        LONGS_EQUAL(it.connects, net->counters().connects);
+        LONGS_EQUAL(it.connection_attempts, net->counters().connection_attempts);
     }
 }
 
-// A peer is replaced at the same address. The cached connection breaks: calls end, at the latest by
-// the next one they are refused, and once the new process listens they are answered again.
+// A peer is replaced by a new process at the same address. The cached connection breaks: calls end,
+// and the next call at the latest is refused. Once the new process listens, calls are answered
+// again.
 TEST(endings, a_restarted_peer_is_reached_again)
 {
-    auto b = plain_builder(loop);
-    const auto caller = built(b);
-    auto old = built(b);
+    auto b = default_builder(loop);
+    const auto caller = build_network(b);
+    auto old = build_network(b);
     const auto address = address_of(*old);
     CHECK(beat(loop, *caller, address) == peer_status::ok);
     old.reset();
@@ -169,24 +175,25 @@
         status = beat(loop, *caller, address);
     }
     CHECK(status == peer_status::refused);
-    const auto renewed = built(b.listen(address));
-    CHECK(renewed != nullptr);
+    const auto restarted = build_network(b.listen(address));
+    CHECK(restarted != nullptr);
     CHECK(beat(loop, *caller, address) == peer_status::ok);
 }
 
-TEST(endings, a_permit_may_take_its_time_left)
+TEST(endings, a_permit_request_may_take_its_time_left)
 {
-    auto handlers = plain_handlers();
+    auto handlers = empty_reply_handlers();
     handlers.request_permit = [](const auto&, const auto&) {
     };
     handlers.query_held = [](const auto&, const auto&) {
     };
-    auto b = plain_builder(loop);
-    b.timeout(call_kind::request_permit, soon).timeout(call_kind::query_held, soon);
-    const auto net = built(b.handlers(handlers));
+    auto b = default_builder(loop);
+    b.timeout(call_kind::request_permit, short_timeout)
+        .timeout(call_kind::query_held, short_timeout);
+    const auto net = build_network(b.handlers(handlers));
     std::vector<std::string> ended;
     ports::permit_request ask;
-    ask.time_left = soon * 4;
+    ask.time_left = short_timeout * 4;
     net->client().request_permit(
         address_of(*net), ask, [&](peer_status, auto) { ended.emplace_back("permit"); });
     net->client().query_held(
@@ -196,19 +203,19 @@
     LONGS_EQUAL(2, net->counters().timed_out);
 }
 
-TEST(endings, nothing_is_called_after_the_end)
+TEST(endings, nothing_is_called_after_destruction)
 {
     raw_socket paused;
     beat_record open;
     int asked = 0;
-    auto handlers = plain_handlers();
+    auto handlers = empty_reply_handlers();
     handlers.beat = [&asked](const auto&, const auto&)
     {
         ++asked;
     };
-    auto b = plain_builder(loop);
-    auto other = built(b);
-    auto net = built(b.handlers(handlers));
+    auto b = default_builder(loop);
+    auto other = build_network(b);
+    auto net = build_network(b.handlers(handlers));
     net->client().beat(paused.listen(), {}, open.callback());
     other->client().beat(address_of(*net), {}, [](auto, auto) {});
     const auto client = net->client();
@@ -227,8 +234,8 @@
 namespace
 {
 
-/// Bytes that look like messages to different depths: noise, noise with the head of a message, and
-/// the real opening of a connection with a few bytes changed.
+/// Inputs that resemble messages to different degrees: noise, noise with the header of a message,
+/// and the real start of a connection with a few bytes changed.
 std::vector<std::string> hostile_inputs(const std::string& opening)
 {
     std::mt19937 random(20240917);
@@ -261,78 +268,80 @@
 
 } // namespace
 
-// A stranger who can reach the port sends what it likes. The daemon must neither crash nor stop
-// answering its peers.
-TEST(bounds, hostile_bytes_do_no_harm)
+// Guards against crashes by hostile input. A client without the token that can reach the port may
+// send any bytes. The daemon must neither crash nor stop answering its peers.
+TEST(bounds, hostile_bytes_neither_crash_nor_block)
 {
     constexpr std::size_t opening_size = 200; // a part of what a caller sends before any answer
     raw_socket recorder;
     beat_record recorded;
-    auto b = plain_builder(loop);
-    const auto net = built(b);
+    auto b = default_builder(loop);
+    const auto net = build_network(b);
     net->client().beat(recorder.listen(), {}, recorded.callback());
     const auto opening = recorder.receive(opening_size);
     LONGS_EQUAL(opening_size, opening.size());
     for (const auto& it : hostile_inputs(opening))
     {
-        raw_socket stranger;
-        CHECK(stranger.connect(net->port()));
-        stranger.send(it);
-        stranger.end_sending();
-        stranger.wait_for_end();
+        raw_socket client;
+        CHECK(client.connect(net->port()));
+        client.send(it);
+        client.end_sending();
+        client.wait_for_end();
     }
     CHECK(beat(loop, *net, address_of(*net)) == peer_status::ok);
     LONGS_EQUAL(1, net->counters().served[static_cast<std::size_t>(call_kind::beat)]);
 }
 
-TEST(bounds, a_wrong_token_opens_nothing)
+TEST(bounds, a_wrong_token_is_rejected)
 {
-    auto b = plain_builder(loop);
-    const auto net = built(b);
+    auto b = default_builder(loop);
+    const auto net = build_network(b);
     for (const char* it : {"wrong", "secre", "secret ", "secrets"})
     {
-        const auto stranger = built(b.token(it));
-        CHECK(beat(loop, *stranger, address_of(*net)) == peer_status::unreachable);
+        const auto client = build_network(b.token(it));
+        CHECK(beat(loop, *client, address_of(*net)) == peer_status::unreachable);
     }
     LONGS_EQUAL(4, net->counters().wrong_tokens);
     LONGS_EQUAL(0, net->counters().served[static_cast<std::size_t>(call_kind::beat)]);
 }
 
-// Strangers hold every connection that may be open without a token. A peer is turned away; when
-// the strangers' time for the token is over their connections are closed and the peer gets in.
-TEST(bounds, strangers_can_not_hold_connections)
+// Guards against clients that occupy all connections without a token. Such clients hold every
+// connection that may be open without authentication, and a peer is rejected. When the clients'
+// time for the token is over, their connections are closed and the peer can connect.
+TEST(bounds, unauthenticated_clients_can_not_hold_connections)
 {
     limits bounds;
-    bounds.connections_before_token = 2;
-    bounds.token_within = a_while;
-    auto b = plain_builder(loop);
-    const auto caller = built(b);
-    const auto net = built(b.limits(bounds));
+    bounds.max_unauthenticated_connections = 2;
+    bounds.token_timeout = long_timeout;
+    auto b = default_builder(loop);
+    const auto caller = build_network(b);
+    const auto net = build_network(b.limits(bounds));
     raw_socket first;
     raw_socket second;
     CHECK(first.connect(net->port()));
     CHECK(second.connect(net->port()));
     CHECK(beat(loop, *caller, address_of(*net)) == peer_status::unreachable);
-    LONGS_EQUAL(1, net->counters().turned_away);
+    LONGS_EQUAL(1, net->counters().connections_rejected);
     first.wait_for_end();
     second.wait_for_end();
     CHECK(beat(loop, *caller, address_of(*net)) == peer_status::ok);
 }
 
-// A message beyond the bound would make the other side close the connection, and end other calls
-// with it; so it isn't sent, and the connection stays.
+// Guards against a message that ends other calls. A message larger than the limit would make the
+// other side close the connection and thereby end other calls; the message is therefore not sent,
+// and the connection stays open.
 TEST(bounds, a_message_too_large_ends_only_its_own_call)
 {
     const std::string large(100000, 'x');
     limits bounds;
-    bounds.largest_message = 64 << 10;
-    auto handlers = plain_handlers();
+    bounds.max_message_bytes = 64 << 10;
+    auto handlers = empty_reply_handlers();
     handlers.explain = [&](const auto&, const auto& reply)
     {
         reply({{large}});
     };
-    auto b = plain_builder(loop);
-    const auto net = built(b.handlers(handlers).limits(bounds));
+    auto b = default_builder(loop);
+    const auto net = build_network(b.handlers(handlers).limits(bounds));
     beat_record asked;
     call_record<ports::explain_reply> answered;
     ports::heartbeat message;
@@ -343,7 +352,7 @@
     CHECK(asked.status == peer_status::unreachable);
     CHECK(answered.status == peer_status::unreachable);
     CHECK(beat(loop, *net, address_of(*net)) == peer_status::ok);
-    LONGS_EQUAL(1, net->counters().connects);
+    LONGS_EQUAL(1, net->counters().connection_attempts);
 }
 
 TEST(bounds, calls_to_one_peer)
@@ -351,16 +360,17 @@
     raw_socket paused;
     const auto address = paused.listen();
     limits bounds;
-    bounds.calls_per_peer = 2;
-    auto b = plain_builder(loop);
-    const auto net = built(b.limits(bounds).connect_timeout(never).timeout(call_kind::beat, never));
+    bounds.max_calls_per_peer = 2;
+    auto b = default_builder(loop);
+    const auto net = build_network(
+        b.limits(bounds).connect_timeout(hour_timeout).timeout(call_kind::beat, hour_timeout));
     beat_record open[2];
     net->client().beat(address, {}, open[0].callback());
     net->client().beat(address, {}, open[1].callback());
     CHECK(beat(loop, *net, address) == peer_status::unreachable);
     CHECK(beat(loop, *net, address_of(*net)) == peer_status::ok);
     LONGS_EQUAL(0, open[0].ends + open[1].ends);
-    LONGS_EQUAL(1, net->counters().not_taken);
+    LONGS_EQUAL(1, net->counters().calls_over_limit);
 }
 
 TEST_GROUP(building)
@@ -368,28 +378,28 @@
     test_scheduler loop;
 };
 
-TEST(building, says_what_is_wrong)
+TEST(building, errors_name_every_missing_part)
 {
-    auto good = plain_builder(loop);
-    const auto taken = built(good);
-    const std::string in_use = address_of(*taken);
-    auto no_handlers = plain_builder(loop);
+    auto good = default_builder(loop);
+    const auto existing = build_network(good);
+    const std::string in_use = address_of(*existing);
+    auto no_handlers = default_builder(loop);
     no_handlers.handlers({});
     const struct
     {
         network::builder builder;
         std::string text;
     } rows[] = {
-        {plain_builder(loop).token(""), "peer network: it needs a token"},
-        {plain_builder(loop).scheduler({}), "peer network: it needs a scheduler"},
+        {default_builder(loop).token(""), "peer network: it needs a token"},
+        {default_builder(loop).scheduler({}), "peer network: it needs a scheduler"},
         {no_handlers,
             "peer network: it needs handlers for beat, request_permit, return_permits, "
             "query_held, claim, finish_claim, copy_claim, pull_slots, explain"},
-        {plain_builder(loop).token("").scheduler({}),
+        {default_builder(loop).token("").scheduler({}),
             "peer network: it needs a token, a scheduler"},
-        {plain_builder(loop).listen("127.0.0.1"), "'127.0.0.1' is not \"ip:port\""},
-        {plain_builder(loop).listen("host:1"), "'host:1' is not \"ip:port\""},
-        {plain_builder(loop).listen(in_use), "bind: Address already in use"},
+        {default_builder(loop).listen("127.0.0.1"), "'127.0.0.1' is not \"ip:port\""},
+        {default_builder(loop).listen("host:1"), "'host:1' is not \"ip:port\""},
+        {default_builder(loop).listen(in_use), "bind: Address already in use"},
     };
     for (auto it : rows)
     {
@@ -401,9 +411,9 @@
 
 TEST(building, counts_bytes_both_ways)
 {
-    auto b = plain_builder(loop);
-    const auto caller = built(b);
-    const auto net = built(b);
+    auto b = default_builder(loop);
+    const auto caller = build_network(b);
+    const auto net = build_network(b);
     beat(loop, *caller, address_of(*net));
     const auto before = caller->counters();
     ports::heartbeat message;
@@ -416,5 +426,5 @@
     CHECK(after.bytes_in - before.bytes_in < 1000);
     LONGS_EQUAL(2, after.sent[static_cast<std::size_t>(call_kind::beat)]);
     CHECK(net->counters().bytes_in > 1000);
-    LONGS_EQUAL(1, net->counters().accepted);
+    LONGS_EQUAL(1, net->counters().connections_accepted);
 }
--- a/libs/peer/tests/raw_socket.hpp
+++ b/libs/peer/tests/raw_socket.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Plain sockets on loopback, for peers that don't speak or don't exist.
+/// Plain sockets on loopback, for peers that don't answer or don't exist.
 #pragma once
 
 #include <arpa/inet.h>
@@ -27,7 +27,7 @@
     raw_socket(const raw_socket&) = delete;
     raw_socket& operator=(const raw_socket&) = delete;
 
-    /// Takes a free port; without listen() every connect to it is refused.
+    /// Binds to a free port. Without listen(), every connection to it is refused.
     std::string bind()
     {
         sockaddr_in at = loopback(0);
@@ -37,7 +37,7 @@
         return !bound ? "" : "127.0.0.1:" + std::to_string(ntohs(at.sin_port));
     }
 
-    /// Connections are made by the kernel and never answered.
+    /// Listens. The kernel accepts connections, and nothing answers on them.
     std::string listen()
     {
         auto address = bind();
@@ -52,7 +52,7 @@
         return ::connect(fd_, reinterpret_cast<const sockaddr*>(&to), sizeof(to)) == 0;
     }
 
-    /// \return the first \p size bytes that the next connection sends.
+    /// \return the first \p size bytes sent on the next connection.
     std::string receive(std::size_t size)
     {
         const int from = ::accept(fd_, nullptr, nullptr);
--- a/libs/peer/tests/version_tests.cpp
+++ b/libs/peer/tests/version_tests.cpp
@@ -21,7 +21,7 @@
 }
 
 template <class Enum>
-Enum from_the_future()
+Enum unknown_enumerator()
 {
     return static_cast<Enum>(99);
 }
@@ -30,32 +30,33 @@
 
 TEST_GROUP(versions){};
 
-// A newer daemon may send an enumerator that this one doesn't know. It must be read as what can do
-// no harm: nothing was granted, it may have run, a slot may still be in use.
-TEST(versions, unknown_enumerators_are_read_with_care)
+// Guards against unsafe interpretations of unknown values. A newer daemon may send an enumerator
+// that this version doesn't know. It must be read as the value with the safest effect: nothing was
+// granted, a request may have run, a slot may still be in use.
+TEST(versions, unknown_enumerators_get_the_safest_value)
 {
     CHECK(decoded<schema::PermitReply>(
-              [](auto& m) { m.setVerdict(from_the_future<schema::PermitVerdict>()); })
+              [](auto& m) { m.setVerdict(unknown_enumerator<schema::PermitVerdict>()); })
               .verdict == ports::permit_verdict::refused);
     CHECK(decoded<schema::PermitRequest>(
-              [](auto& m) { m.setKlass(from_the_future<schema::RequestClass>()); })
+              [](auto& m) { m.setKlass(unknown_enumerator<schema::RequestClass>()); })
               .klass == ports::request_class::long_running);
     CHECK(decoded<schema::PermitReturns>([](auto& m)
-              { m.initReturns(1)[0].setOutcome(from_the_future<schema::PermitOutcome>()); })[0]
-              .outcome == ports::permit_outcome::silent);
+              { m.initReturns(1)[0].setOutcome(unknown_enumerator<schema::PermitOutcome>()); })[0]
+              .outcome == ports::permit_outcome::unanswered);
     const auto claim = decoded<schema::ClaimReply>(
         [](auto& m)
         {
-            m.setVerdict(from_the_future<schema::ClaimVerdict>());
-            m.initEntry().setState(from_the_future<schema::ClaimState>());
+            m.setVerdict(unknown_enumerator<schema::ClaimVerdict>());
+            m.initEntry().setState(unknown_enumerator<schema::ClaimState>());
         });
     CHECK(claim.verdict == ports::claim_verdict::not_ready);
     CHECK(claim.entry.state == ports::claim_state::unknown);
 }
 
-// An older daemon sends nothing for a newer field, and a message may come empty: the defaults must
-// do no harm either.
-TEST(versions, empty_messages_are_read_with_care)
+// Guards against unsafe defaults. An older daemon doesn't send newer fields, and a message may be
+// empty; the default values must have the safest effect too.
+TEST(versions, empty_messages_get_safe_defaults)
 {
     const auto nothing = [](auto&) {
     };
@@ -66,7 +67,7 @@
     CHECK(!decoded<schema::SlotPullReply>(nothing).adopted);
     CHECK(!decoded<schema::Ack>(nothing).accepted);
     CHECK(decoded<schema::PermitReturns>([](auto& m) { m.initReturns(1); })[0].outcome ==
-          ports::permit_outcome::silent);
+          ports::permit_outcome::unanswered);
 }
 
 TEST(versions, times_stay_in_a_range_that_can_be_added)
--- a/libs/ports/include/ports/peer.hpp
+++ b/libs/ports/include/ports/peer.hpp
@@ -38,7 +38,7 @@
     bool store_reachable = false;    ///< the key-value service has answered the sender recently
     bool fresh = false;              ///< the sender considers itself fresh
     std::int64_t sequence = 0;       ///< chosen by the sender to match the reply
-    std::vector<std::string> silent_peers; ///< members whose messages are overdue
+    std::vector<std::string> unresponsive_peers; ///< members whose messages are overdue
     /// The documents are attached only for a peer whose versions are older.
     std::string roster_document;
     std::string config_document;
@@ -55,10 +55,10 @@
     std::string pool;
     std::string zone; ///< zone of the sender; targets in it are preferred
     request_class klass = request_class::normal;
-    core::millis time_left{0};      ///< until the deadline of the request
-    core::millis expected{0};       ///< expected run time; 0: unknown
-    std::vector<std::string> avoid; ///< hosts on which this request has already failed
-    bool retry = false;             ///< an earlier attempt was sent
+    core::millis time_left{0};         ///< until the deadline of the request
+    core::millis expected_run_time{0}; ///< 0: unknown
+    std::vector<std::string> avoid;    ///< hosts on which this request has already failed
+    bool retry = false;                ///< an earlier attempt was sent
 };
 
 enum class permit_verdict : std::uint8_t
@@ -77,16 +77,16 @@
     std::string address; ///< of the target, "ip:port"
     std::string reason;  ///< name of the rule that decided
     core::millis retry_after{0};
-    core::millis waited{
-        0}; ///< time from the request's arrival at the owner to the grant, rounded down
+    /// Time from the request's arrival at the owner to the grant, rounded down.
+    core::millis waited{0};
 };
 
 enum class permit_outcome : std::uint8_t
 {
-    unused,   ///< nothing was sent
-    answered, ///< the target answered
-    failed,   ///< the target answered with a failure of its own, or could not be reached
-    silent    ///< the request was sent, and the target did not answer
+    unused,    ///< nothing was sent
+    answered,  ///< the target answered
+    failed,    ///< the target answered with a failure of its own, or could not be reached
+    unanswered ///< the request was sent, and the target did not answer
 };
 
 struct permit_return
@@ -149,8 +149,8 @@
     std::string body;
     bool answer_kept = false; ///< false: the answer was too large to keep
     epoch_number epoch = 0;   ///< epoch in which the first holder last changed the entry
-    std::uint64_t sequence =
-        0; ///< counts that holder's changes; the higher (epoch, sequence) is newer
+    /// Counts that holder's changes; the higher (epoch, sequence) is newer.
+    std::uint64_t sequence = 0;
 };
 
 struct claim_request
--- a/programs/camphorhitchd/src/membership_service.cpp
+++ b/programs/camphorhitchd/src/membership_service.cpp
@@ -70,7 +70,7 @@
 
 core::mono_time membership_service::older_epochs_stopped() const
 {
-    return membership::stopped_from(stop_, roster_);
+    return membership::older_epochs_end(stop_, roster_);
 }
 
 membership::member_list membership_service::recent_formers(core::millis longest) const
@@ -228,7 +228,7 @@
     it.store_reachable = store_reachable();
     it.fresh = fresh();
     it.sequence = sequence_;
-    it.silent_peers = membership::silent_peers(roster_state_, context_.scheduler.now());
+    it.unresponsive_peers = membership::unresponsive_peers(roster_state_, context_.scheduler.now());
     return it;
 }
 
@@ -290,7 +290,7 @@
         return;
     }
     membership::on_peer_confirmed(freshness_, reply, started);
-    membership::on_heard(roster_state_, to, reply.silent_peers, now);
+    membership::on_heard(roster_state_, to, reply.unresponsive_peers, now);
     take_word(reply);
 }
 
@@ -344,7 +344,7 @@
         {
             if (it.id == from.member && it.incarnation == from.incarnation)
             {
-                membership::on_heard(roster_state_, it, from.silent_peers, now);
+                membership::on_heard(roster_state_, it, from.unresponsive_peers, now);
             }
         }
     }
@@ -366,7 +366,7 @@
 {
     const auto now = context_.scheduler.now();
     peers_[from.member] = {from.config_version, from.epoch, from.fresh, now};
-    membership::on_word(stop_, sender_of(from, ""), from.epoch, now);
+    membership::on_epoch_reported(stop_, sender_of(from, ""), from.epoch, now);
     if (from.store_reachable && !store_reachable())
     {
         // The peer reaches the store again, so its word no longer counts for us. Without asking the
@@ -530,7 +530,7 @@
     const auto text = model::encode(it.next);
     context_.store.put_if(model::keys::roster,
         text,
-        it.expected,
+        it.expected_revision,
         0,
         [this, text](const ports::kv_write& reply)
         {
--- a/programs/camphorhitchd/src/membership_service.hpp
+++ b/programs/camphorhitchd/src/membership_service.hpp
@@ -99,7 +99,7 @@
     membership_events events_;
     membership::freshness_state freshness_;
     membership::roster_state roster_state_;
-    membership::stop_state stop_;
+    membership::stop_bound_state stop_;
     model::roster_document roster_;
     std::string roster_text_;
     ports::revision roster_revision_ = 0; ///< 0: heard from a peer only
