--- a/libs/claims/tests/simulation_members.cpp
+++ b/libs/claims/tests/simulation_members.cpp
@@ -64,7 +64,7 @@
 {
     if (const auto* it = std::get_if<membership::propose_roster>(&action))
     {
-        call_store(p, [it = *it](store& s) { s.write(it.next, it.expected); });
+        call_store(p, [it = *it](store& s) { s.write(it.next, it.expected_revision); });
     }
     else if (std::holds_alternative<membership::register_self>(action))
     {
@@ -84,7 +84,7 @@
     message.beat.incarnation = p.self.incarnation;
     message.beat.epoch = p.freshness.epoch;
     message.beat.store_reachable = membership::is_store_reachable(p.freshness, network_.now());
-    message.beat.silent_peers = membership::silent_peers(p.roster, network_.now());
+    message.beat.unresponsive_peers = membership::unresponsive_peers(p.roster, network_.now());
     if (known_epoch < p.freshness.epoch)
     {
         message.roster = p.claims.roster;
@@ -97,7 +97,7 @@
     const auto& beat = message.beat;
     const member_record sender{beat.member, beat.incarnation, {}, {}};
     membership::on_epoch_heard(p.freshness, beat.epoch);
-    membership::on_heard(p.roster, sender, beat.silent_peers, network_.now());
+    membership::on_heard(p.roster, sender, beat.unresponsive_peers, network_.now());
     if (message.roster)
     {
         adopt(p, *message.roster);
