--- a/libs/hosted/include/hosted/context.hpp
+++ b/libs/hosted/include/hosted/context.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What all parts of a node share: the ports and the node's name.
+/// The ports and the name of a node, shared by all of its parts.
 #pragma once
 
 #include "core/time.hpp"
@@ -16,7 +16,7 @@
 namespace camphorhitch::hosted
 {
 
-/// The ports must outlive every part that holds the context.
+/// The ports must outlive every part that holds a context.
 struct context
 {
     std::string member; ///< this node's name
@@ -24,31 +24,33 @@
     ports::metadata_store store;
     ports::runners runners;
     ports::machines machines;
-    ports::advice advice; ///< without a function: there is none
+    ports::advice advice; ///< empty functions when the platform offers no advice
     ports::telemetry tel;
-    /// A clock that goes on while the machine is suspended. Leases of this process are judged by
-    /// it: by the monotonic clock, which stands still then, a woken process would still trust a
-    /// lease that lapsed in its sleep.
+    /// Clock that keeps running while the machine is suspended. Leases of this process are checked
+    /// against this clock. The monotonic clock stands still during a suspension, so a process that
+    /// checked against it would, after waking up, still trust a lease that expired in the meantime.
     std::function<core::mono_time()> boot_now;
-    /// Whether the store answers nothing at all; without a function: not known. What is sent to a
-    /// silent store has an effect that its caller can't learn.
-    std::function<bool()> store_silent;
-    /// Runs \p fn behind the descriptors that are ready now; without a function: there are none.
+    /// Returns whether the metadata store does not answer any call at the moment; empty when this
+    /// is not known. The effect of a call sent to an unresponsive store stays unknown to its
+    /// caller.
+    std::function<bool()> store_unresponsive;
+    /// Runs \p fn after the handlers of all descriptors that are ready now; empty when the node has
+    /// no descriptors.
     std::function<void(std::function<void()> fn)> post_behind_descriptors;
-    /// Processor time that this process has used; without a function: not known.
+    /// Returns the processor time that this process has used; empty when it is not known.
     std::function<core::micros()> processor_time;
-    /// Share of a core that this process gets just now, by a short trial; without a function: not
-    /// known.
-    std::function<double()> processor_trial;
-    /// Largest share of a core of another node that may coordinate, 0 when none is known; without a
-    /// function: not known.
+    /// Measures, by a short computation, the share of a core (0 to 1) that this process gets at the
+    /// moment; empty when it cannot be measured.
+    std::function<double()> measure_processor_share;
+    /// Returns the largest share of a core (0 to 1) that any other eligible coordinator has; 0 when
+    /// none is known. The function is empty when shares are not exchanged.
     std::function<double()> best_other_share;
 };
 
-/// \return whether the store is known to be silent.
-inline bool is_store_silent(const context& c)
+/// \return whether the metadata store is known to be unresponsive.
+inline bool is_store_unresponsive(const context& c)
 {
-    return c.store_silent && c.store_silent();
+    return c.store_unresponsive && c.store_unresponsive();
 }
 
 } // namespace camphorhitch::hosted
--- a/libs/hosted/include/hosted/formats.hpp
+++ b/libs/hosted/include/hosted/formats.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// What operators and runners write into the metadata store, as the hosting platform spells it.
-/// The adapter of a platform fills this in; nothing else here knows its spelling.
+/// Formats of the entries that operators and runners write into the metadata store. They depend on
+/// the hosting platform: the platform's adapter provides the functions, and nothing else in this
+/// library depends on the formats.
 #pragma once
 
 #include "coordinator/fleet.hpp"
@@ -14,57 +15,65 @@
 namespace camphorhitch::hosted
 {
 
-/// A queue by which callers submit jobs.
+/// A queue through which callers submit jobs.
 struct queue
 {
     std::string name;
-    std::string host;   ///< of the callers' requests; without case
-    std::string prefix; ///< of the path; the longest that fits decides
-    std::string pool;   ///< whose hosts run the queue's jobs
+    std::string host; ///< host name of the callers' requests; compared without case
+    /// Prefix of the request path; the longest matching prefix determines the queue.
+    std::string prefix;
+    std::string pool; ///< pool whose hosts run the queue's jobs
     int priority = 0;
     int max_attempts = 1;
     double stretch = 1;
     core::millis slack{0};
-    bool needs_advice = false; ///< only the platform's advice knows which hosts may run its jobs
+    /// Only the platform's advice service can tell which hosts may run the queue's jobs.
+    bool needs_advice = false;
 };
 
+/// Operators' settings of a pool of hosts.
 struct pool_settings
 {
     std::string name;
-    bool standby = false; ///< its hosts are off until they are moved elsewhere
+    bool standby = false; ///< the pool's hosts are off until they are moved to another pool
 };
 
-/// The operators' configuration of a fleet.
+/// The operators' configuration of the fleet.
 struct fleet_config
 {
     std::int64_t version = 0;
     std::vector<queue> queues;
     std::vector<pool_settings> pools;
-    std::size_t largest_body = std::size_t{1} << 18; ///< bytes of a caller's request
-    int left_out = 0; ///< queues and pools that could not be read; the others hold
+    /// Maximum size of the body of a caller's request.
+    std::size_t max_body_bytes = std::size_t{1} << 18;
+    /// Number of queues and pools that could not be read; the others apply.
+    int unreadable_entries = 0;
 };
 
-/// Hosts that are due for maintenance.
+/// A requested maintenance wave: a set of machines that are due for maintenance.
 struct wave_request
 {
     std::int64_t number = 0;
     std::vector<std::string> machines;
-    core::millis duration{0}; ///< from the request's appearance to its due end
-    int most_at_once = 1;
+    /// Time from the appearance of the request until the wave is due to end.
+    core::millis duration{0};
+    int max_at_once = 1;
 };
 
+/// State of a maintenance wave as reported to the operators.
 enum class wave_state
 {
     running,
     completed
 };
 
+/// Keys of the platform's entries, and the functions that read and write their texts.
 struct formats
 {
-    std::string operator_prefix; ///< holds the configuration and the waves
+    std::string operator_prefix; ///< prefix of the configuration and the waves
     std::string config_key;
     std::string wave_prefix;
-    std::string runner_prefix; ///< a runner's id follows
+    std::string runner_prefix; ///< the runner's id follows
     std::function<std::string(std::int64_t wave)> wave_status_key;
     std::function<core::result<fleet_config>(const std::string& text)> read_config;
     std::function<core::result<wave_request>(const std::string& text)> read_wave;
@@ -72,18 +81,18 @@
         const std::string& id, const std::string& text)>
         read_runner;
     std::function<std::string(wave_state)> write_wave_status;
-    /// \return what is wrong with a job's id, or nothing.
+    /// \return the reason why a job id is not valid, or an empty string.
     std::function<std::string(const std::string& id)> check_job_id;
 };
 
-/// \return the queue of a request, or nullptr.
+/// \return the queue for a request to \p host and \p path, or nullptr.
 const queue* find_queue(
     const fleet_config& config, const std::string& host, const std::string& path);
 
-/// \return the queue of that name, or nullptr.
+/// \return the queue with that name, or nullptr.
 const queue* find_queue_named(const fleet_config& config, const std::string& name);
 
-/// Fills in what a job gets from its queue.
-void put_into_queue(workflow::job& j, const queue& q, std::int64_t accepted_unix_ms);
+/// Sets the fields of a job that are determined by its queue, and the time of its acceptance.
+void apply_queue_settings(workflow::job& j, const queue& q, std::int64_t accepted_unix_ms);
 
 } // namespace camphorhitch::hosted
--- a/libs/hosted/include/hosted/job_catalog.hpp
+++ b/libs/hosted/include/hosted/job_catalog.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// What the metadata store knows of jobs, for people who ask. Any node can tell; none need
-/// coordinate.
+/// Reads the jobs in the metadata store for operators. Any node can do this; it need not be the
+/// coordinator.
 #pragma once
 
 #include "core/result.hpp"
@@ -15,25 +15,29 @@
 namespace camphorhitch::hosted
 {
 
-/// One job as it is stored.
+/// A job as it is stored.
 struct stored_job
 {
     std::string id;
-    /// As accepted; nothing when the job is final: its record went with the write of its end.
+    /// The job as accepted; nullopt if the job is final, because its record is removed in the write
+    /// that stores its final state.
     std::optional<workflow::job> spec;
-    workflow::job_progress progress; ///< empty tasks: none is stored, or the job is final
-    bool cancelled = false;          ///< a cancel was accepted that no state shows yet
+    /// Tasks are empty if no progress is stored or the job is final.
+    workflow::job_progress progress;
+    bool cancelled = false; ///< a cancel was accepted and is not yet reflected in the stored state
 };
 
-/// \return the state that a caller is told.
-workflow::job_state shown_state(const stored_job& j);
+/// \return the state that is reported to a caller: cancelled as soon as a cancel is accepted,
+/// unless the job is final.
+workflow::job_state effective_state(const stored_job& j);
 
-/// Tells all jobs in the order of their ids, or why the store could not be read. Jobs that come or
-/// end meanwhile may be missing; one that is in the store all the time is told.
+/// Passes all jobs in the order of their ids to \p done, or the reason why the store could not be
+/// read. Jobs that are accepted or end during the read may be missing; a job that is stored
+/// throughout the read is included.
 void list_jobs(
     const context& c, const std::function<void(core::result<std::vector<stored_job>>)>& done);
 
-/// Tells one job; an error of code not_found when there is none.
+/// Passes one job to \p done; an error with code not_found if it does not exist.
 void find_job(const context& c,
     const std::string& id,
     const std::function<void(core::result<stored_job>)>& done);
--- /dev/null
+++ b/libs/hosted/include/hosted/job_request_handler.hpp
@@ -0,0 +1,100 @@
+/// \file
+/// Handles callers' requests: stores jobs and cancels in the metadata store, and reads job states
+/// and counts. Any node serves any caller; no coordinator needs to be running.
+#pragma once
+
+#include "hosted/context.hpp"
+#include "hosted/formats.hpp"
+#include "workflow/model.hpp"
+
+#include <functional>
+#include <memory>
+#include <string>
+
+namespace camphorhitch::hosted
+{
+
+/// Result of the submission of a job.
+enum class submit_outcome
+{
+    accepted,     ///< the job is stored
+    not_accepted, ///< the job is certainly not stored and never will be by this request
+    unknown       ///< the job may be stored already, or may get stored seconds later
+};
+
+/// Result of the cancellation of a job.
+enum class cancel_outcome
+{
+    cancelled, ///< the cancel is stored, or the job was final already
+    no_such_job,
+    not_cancelled, ///< the cancel is certainly not stored
+    unknown        ///< the cancel may be stored already, or may get stored seconds later
+};
+
+/// State of a job as reported to a caller.
+struct state_answer
+{
+    bool known = false; ///< false: the store could not be read
+    bool exists = false;
+    workflow::job_state state = workflow::job_state::queued;
+};
+
+/// Number of waiting jobs of a queue as reported to a caller.
+struct pending_answer
+{
+    bool known = false; ///< false: no count at most 2 s old was available in time
+    int jobs = 0;
+};
+
+/// Times and limits of the calls that serve callers' requests.
+struct job_request_settings
+{
+    core::millis retry_delay{60}; ///< delay before a failed store call is repeated
+    /// Number of definite refusals by the store after which the caller's request is refused.
+    int max_refusals = 3;
+    /// The caller gets an answer this long before its deadline, even if a store call is still open.
+    core::millis reply_margin{150};
+    /// A cached count is reported again without a store call if it was read at most this long ago
+    /// and is still fresh enough.
+    core::millis cached_count_max_age{500};
+};
+
+struct job_request_state;
+
+/// Serves callers' requests. Each callback is called once, shortly before the deadline at the
+/// latest.
+class job_request_handler
+{
+public:
+    job_request_handler(context c, job_request_settings s);
+    job_request_handler(const job_request_handler&) = delete;
+    job_request_handler& operator=(const job_request_handler&) = delete;
+    ~job_request_handler();
+
+    /// Stores a job.
+    /// \param deadline time at which the caller stops waiting
+    void submit(const workflow::job& spec,
+        core::mono_time deadline,
+        std::function<void(submit_outcome)> done);
+
+    /// Cancels a job. A job that is final already stays as it is, and the cancel succeeds.
+    /// \param deadline time at which the caller stops waiting
+    void cancel(
+        const std::string& id, core::mono_time deadline, std::function<void(cancel_outcome)> done);
+
+    /// Reads the state of a job.
+    /// \param deadline time at which the caller stops waiting
+    void query_state(
+        const std::string& id, core::mono_time deadline, std::function<void(state_answer)> done);
+
+    /// Counts the jobs of a queue of which no task has started, as of at most 2 s ago.
+    /// \param deadline time at which the caller stops waiting
+    void count_pending(const std::string& queue,
+        core::mono_time deadline,
+        std::function<void(pending_answer)> done);
+
+private:
+    std::shared_ptr<job_request_state> state_;
+};
+
+} // namespace camphorhitch::hosted
--- a/libs/hosted/include/hosted/keys.hpp
+++ b/libs/hosted/include/hosted/keys.hpp
@@ -1,23 +1,25 @@
 /// \file
 /// Keys of the system's own records in the metadata store.
 ///
-///   job/ID          a job as accepted; written once, by the entry host that took it, and removed
-///                   with the write of its final state, so that a successor reads open jobs only
-///   job/ID/cancel   its cancel; as job/ID
-///   job/~handover   written with each change of the coordinator; stands after all ids, so that
-///                   whoever follows or reads the jobs meets it before, or after, every job that
-///                   was accepted under that coordinator
-///   state/ID        its progress; written by the coordinator only. Stays for a while
-///                   when the job is final
-///   coord/leader    who coordinates; lives with its lease. Its revision is the fencing token
-///   coord/leader-term  counts coordinators; never removed
-///   coord/leader-slowed  the node that handed the lead over last, since another serves better
-///   coord/runners   runners that the coordinator may have given orders to
-///   coord/demand    what the coordinator has learnt of the demand and of run times
-///   coord/pending   jobs that wait, by queue, and the store revision up to which accepted jobs
-///                   were known when they were counted; written by the coordinator only
+///   job/ID          a job as accepted; written once, by the node that accepted it, and removed in
+///                   the write of its final state, so that a successor reads open jobs only
+///   job/ID/cancel   the job's cancel; written once and removed together with job/ID
+///   job/~handover   written at each change of the coordinator. It sorts after all job ids. Whoever
+///                   follows the jobs receives it before, and whoever reads them page by page
+///                   receives it after, every job that was accepted under that coordinator
+///   state/ID        the job's progress; written only by the coordinator. It remains for a while
+///                   after the job is final
+///   coord/leader    name of the coordinator; attached to its lease. The key's revision is the
+///                   fencing token
+///   coord/leader-term  number of coordinators so far; never removed
+///   coord/leader-slowed  name of the node that most recently handed leadership over because
+///                   another node serves callers better
+///   coord/runners   runners to which the coordinator may have given orders
+///   coord/demand    the coordinator's demand rates and run time estimates
+///   coord/pending   number of waiting jobs by queue, and the store revision up to which accepted
+///                   jobs were included in the count; written only by the coordinator
 ///   coord/wave/N    hosts of wave N whose maintenance has begun
-///   relay/MEMBER    a node that carries orders to runners out; lives with its lease
+///   relay/MEMBER    a node that relays orders to runners; attached to its lease
 #pragma once
 
 #include <cstdint>
--- a/libs/hosted/include/hosted/prefix_follower.hpp
+++ b/libs/hosted/include/hosted/prefix_follower.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Keeps up with all keys under a prefix: reads them, then watches, and reads anew when the store
-/// has lost the history in between.
+/// Follows all keys under a prefix: reads them, then watches for changes, and reads all keys again
+/// if the store's change log no longer covers the time since the last read.
 #pragma once
 
 #include "hosted/context.hpp"
@@ -12,27 +12,31 @@
 namespace camphorhitch::hosted
 {
 
+/// What a prefix_follower follows, and how often.
 struct follower_settings
 {
-    std::string prefix;
-    /// Longest wait of one watch. Also bounds how long a connection that went silent stays
-    /// unnoticed.
-    core::millis wait{1500};
-    /// Least time between two watches: gathers changes, since each call is charged for.
-    core::millis pause{0};
-    core::millis retry{200}; ///< after a call that failed
+    std::string prefix; ///< prefix of the keys
+    /// Maximum time for which the store may hold back the answer to one watch. It also bounds how
+    /// long a dead connection goes unnoticed.
+    core::millis max_wait{1500};
+    /// Delay between two watches. Changes are gathered meanwhile, since the platform charges for
+    /// each call.
+    core::millis watch_delay{0};
+    core::millis retry_delay{200}; ///< delay after a failed call
 };
 
+/// Calls of a prefix_follower.
 struct follower_events
 {
-    /// All keys; what is not among them does not exist.
+    /// Called with all keys under the prefix; any other key does not exist.
     std::function<void(std::vector<ports::stored_item>)> on_all;
+    /// Called with the changes since the previous call of either function.
     std::function<void(std::vector<ports::stored_change>)> on_changes;
 };
 
 struct follower_state;
 
-/// Must not be destroyed inside its own events.
+/// Follows the keys under a prefix. Must not be destroyed inside one of its own events.
 class prefix_follower
 {
 public:
@@ -43,14 +47,15 @@
 
     void start();
 
-    /// \return when the store last answered; the clock's start when it never did.
-    core::mono_time last_answer() const;
+    /// \return when the store last answered; the epoch of the clock if it never did.
+    core::mono_time last_answer_at() const;
 
-    /// \return the store revision up to which every change was handed to the events; 0: none yet.
-    /// It stands still while all is read anew.
-    ports::revision through() const;
+    /// \return the store revision up to which every change has been passed to the events; 0: none
+    /// yet. The revision does not change while all keys are read again.
+    ports::revision through_revision() const;
 
-    /// \return the pages that the reading under way, or else the latest one, has brought.
+    /// \return the number of pages that the current full read has returned so far, or the latest
+    /// one if none is in progress.
     int pages_read() const;
 
 private:
--- a/libs/hosted/include/hosted/range_reader.hpp
+++ b/libs/hosted/include/hosted/range_reader.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Reads all keys of a prefix, page by page.
+/// Reads all keys under a prefix, page by page.
 #pragma once
 
 #include "hosted/context.hpp"
@@ -10,11 +10,11 @@
 namespace camphorhitch::hosted
 {
 
-/// Gives each item under \p prefix to \p take, in the order of the keys.
-/// \param end called once: with true after the last page, with false when the store did not answer
+/// Calls \p on_item for each item under \p prefix, in the order of the keys.
+/// \param on_end called once: with true after the last page, with false if the store did not answer
 void read_range(const context& c,
     const std::string& prefix,
-    const std::function<void(const ports::stored_item&)>& take,
-    const std::function<void(bool whole)>& end);
+    const std::function<void(const ports::stored_item&)>& on_item,
+    const std::function<void(bool complete)>& on_end);
 
 } // namespace camphorhitch::hosted
--- a/libs/hosted/src/config_follower.cpp
+++ b/libs/hosted/src/config_follower.cpp
@@ -1,6 +1,6 @@
 #include "hosted/config_follower.hpp"
 
-#include "damage_notes.hpp"
+#include "damaged_record_log.hpp"
 
 #include <utility>
 
@@ -9,7 +9,7 @@
 
 config_follower::config_follower(context c, const formats& f, config_events e)
     : ctx_(std::move(c)), formats_(f), events_(std::move(e)),
-      damaged_(std::make_unique<damage_notes>())
+      damaged_records_(std::make_unique<damaged_record_log>())
 {
     follower_settings settings;
     settings.prefix = formats_.operator_prefix;
@@ -18,7 +18,7 @@
     {
         for (const auto& it : all)
         {
-            see(it);
+            apply_item(it);
         }
     };
     seen.on_changes = [this](const std::vector<ports::stored_change>& all)
@@ -27,7 +27,7 @@
         {
             if (!it.removed)
             {
-                see(it.item);
+                apply_item(it.item);
             }
         }
     };
@@ -46,27 +46,27 @@
     return config_ ? &*config_ : nullptr;
 }
 
-core::mono_time config_follower::last_answer() const
+core::mono_time config_follower::last_answer_at() const
 {
-    return follower_->last_answer();
+    return follower_->last_answer_at();
 }
 
-void config_follower::see(const ports::stored_item& it)
+void config_follower::apply_item(const ports::stored_item& it)
 {
     if (it.key == formats_.config_key)
     {
-        see_config(it);
+        apply_config(it);
     }
     else if (it.key.starts_with(formats_.wave_prefix))
     {
-        see_wave(it);
+        apply_wave(it);
     }
 }
 
-void config_follower::tell_damage(
+void config_follower::log_damaged_record(
     const char* event, const ports::stored_item& it, const std::string& reason)
 {
-    if (is_news(*damaged_, it))
+    if (should_log(*damaged_records_, it))
     {
         ctx_.tel.log(ports::log_level::error,
             event,
@@ -74,17 +74,19 @@
     }
 }
 
-/// One that can't be read leaves the one in force, with which callers go on being served.
-void config_follower::see_config(const ports::stored_item& it)
+/// A configuration that cannot be read is logged and leaves the one in force, so that callers
+/// continue to be served.
+void config_follower::apply_config(const ports::stored_item& it)
 {
     auto read = formats_.read_config(it.value);
     if (!core::is_ok(read))
     {
-        tell_damage("config_damaged", it, core::failure(read).message);
+        log_damaged_record("config_damaged", it, core::failure(read).message);
         return;
     }
     auto& next = core::value(read);
-    // Never back: a read that began before a change may answer after it.
+    // The configuration never goes back to an older version: a read that started before a change
+    // may be answered after it.
     if (config_ && next.version <= config_->version)
     {
         return;
@@ -95,23 +97,24 @@
             {"before", config_ ? std::to_string(config_->version) : "none"},
             {"revision", std::to_string(it.modified)},
             {"queues", std::to_string(next.queues.size())},
-            {"left_out", std::to_string(next.left_out)}});
+            {"left_out", std::to_string(next.unreadable_entries)}});
     config_ = std::move(next);
     events_.on_config(*config_);
 }
 
-void config_follower::see_wave(const ports::stored_item& it)
+void config_follower::apply_wave(const ports::stored_item& it)
 {
     const auto read = formats_.read_wave(it.value);
     if (!core::is_ok(read))
     {
-        tell_damage("wave_damaged", it, core::failure(read).message);
+        log_damaged_record("wave_damaged", it, core::failure(read).message);
         return;
     }
-    // Under another key it would stand in for the wave of that number.
+    // A record under a key of another number would replace the wave of that number.
     if (it.key != formats_.wave_prefix + std::to_string(core::value(read).number))
     {
-        tell_damage("wave_damaged", it, "its number is not the key's");
+        log_damaged_record(
+            "wave_damaged", it, "the wave number in the record does not match the key");
         return;
     }
     waves_[core::value(read).number] = core::value(read);
--- a/libs/hosted/src/demand_record.cpp
+++ b/libs/hosted/src/demand_record.cpp
@@ -23,9 +23,9 @@
         {"busy", p.busy}};
 }
 
-/// Of rates in cores, run times in milliseconds, times of day and revisions: far above any real
-/// one, and far below what the clocks' nanoseconds hold.
-constexpr double most_value = 4e12;
+/// Upper bound of rates in cores, run times in milliseconds, times of day in milliseconds and
+/// revisions: far above any real value, and far below the range of the clocks in nanoseconds.
+constexpr double max_value = 4e12;
 
 struct damaged_record : std::exception
 {
@@ -34,7 +34,7 @@
 double real_from(const json& from)
 {
     const auto n = from.get<double>();
-    if (!(n >= 0 && n <= most_value))
+    if (!(n >= 0 && n <= max_value))
     {
         throw damaged_record{};
     }
@@ -68,12 +68,12 @@
 
 std::string write_demand(const coordinator::demand& d,
     const coordinator::learnt& l,
-    ports::revision through,
+    ports::revision through_revision,
     core::mono_time now,
     std::int64_t unix_ms)
 {
     json out{{"at_unix_ms", unix_ms},
-        {"through", through},
+        {"through", through_revision},
         {"pools", json::object()},
         {"busy", json::array()},
         {"times", json::object()}};
@@ -112,22 +112,22 @@
         }
         for (const auto& it : from.at("busy"))
         {
-            // Both times are of the clock that wrote them.
+            // Both times were taken from the clock of the node that wrote the record.
             const auto before = std::max<std::int64_t>(at - whole_from(it.at(1)), 0);
             next.history.push_back({it.at(0).get<std::string>(), made - core::millis{before}});
         }
         for (const auto& [image, it] : from.at("times").items())
         {
-            constexpr std::int64_t most_runs = std::numeric_limits<int>::max();
-            const auto runs = static_cast<int>(std::min(whole_from(it.at(1)), most_runs));
+            constexpr std::int64_t max_runs = std::numeric_limits<int>::max();
+            const auto runs = static_cast<int>(std::min(whole_from(it.at(1)), max_runs));
             times.images[image] = {real_from(it.at(0)), runs};
         }
-        const auto through =
+        const auto through_revision =
             from.contains("through") ? std::min(whole_from(from["through"]), written) : written;
         next.settings = d.settings;
         d = std::move(next);
         l = std::move(times);
-        return through;
+        return through_revision;
     }
     catch (const json::exception&)
     {
--- a/libs/hosted/src/demand_record.hpp
+++ b/libs/hosted/src/demand_record.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// What the coordinator has learnt of the demand, as a successor finds it. Without it each
-/// take-over amid a busy time begins anew: hosts are sent to rest just when they are needed.
+/// The coordinator's demand rates and run time estimates, stored for a successor. Without this
+/// record the estimates would start from zero at each takeover, and hosts would be sent to standby
+/// during a busy period, just when they are needed.
 #pragma once
 
 #include "coordinator/demand.hpp"
@@ -12,24 +13,27 @@
 namespace camphorhitch::hosted
 {
 
-/// \param through the store's revision of the newest job whose arrival is counted
-/// \param unix_ms wall time that stands for \p now, since a successor has another monotonic clock
+/// Serializes the record.
+/// \param through_revision store revision of the newest job whose arrival is included
+/// \param unix_ms wall-clock time that corresponds to \p now, because a successor has another
+/// monotonic clock
 std::string write_demand(const coordinator::demand& d,
     const coordinator::learnt& l,
-    ports::revision through,
+    ports::revision through_revision,
     core::mono_time now,
     std::int64_t unix_ms);
 
-/// Reads a record into \p d and \p l; a damaged one changes nothing.
+/// Reads a record into \p d and \p l; a damaged record changes nothing.
 ///
-/// Which arrivals are in it is told by the store's revisions, which all owners share. Told by a
-/// time of day, a record of a clock that is ahead would hide what comes after it, and one of an
-/// owner that lagged what that owner had not seen. How old it is only times of day can tell: they
-/// differ by seconds, and the rates then decay too far or not at all. Work that waits is counted
-/// from the jobs, so a pool is never thought idle for that.
-/// \param written the record's own revision
-/// \return revision up to which arrivals are counted in it; \p written when the record tells none,
-/// as those of a version before do, or a later one; 0 when it is damaged
+/// Store revisions, which all coordinators share, determine which arrivals are included in the
+/// record. With times of day, a record written by a clock that is ahead would hide the arrivals
+/// after it, and the record of a lagging coordinator would hide the arrivals that this coordinator
+/// had not seen. The age of the record can be determined only from times of day. The clocks differ
+/// by seconds, so the rates decay too far or not at all. The waiting work is counted from the jobs,
+/// so this error never makes a pool appear idle.
+/// \param written revision of the record itself
+/// \return the revision up to which arrivals are included in the record; \p written if the record
+/// contains none, as records of the previous version do, or a later one; 0 if the record is damaged
 ports::revision read_demand(const std::string& text,
     ports::revision written,
     coordinator::demand& d,
--- a/libs/hosted/src/tidier.cpp
+++ b/libs/hosted/src/finished_job_cleaner.cpp
@@ -1,4 +1,4 @@
-#include "tidier.hpp"
+#include "finished_job_cleaner.hpp"
 
 #include "coordinator/retention.hpp"
 #include "hosted/keys.hpp"
@@ -13,11 +13,12 @@
 namespace
 {
 
-/// Jobs in one transaction: a condition and a removal each, of the 32 rows that it takes.
-constexpr std::size_t most_jobs = 12;
-constexpr std::size_t most_cancels = 6;
+/// Maximum jobs in one transaction. Each needs a condition and a removal, and a transaction takes
+/// 32 rows.
+constexpr std::size_t max_jobs = 12;
+constexpr std::size_t max_cancels = 6;
 
-/// \return the key's item as a conflict showed it, or nullptr.
+/// \return the item of the key in the answer to a conflict, or nullptr.
 const ports::stored_item* find_item(const ports::commit_result& result, const std::string& key)
 {
     const auto it = std::find_if(result.current.begin(),
@@ -28,34 +29,35 @@
 
 } // namespace
 
-tidier::tidier(term& t) : term_(t)
+finished_job_cleaner::finished_job_cleaner(term& t) : term_(t)
 {
 }
 
-void tidier::start()
+void finished_job_cleaner::start()
 {
-    term_.ctx.time.after(term_.settings.tidy_every, term_.guarded([this] { look(); }));
+    term_.ctx.time.after(term_.settings.tidy_every, term_.guarded([this] { remove_expired(); }));
 }
 
-void tidier::look()
+void finished_job_cleaner::remove_expired()
 {
     auto& f = term_.fleet;
     std::vector<std::string> cancels;
-    while (!f.late_cancels.empty() && cancels.size() < most_cancels)
+    while (!f.late_cancels.empty() && cancels.size() < max_cancels)
     {
         cancels.push_back(std::move(f.late_cancels.extract(f.late_cancels.begin()).value()));
     }
     const auto unix_ms = core::to_unix_ms(term_.ctx.time.wall_now());
-    auto jobs = coordinator::take_expired(f, term_.settings.keep_finished, unix_ms, most_jobs);
-    if (!term_.lead->holds() || (jobs.empty() && cancels.empty()))
+    auto jobs = coordinator::take_expired(f, term_.settings.keep_finished, unix_ms, max_jobs);
+    if (!term_.lead->holds_lease() || (jobs.empty() && cancels.empty()))
     {
         start();
         return;
     }
-    send(std::move(jobs), std::move(cancels));
+    send_removals(std::move(jobs), std::move(cancels));
 }
 
-void tidier::send(std::vector<coordinator::finished_job> jobs, std::vector<std::string> cancels)
+void finished_job_cleaner::send_removals(
+    std::vector<coordinator::finished_job> jobs, std::vector<std::string> cancels)
 {
     ports::store_transaction change;
     change.conditions.push_back({leader_key, term_.token});
@@ -69,11 +71,12 @@
         change.removals.push_back(cancel_key(it));
     }
     term_.ctx.store.commit(std::move(change),
-        term_.guarded([this, jobs = std::move(jobs), cancels = std::move(cancels)](
-                          const ports::commit_result& result) { take(jobs, cancels, result); }));
+        term_.guarded(
+            [this, jobs = std::move(jobs), cancels = std::move(cancels)](
+                const ports::commit_result& result) { handle_result(jobs, cancels, result); }));
 }
 
-void tidier::take(const std::vector<coordinator::finished_job>& jobs,
+void finished_job_cleaner::handle_result(const std::vector<coordinator::finished_job>& jobs,
     const std::vector<std::string>& cancels,
     const ports::commit_result& result)
 {
@@ -85,11 +88,12 @@
         const bool known = result.status == kv_status::ok || result.status == kv_status::conflict;
         if (known && item == nullptr)
         {
-            coordinator::forget_job(term_.fleet, it.id); // now, or by an unanswered try
+            // The state was removed now or by an earlier unanswered attempt.
+            coordinator::forget_job(term_.fleet, it.id);
         }
         else if (item == nullptr || item->modified == it.stored_revision)
         {
-            term_.fleet.finished_jobs.emplace(unix_ms - keep_ms, it); // due still
+            term_.fleet.finished_jobs.emplace(unix_ms - keep_ms, it); // the removal is still due
         }
     }
     if (result.status != kv_status::ok)
@@ -101,10 +105,10 @@
     term_.log(ports::log_level::debug,
         "tidied",
         {{"jobs", std::to_string(jobs.size())}, {"cancels", std::to_string(cancels.size())}});
-    // A full batch tells that more may wait.
-    if (jobs.size() == most_jobs)
+    // After a full batch more removals may be due.
+    if (jobs.size() == max_jobs)
     {
-        look();
+        remove_expired();
         return;
     }
     start();
--- a/libs/hosted/src/fleet_driver.cpp
+++ b/libs/hosted/src/fleet_driver.cpp
@@ -4,19 +4,19 @@
 #include "coordinator/explain.hpp"
 #include "coordinator/intake.hpp"
 #include "coordinator/placement.hpp"
+#include "finished_job_cleaner.hpp"
+#include "handover_policy.hpp"
 #include "host_reader.hpp"
 #include "hosted/keys.hpp"
 #include "job_reader.hpp"
 #include "lease_bridge.hpp"
 #include "load_watch.hpp"
 #include "machine_desk.hpp"
-#include "owner_pace.hpp"
+#include "pending_count_logger.hpp"
 #include "pending_record.hpp"
-#include "pending_watch.hpp"
 #include "progress_writer.hpp"
 #include "runner_desk.hpp"
 #include "term.hpp"
-#include "tidier.hpp"
 #include "wave_runner.hpp"
 
 #include <map>
@@ -36,9 +36,9 @@
     std::unique_ptr<progress_writer> writer;
     std::unique_ptr<machine_desk> machines;
     std::unique_ptr<wave_runner> waves;
-    std::unique_ptr<tidier> tidy;
+    std::unique_ptr<finished_job_cleaner> tidy;
     std::unique_ptr<load_watch> watch;
-    std::unique_ptr<pending_watch> pending;
+    std::unique_ptr<pending_count_logger> pending;
     bool plan_is_due = false;
     bool jobs_are_in = false;
     bool record_is_in = false;
@@ -68,7 +68,7 @@
 {
     plan_is_due = false;
     auto& t = *common;
-    if (!jobs_are_in || !record_is_in || !t.lead->holds())
+    if (!jobs_are_in || !record_is_in || !t.lead->holds_lease())
     {
         return;
     }
@@ -162,7 +162,7 @@
             {"unread_ms", std::to_string(unread.count())},
             {"pages", std::to_string(jobs->pages_read())},
             {"runners_read", record_is_in ? "1" : "0"},
-            {"hand_overs", std::to_string(t.lead->hand_overs())},
+            {"hand_overs", std::to_string(t.lead->recent_handovers())},
             {"token", std::to_string(t.token)}});
     t.lead->hand_over("the jobs could not be read in time");
 }
@@ -170,11 +170,11 @@
 void driver_parts::store_pending()
 {
     auto& t = *common;
-    if (!t.lead->holds())
+    if (!t.lead->holds_lease())
     {
         return;
     }
-    auto basis = pending->basis_of(coordinator::pending_jobs(t.fleet));
+    auto basis = pending->current_basis(coordinator::pending_jobs(t.fleet));
     const bool idle = t.fleet.open_jobs.empty() && basis.by_queue == pending_stored;
     if (idle && t.now() < pending_at + t.settings.pending_idle)
     {
@@ -185,7 +185,7 @@
     // record made in between would count as known the jobs that came with it and were dropped. The
     // mark and the key changed in one write, so with this condition such a record is never stored.
     change.conditions = {{leader_key, t.token}};
-    change.puts = {{pending_key, write_pending({basis.read_through, basis.by_queue}), 0},
+    change.puts = {{pending_key, write_pending({basis.intake_revision, basis.by_queue}), 0},
         {demand_key, machines->demand_record(), 0}};
     t.ctx.store.commit(std::move(change),
         t.guarded(
@@ -193,8 +193,8 @@
             {
                 const bool ok = result.status == ports::kv_status::ok;
                 pending_stored = ok ? std::optional{basis.by_queue} : std::nullopt;
-                pending_at = basis.made_at;
-                pending->see_answer(basis, result);
+                pending_at = basis.counted_at;
+                pending->log_write_result(basis, result);
                 common->lost_key(result);
             }));
 }
@@ -230,21 +230,21 @@
     };
     t.jobs_heard = [&p]
     {
-        return p.jobs->last_heard();
+        return p.jobs->last_job_answer_at();
     };
     t.record_hosts = [&p]
     {
         p.hosts->record();
     };
     p.jobs = std::make_unique<job_reader>(t);
-    p.pending = std::make_unique<pending_watch>(t, *p.jobs);
+    p.pending = std::make_unique<pending_count_logger>(t, *p.jobs);
     p.hosts = std::make_unique<host_reader>(t);
     p.bridge = std::make_unique<lease_bridge>(t);
     p.desk = std::make_unique<runner_desk>(t);
     p.writer = std::make_unique<progress_writer>(t);
     p.machines = std::make_unique<machine_desk>(t);
     p.waves = std::make_unique<wave_runner>(t, p.machines->table());
-    p.tidy = std::make_unique<tidier>(t);
+    p.tidy = std::make_unique<finished_job_cleaner>(t);
     p.watch =
         std::make_unique<load_watch>(t, [&p](core::micros late_by) { p.desk->see_delay(late_by); });
     t.on_job = [&p](const workflow::job& j, core::mono_time at)
@@ -289,7 +289,7 @@
     p.hosts->set_pools(pools_);
     p.machines->start([&p] { p.waves->see_machines(); }, [&p] { return p.waves->has_open_wave(); });
     p.waves->set_waves(waves_);
-    t.ctx.time.after(time_to_read(lead_.hand_overs()),
+    t.ctx.time.after(max_job_read_time(lead_.recent_handovers()),
         t.guarded([&p, began = t.now()] { p.judge_reading(began); }));
     p.tick();
     p.tick_pending();
@@ -325,7 +325,7 @@
 /// successor may have moved all of it: told as the present, it would mislead. The store tells then.
 std::vector<std::string> fleet_driver::explain_job(const std::string& id) const
 {
-    if (parts_ == nullptr || !lead_.holds())
+    if (parts_ == nullptr || !lead_.holds_lease())
     {
         return {};
     }
--- a/libs/hosted/src/formats.cpp
+++ b/libs/hosted/src/formats.cpp
@@ -43,7 +43,7 @@
     return it == config.queues.end() ? nullptr : &*it;
 }
 
-void put_into_queue(workflow::job& j, const queue& q, std::int64_t accepted_unix_ms)
+void apply_queue_settings(workflow::job& j, const queue& q, std::int64_t accepted_unix_ms)
 {
     j.queue = q.name;
     j.pool = q.pool;
--- a/libs/hosted/src/job_catalog.cpp
+++ b/libs/hosted/src/job_catalog.cpp
@@ -16,14 +16,14 @@
 
 using ports::kv_status;
 
-const core::error store_unread{core::error_code::unavailable, "the store can't be read now"};
+const core::error store_unreadable{core::error_code::unavailable, "the store can't be read now"};
 
-/// Jobs put together from their keys.
-class collector
+/// Collects jobs from their store entries.
+class job_collector
 {
 public:
-    /// job/ID, or job/ID/cancel.
-    void take_job(const ports::stored_item& it)
+    /// Adds the entry job/ID or job/ID/cancel.
+    void add_job(const ports::stored_item& it)
     {
         if (it.key == handover_key)
         {
@@ -39,7 +39,7 @@
         auto read = workflow::read_job(it.value);
         if (!core::is_ok(read))
         {
-            problem_ = it.key + ": " + core::failure(read).message;
+            damaged_entry_ = it.key + ": " + core::failure(read).message;
             return;
         }
         auto& j = jobs_[id];
@@ -47,14 +47,15 @@
         j.spec = std::move(core::value(read));
     }
 
-    /// state/ID; call it after all jobs: an entry without a job is final, or the job came since.
-    void take_state(const ports::stored_item& it)
+    /// Adds the entry state/ID. Must be called after all job entries were added: a state without a
+    /// job entry belongs to a final job, or to a job that was accepted since.
+    void add_state(const ports::stored_item& it)
     {
         const auto id = it.key.substr(state_prefix.size());
         const auto state = workflow::read_progress_state(it.value);
         if (!core::is_ok(state))
         {
-            problem_ = it.key + ": " + core::failure(state).message;
+            damaged_entry_ = it.key + ": " + core::failure(state).message;
             return;
         }
         auto found = jobs_.find(id);
@@ -76,15 +77,15 @@
         }
         else
         {
-            problem_ = it.key + ": " + core::failure(progress).message;
+            damaged_entry_ = it.key + ": " + core::failure(progress).message;
         }
     }
 
     core::result<std::vector<stored_job>> finish()
     {
-        if (!problem_.empty())
+        if (!damaged_entry_.empty())
         {
-            return core::error{core::error_code::invalid, problem_};
+            return core::error{core::error_code::invalid, damaged_entry_};
         }
         for (const auto& id : cancelled_)
         {
@@ -104,42 +105,44 @@
 private:
     std::map<std::string, stored_job> jobs_;
     std::vector<std::string> cancelled_;
-    std::string problem_; ///< the latest damaged entry
+    std::string damaged_entry_; ///< description of the latest damaged entry; empty if there is none
 };
 
 } // namespace
 
-workflow::job_state shown_state(const stored_job& j)
+workflow::job_state effective_state(const stored_job& j)
 {
-    const bool ends = j.cancelled && !workflow::is_final(j.progress.state);
-    return ends ? workflow::job_state::cancelled : j.progress.state;
+    const bool is_cancelling = j.cancelled && !workflow::is_final(j.progress.state);
+    return is_cancelling ? workflow::job_state::cancelled : j.progress.state;
 }
 
 void list_jobs(
     const context& c, const std::function<void(core::result<std::vector<stored_job>>)>& done)
 {
-    const auto all = std::make_shared<collector>();
-    const auto take_state = [all](const ports::stored_item& it)
+    const auto collector = std::make_shared<job_collector>();
+    const auto add_state = [collector](const ports::stored_item& it)
     {
-        all->take_state(it);
+        collector->add_state(it);
     };
-    const auto end = [all, done](bool whole)
+    const auto on_end = [collector, done](bool complete)
     {
-        done(whole ? all->finish() : core::result<std::vector<stored_job>>{store_unread});
+        done(complete ? collector->finish()
+                      : core::result<std::vector<stored_job>>{store_unreadable});
     };
-    // Jobs first: one that ends meanwhile then still has its state, which is read later.
+    // Jobs are read before states: a job that ends meanwhile then still has its state, which is
+    // read later.
     read_range(
         c,
         job_prefix,
-        [all](const ports::stored_item& it) { all->take_job(it); },
-        [c, take_state, end](bool whole)
+        [collector](const ports::stored_item& it) { collector->add_job(it); },
+        [c, add_state, on_end](bool complete)
         {
-            if (!whole)
+            if (!complete)
             {
-                end(false);
+                on_end(false);
                 return;
             }
-            read_range(c, state_prefix, take_state, end);
+            read_range(c, state_prefix, add_state, on_end);
         });
 }
 
@@ -147,19 +150,19 @@
     const std::string& id,
     const std::function<void(core::result<stored_job>)>& done)
 {
-    const auto all = std::make_shared<collector>();
-    const auto end = [all, id, done](const ports::item_read& read)
+    const auto collector = std::make_shared<job_collector>();
+    const auto on_end = [collector, id, done](const ports::item_read& read)
     {
         if (read.status != kv_status::ok)
         {
-            done(store_unread);
+            done(store_unreadable);
             return;
         }
         if (read.item)
         {
-            all->take_state(*read.item);
+            collector->add_state(*read.item);
         }
-        auto found = all->finish();
+        auto found = collector->finish();
         if (!core::is_ok(found))
         {
             done(core::failure(found));
@@ -176,21 +179,21 @@
     read_range(
         c,
         job_key(id),
-        [all, id](const ports::stored_item& it)
+        [collector, id](const ports::stored_item& it)
         {
             if (it.key == job_key(id) || it.key == cancel_key(id))
             {
-                all->take_job(it);
+                collector->add_job(it);
             }
         },
-        [c, id, done, end](bool whole)
+        [c, id, done, on_end](bool complete)
         {
-            if (!whole)
+            if (!complete)
             {
-                done(store_unread);
+                done(store_unreadable);
                 return;
             }
-            c.store.get(state_key(id), ports::read_freshness::newest, end);
+            c.store.get(state_key(id), ports::read_freshness::newest, on_end);
         });
 }
 
--- a/libs/hosted/src/job_reader.cpp
+++ b/libs/hosted/src/job_reader.cpp
@@ -10,7 +10,7 @@
 namespace camphorhitch::hosted
 {
 
-job_reader::job_reader(term& t) : term_(t), began_(t.now())
+job_reader::job_reader(term& t) : term_(t), term_started_at_(t.now())
 {
 }
 
@@ -20,14 +20,15 @@
     read_states();
 }
 
-ports::revision job_reader::read_through() const
+ports::revision job_reader::intake_revision() const
 {
-    return follower_ == nullptr ? 0 : follower_->through();
+    return follower_ == nullptr ? 0 : follower_->through_revision();
 }
 
-core::mono_time job_reader::last_heard() const
+core::mono_time job_reader::last_job_answer_at() const
 {
-    return follower_ == nullptr ? began_ : std::max(began_, follower_->last_answer());
+    return follower_ == nullptr ? term_started_at_
+                                : std::max(term_started_at_, follower_->last_answer_at());
 }
 
 int job_reader::pages_read() const
@@ -38,24 +39,25 @@
 void job_reader::read_states()
 {
     term_.ctx.store.range(state_prefix,
-        states_after_,
-        term_.guarded([this](ports::page_read page) { take_states(std::move(page)); }));
+        last_state_key_,
+        term_.guarded([this](ports::page_read page) { apply_states(std::move(page)); }));
 }
 
-void job_reader::take_states(ports::page_read page)
+void job_reader::apply_states(ports::page_read page)
 {
     if (page.status != ports::kv_status::ok)
     {
         term_.log(ports::log_level::warning,
             "progress_unread",
             {{"pages", std::to_string(state_pages_)}});
-        // The pages before stay good: in this term only this owner writes progress, and later.
+        // The pages read before remain valid: in this term only this coordinator writes progress,
+        // and only after this read.
         term_.ctx.time.after(term_.settings.store_retry, term_.guarded([this] { read_states(); }));
         return;
     }
     ++state_pages_;
     const bool more = page.more && !page.items.empty();
-    states_after_ = more ? page.items.back().key : std::string{};
+    last_state_key_ = more ? page.items.back().key : std::string{};
     for (auto& it : page.items)
     {
         const auto id = it.key.substr(state_prefix.size());
@@ -73,17 +75,17 @@
 {
     follower_settings s;
     s.prefix = job_prefix;
-    s.pause = term_.settings.job_pause;
-    s.wait = term_.settings.job_wait;
+    s.watch_delay = term_.settings.job_pause;
+    s.max_wait = term_.settings.job_wait;
     follower_events events;
     events.on_all = [this](const std::vector<ports::stored_item>& all)
     {
-        if (ends_term(all))
+        if (detect_successor(all))
         {
             return;
         }
-        take_items(all);
-        note_finished();
+        apply_items(all);
+        record_finished_jobs();
         states_.clear();
         if (done_)
         {
@@ -100,17 +102,18 @@
                 items.push_back(it.item);
             }
         }
-        if (!ends_term(items))
+        if (!detect_successor(items))
         {
-            take_items(items);
+            apply_items(items);
         }
     };
     follower_ = std::make_unique<prefix_follower>(term_.ctx, s, std::move(events));
     follower_->start();
 }
 
-/// States that no job stands beside are of jobs that ended before this term.
-void job_reader::note_finished()
+/// Records the finished jobs. A state without a job record belongs to a job that ended before this
+/// term.
+void job_reader::record_finished_jobs()
 {
     const auto now = core::to_unix_ms(term_.ctx.time.wall_now());
     for (const auto& [id, it] : states_)
@@ -123,12 +126,14 @@
     }
 }
 
-/// A former owner may hear late of its successor, by its own key or lease, and meanwhile start what
-/// was accepted under the successor, which starts it too. The jobs come in the order in which they
-/// were stored, pages in the order of keys: the successor's mark comes before each such job, or in
-/// a page read after it. So none of these is ever taken in.
-/// \return whether another node has taken over.
-bool job_reader::ends_term(const std::vector<ports::stored_item>& items)
+/// Ends the term if \p items contain a successor's handover record. A previous coordinator may
+/// learn late of its successor from its own key or lease, and meanwhile start jobs that were
+/// accepted under the successor, which starts them too. Watches return jobs in the order in which
+/// they were stored, and reads return pages in the order of the keys, which are applied together.
+/// The successor's handover record therefore arrives before each such job, or in a page that is
+/// read after it, so that none of these jobs is ever added to the fleet. \return whether another
+/// node has taken over
+bool job_reader::detect_successor(const std::vector<ports::stored_item>& items)
 {
     const bool over = std::any_of(items.begin(),
         items.end(),
@@ -136,26 +141,27 @@
         { return it.key == handover_key && it.modified > term_.token; });
     if (over)
     {
-        term_.fenced_by("a successor's mark among the jobs");
+        term_.fenced_by("a successor's handover record among the jobs");
     }
     return over;
 }
 
-void job_reader::take_items(const std::vector<ports::stored_item>& items)
+void job_reader::apply_items(const std::vector<ports::stored_item>& items)
 {
     coordinator::task_events out;
     for (const auto& it : items)
     {
-        take_item(it, out);
+        apply_item(it, out);
     }
     term_.log(out);
-    note_arrivals();
+    record_arrivals();
     term_.store_soon();
     term_.wake();
 }
 
-/// Also those before this term: the pattern of busy times is in them.
-void job_reader::note_arrivals()
+/// Records the arrivals for the demand rates, including those before this term, because the pattern
+/// of busy periods depends on them.
+void job_reader::record_arrivals()
 {
     std::sort(arrivals_.begin(),
         arrivals_.end(),
@@ -170,8 +176,9 @@
     arrivals_.clear();
 }
 
-/// Inherited jobs are left out: the owner before may have read them in time.
-void job_reader::note_read(const std::string& id, std::int64_t accepted_unix_ms)
+/// Records when a job was added and how long after its acceptance. Inherited jobs have no intake
+/// delay recorded, because the previous coordinator may have read them in time.
+void job_reader::record_added_job(const std::string& id, std::int64_t accepted_unix_ms)
 {
     auto& j = *term_.fleet.jobs.at(id);
     j.added_at = term_.now();
@@ -182,9 +189,9 @@
     }
 }
 
-void job_reader::tell_damage(const ports::stored_item& it, const std::string& reason)
+void job_reader::log_damaged_record(const ports::stored_item& it, const std::string& reason)
 {
-    if (is_news(damaged_, it))
+    if (should_log(damaged_records_, it))
     {
         term_.log(ports::log_level::error,
             "record_damaged",
@@ -192,25 +199,26 @@
     }
 }
 
-/// A record that can't be read leaves its job alone; the others go on.
+/// Reads a job record. A record that cannot be read is logged and only its job is skipped; the
+/// other jobs continue.
 std::optional<workflow::job> job_reader::read_spec(
     const ports::stored_item& it, const std::string& id)
 {
     auto read = workflow::read_job(it.value);
     if (!core::is_ok(read))
     {
-        tell_damage(it, core::failure(read).message);
+        log_damaged_record(it, core::failure(read).message);
         return {};
     }
     if (core::value(read).id != id)
     {
-        tell_damage(it, "it is of another job: " + core::value(read).id);
+        log_damaged_record(it, "the record belongs to another job: " + core::value(read).id);
         return {};
     }
     return std::move(core::value(read));
 }
 
-void job_reader::take_item(const ports::stored_item& it, coordinator::task_events& out)
+void job_reader::apply_item(const ports::stored_item& it, coordinator::task_events& out)
 {
     if (it.key == handover_key)
     {
@@ -240,8 +248,9 @@
         auto found = workflow::read_progress(*spec, state->second.value);
         if (!core::is_ok(found))
         {
-            // Which of its tasks are done can't be read. Taken for new, it would run them twice.
-            tell_damage(state->second, core::failure(found).message);
+            // The record of which tasks are done cannot be read. If the job were treated as new,
+            // its finished tasks would run a second time.
+            log_damaged_record(state->second, core::failure(found).message);
             return;
         }
         progress = std::move(core::value(found));
@@ -255,7 +264,7 @@
     arrivals_.push_back(*spec);
     const auto accepted = spec->accepted_unix_ms;
     coordinator::add_job(term_.fleet, std::move(*spec), it.created, progress, stored);
-    note_read(id, accepted);
+    record_added_job(id, accepted);
 }
 
 } // namespace camphorhitch::hosted
--- a/libs/hosted/src/job_reader.hpp
+++ b/libs/hosted/src/job_reader.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// Brings accepted jobs and cancels from the metadata store into the fleet.
+/// Reads accepted jobs and cancels from the metadata store into the fleet.
 #pragma once
 
-#include "damage_notes.hpp"
+#include "damaged_record_log.hpp"
 #include "hosted/prefix_follower.hpp"
 #include "term.hpp"
 
@@ -16,38 +16,43 @@
 public:
     explicit job_reader(term& t);
 
-    /// Reads the stored progress, then all jobs, then follows. \p done is called once all are in.
+    /// Reads the stored progress and then all jobs, and follows the jobs from then on. \p done is
+    /// called once all jobs have been added to the fleet.
     void start(std::function<void()> done);
 
-    /// \return the store revision up to which accepted jobs were taken in; 0: not read yet.
-    ports::revision read_through() const;
+    /// \return the store revision up to which accepted jobs have been added to the fleet; 0 before
+    /// the jobs have been read.
+    ports::revision intake_revision() const;
 
-    /// \return when the store last answered about accepted jobs; the term's begin before it did.
-    core::mono_time last_heard() const;
+    /// \return when the store last answered a read or watch of accepted jobs; the start of the term
+    /// before the first answer.
+    core::mono_time last_job_answer_at() const;
 
-    /// \return the pages of progress and of jobs that were read.
+    /// \return the number of pages of progress and of jobs read so far.
     int pages_read() const;
 
 private:
     void read_states();
-    void take_states(ports::page_read page);
+    void apply_states(ports::page_read page);
     void follow();
-    bool ends_term(const std::vector<ports::stored_item>& items);
-    void take_items(const std::vector<ports::stored_item>& items);
-    void note_arrivals();
-    void note_finished();
-    void note_read(const std::string& id, std::int64_t accepted_unix_ms);
-    void take_item(const ports::stored_item& it, coordinator::task_events& out);
+    bool detect_successor(const std::vector<ports::stored_item>& items);
+    void apply_items(const std::vector<ports::stored_item>& items);
+    void record_arrivals();
+    void record_finished_jobs();
+    void record_added_job(const std::string& id, std::int64_t accepted_unix_ms);
+    void apply_item(const ports::stored_item& it, coordinator::task_events& out);
     std::optional<workflow::job> read_spec(const ports::stored_item& it, const std::string& id);
-    void tell_damage(const ports::stored_item& it, const std::string& reason);
+    void log_damaged_record(const ports::stored_item& it, const std::string& reason);
 
     term& term_;
-    core::mono_time began_;
-    std::map<std::string, ports::stored_item> states_; ///< by job, until the jobs are read
-    std::string states_after_; ///< last key of the pages of progress that were read
+    core::mono_time term_started_at_;
+    /// Stored progress by job id; emptied once the jobs are read.
+    std::map<std::string, ports::stored_item> states_;
+    std::string last_state_key_; ///< last key of the pages of progress read so far
     int state_pages_ = 0;
-    damage_notes damaged_;
-    std::vector<workflow::job> arrivals_; ///< taken in and not noted yet
+    damaged_record_log damaged_records_;
+    /// Jobs added to the fleet and not yet recorded as arrivals.
+    std::vector<workflow::job> arrivals_;
     std::unique_ptr<prefix_follower> follower_;
     std::function<void()> done_;
 };
--- a/libs/hosted/src/entry_desk.cpp
+++ b/libs/hosted/src/job_request_handler.cpp
@@ -1,7 +1,7 @@
-#include "hosted/entry_desk.hpp"
+#include "hosted/job_request_handler.hpp"
 
-#include "entry_state.hpp"
 #include "hosted/keys.hpp"
+#include "job_request_state.hpp"
 #include "store_answer.hpp"
 #include "workflow/records.hpp"
 
@@ -12,23 +12,25 @@
 
 using ports::kv_status;
 
-entry_desk::entry_desk(context c, entry_settings s) : state_(std::make_shared<entry_state>())
+job_request_handler::job_request_handler(context c, job_request_settings s)
+    : state_(std::make_shared<job_request_state>())
 {
     state_->ctx = std::move(c);
     state_->settings = s;
     auto& store = state_->ctx.store;
-    store = with_revisions_noted(store, state_->ctx.boot_now, state_->pending.revisions);
+    store = with_recorded_revisions(store, state_->ctx.boot_now, state_->pending.revisions);
 }
 
-entry_desk::~entry_desk() = default;
+job_request_handler::~job_request_handler() = default;
 
-void entry_desk::submit(
+void job_request_handler::submit(
     const workflow::job& spec, core::mono_time deadline, std::function<void(submit_outcome)> done)
 {
     auto w = std::make_shared<pending_write>();
     w->id = spec.id;
     w->deadline = deadline;
-    // A job that has ended leaves its state behind, so a repeat does not make it a new one.
+    // A job that has ended leaves its state in the store, so a repeated submission does not create
+    // the job again.
     w->change.conditions = {{job_key(spec.id), 0}, {state_key(spec.id), 0}};
     w->change.puts = {{job_key(spec.id), workflow::write_job(spec), 0}};
     w->done = [state = state_, id = spec.id, queue = spec.queue, done = std::move(done)](
@@ -37,7 +39,7 @@
         auto outcome = certain ? submit_outcome::not_accepted : submit_outcome::unknown;
         if (how == kv_status::ok || how == kv_status::conflict)
         {
-            outcome = submit_outcome::accepted; // a conflict: it was stored before
+            outcome = submit_outcome::accepted; // a conflict shows that the job was stored before
         }
         const char* const text = outcome == submit_outcome::accepted       ? "accepted"
                                  : outcome == submit_outcome::not_accepted ? "not_accepted"
@@ -46,13 +48,13 @@
             "submit", id, {{"queue", queue}, {"store", store_answer(how)}, {"outcome", text}});
         done(outcome);
     };
-    begin_write(state_, w);
+    start_write(state_, w);
 }
 
-void entry_desk::cancel(
+void job_request_handler::cancel(
     const std::string& id, core::mono_time deadline, std::function<void(cancel_outcome)> done)
 {
-    const auto found = [state = state_, id, deadline, done = std::move(done)](state_answer it)
+    const auto on_state = [state = state_, id, deadline, done = std::move(done)](state_answer it)
     {
         if (!it.known || !it.exists)
         {
@@ -85,18 +87,18 @@
                  : certain ? cancel_outcome::not_cancelled
                            : cancel_outcome::unknown);
         };
-        begin_write(state, w);
+        start_write(state, w);
     };
-    read_state(state_, id, deadline, found);
+    read_state(state_, id, deadline, on_state);
 }
 
-void entry_desk::tell_state(
+void job_request_handler::query_state(
     const std::string& id, core::mono_time deadline, std::function<void(state_answer)> done)
 {
     read_state(state_, id, deadline, std::move(done));
 }
 
-void entry_desk::count_pending(
+void job_request_handler::count_pending(
     const std::string& queue, core::mono_time deadline, std::function<void(pending_answer)> done)
 {
     hosted::count_pending(state_, queue, deadline, std::move(done));
--- a/libs/hosted/src/entry_read.cpp
+++ b/libs/hosted/src/job_request_read.cpp
@@ -1,5 +1,5 @@
-#include "entry_state.hpp"
 #include "hosted/keys.hpp"
+#include "job_request_state.hpp"
 #include "workflow/records.hpp"
 
 #include <utility>
@@ -14,7 +14,7 @@
 using ports::page_read;
 using state_callback = std::function<void(state_answer)>;
 
-void read_item(const std::shared_ptr<entry_state>& state,
+void read_item(const std::shared_ptr<job_request_state>& state,
     const std::string& key,
     core::mono_time deadline,
     const std::function<void(std::optional<item_read>)>& done)
@@ -27,21 +27,23 @@
         done);
 }
 
-/// \return what a stored state tells; not known when it is damaged.
-state_answer told_by(const entry_state& state, const std::string& id, const std::string& text)
+/// \return the answer given by a stored state; not known if the record is damaged.
+state_answer state_from(
+    const job_request_state& state, const std::string& id, const std::string& text)
 {
-    const auto found = workflow::read_progress_state(text);
-    if (core::is_ok(found))
+    const auto state_read = workflow::read_progress_state(text);
+    if (core::is_ok(state_read))
     {
-        return {true, true, core::value(found)};
+        return {true, true, core::value(state_read)};
     }
-    state.log("record_damaged", id, {{"reason", core::failure(found).message}});
+    state.log("record_damaged", id, {{"reason", core::failure(state_read).message}});
     return {};
 }
 
-/// Neither progress nor job: it does not exist, or it ended between the two readings, which removed
-/// the job and stored its state in one write. Only the state tells, read once more.
-void look_again(const std::shared_ptr<entry_state>& state,
+/// Reads the state record once more after neither progress nor a job record was found. Either the
+/// job does not exist, or it ended between the two reads: its job record was removed and its state
+/// stored in one write, so only the state record can tell.
+void read_state_again(const std::shared_ptr<job_request_state>& state,
     const std::string& id,
     core::mono_time deadline,
     const state_callback& done)
@@ -56,13 +58,13 @@
                 done({});
                 return;
             }
-            done(read->item ? told_by(*state, id, read->item->value)
+            done(read->item ? state_from(*state, id, read->item->value)
                             : state_answer{true, false, workflow::job_state::queued});
         });
 }
 
-/// \return what a job's record and its cancel tell.
-state_answer told_by(const std::string& id, const page_read& page)
+/// \return the answer given by a job's record and its cancel.
+state_answer state_from(const std::string& id, const page_read& page)
 {
     state_answer out{true, false, workflow::job_state::queued};
     for (const auto& it : page.items)
@@ -76,8 +78,9 @@
     return out;
 }
 
-/// No progress is stored: the job waits, was cancelled just now, or does not exist.
-void look_for_job(const std::shared_ptr<entry_state>& state,
+/// Reads the job record after no progress was found: the job is waiting, has just been cancelled,
+/// or does not exist.
+void read_job_record(const std::shared_ptr<job_request_state>& state,
     const std::string& id,
     core::mono_time deadline,
     const state_callback& done)
@@ -96,14 +99,14 @@
             }
             if (page->items.empty())
             {
-                look_again(state, id, deadline, done);
+                read_state_again(state, id, deadline, done);
                 return;
             }
-            done(told_by(id, *page));
+            done(state_from(id, *page));
         });
 }
 
-void look_for_state(const std::shared_ptr<entry_state>& state,
+void read_progress_record(const std::shared_ptr<job_request_state>& state,
     const std::string& id,
     core::mono_time deadline,
     const state_callback& done)
@@ -120,30 +123,30 @@
             }
             if (!read->item)
             {
-                look_for_job(state, id, deadline, done);
+                read_job_record(state, id, deadline, done);
                 return;
             }
-            done(told_by(*state, id, read->item->value));
+            done(state_from(*state, id, read->item->value));
         });
 }
 
 } // namespace
 
-void read_state(const std::shared_ptr<entry_state>& state,
+void read_state(const std::shared_ptr<job_request_state>& state,
     const std::string& id,
     core::mono_time deadline,
     state_callback done)
 {
-    const auto told = std::make_shared<bool>(false);
-    const auto tell = [told, done = std::move(done)](const state_answer& it)
+    const auto answered = std::make_shared<bool>(false);
+    const auto answer = [answered, done = std::move(done)](const state_answer& it)
     {
-        if (!std::exchange(*told, true))
+        if (!std::exchange(*answered, true))
         {
             done(it);
         }
     };
-    state->at_deadline(deadline, [tell] { tell({}); });
-    look_for_state(state, id, deadline, tell);
+    state->run_at_deadline(deadline, [answer] { answer({}); });
+    read_progress_record(state, id, deadline, answer);
 }
 
 } // namespace camphorhitch::hosted
--- a/libs/hosted/src/entry_state.hpp
+++ b/libs/hosted/src/job_request_state.hpp
@@ -1,9 +1,9 @@
 /// \file
-/// What the parts of the entry desk share: the ports, and how calls are repeated until the caller's
-/// time is up.
+/// State shared by the parts of the job request handler: the ports, and the repetition of calls
+/// until the caller's deadline.
 #pragma once
 
-#include "hosted/entry_desk.hpp"
+#include "hosted/job_request_handler.hpp"
 #include "pending_count.hpp"
 
 #include <functional>
@@ -14,20 +14,20 @@
 namespace camphorhitch::hosted
 {
 
-struct entry_state : std::enable_shared_from_this<entry_state>
+struct job_request_state : std::enable_shared_from_this<job_request_state>
 {
     context ctx;
-    entry_settings settings;
-    pending_view pending;
+    job_request_settings settings;
+    pending_count_cache pending;
 
-    /// \return whether a further try can still be answered in time.
+    /// \return whether another attempt can still be answered before the caller's deadline.
     bool has_time(core::mono_time deadline) const
     {
-        return ctx.time.now() + settings.retry_pause + settings.reply_margin < deadline;
+        return ctx.time.now() + settings.retry_delay + settings.reply_margin < deadline;
     }
 
-    /// Runs \p fn when the caller's answer is due, whatever call is still out.
-    void at_deadline(core::mono_time deadline, std::function<void()> fn)
+    /// Runs \p fn when the answer to the caller is due, even if a store call is still open.
+    void run_at_deadline(core::mono_time deadline, std::function<void()> fn)
     {
         const auto left = std::chrono::duration_cast<core::millis>(
             deadline - settings.reply_margin - ctx.time.now());
@@ -41,9 +41,9 @@
             });
     }
 
-    void again(std::function<void()> fn)
+    void run_after_retry_delay(std::function<void()> fn)
     {
-        ctx.time.after(settings.retry_pause,
+        ctx.time.after(settings.retry_delay,
             [weak = weak_from_this(), fn = std::move(fn)]
             {
                 if (weak.lock() != nullptr)
@@ -60,11 +60,11 @@
     }
 };
 
-/// Repeats a reading until the store answers it or the caller's time is up.
-/// \param call sends it once
-/// \param done gets the answer; nothing when there was none in time
+/// Repeats a read until the store answers it or the caller's deadline is reached.
+/// \param call sends the read once
+/// \param done receives the answer, or nullopt if there was none in time
 template <class Read>
-void read_until(const std::shared_ptr<entry_state>& state,
+void read_until(const std::shared_ptr<job_request_state>& state,
     core::mono_time deadline,
     const std::function<void(std::function<void(Read)>)>& call,
     const std::function<void(std::optional<Read>)>& done)
@@ -82,31 +82,31 @@
                 done(std::nullopt);
                 return;
             }
-            state->again([=] { read_until<Read>(state, deadline, call, done); });
+            state->run_after_retry_delay([=] { read_until<Read>(state, deadline, call, done); });
         });
 }
 
-/// One write that is repeated until its effect is certain, or the caller's time is up.
+/// A write that is repeated until its effect is certain or the caller's deadline is reached.
 struct pending_write
 {
     std::string id;
     ports::store_transaction change;
     core::mono_time deadline;
-    bool may_have_effect = false; ///< some try was not answered
+    bool may_have_effect = false; ///< true after an attempt that got no answer
     bool in_flight = false;
-    bool told = false; ///< the caller has its answer
+    bool answered = false; ///< the caller has received its answer
     int refusals = 0;
-    /// \p certain false: it may still take effect.
+    /// Receives the result. \p certain is false if the write may still take effect.
     std::function<void(ports::kv_status how, bool certain)> done;
 };
 
-/// Begins a write; a call may hang for longer than the caller waits, then the answer is that
-/// nothing is certain.
-void begin_write(
-    const std::shared_ptr<entry_state>& state, const std::shared_ptr<pending_write>& w);
+/// Starts a write. If a store call hangs beyond the caller's deadline, the result is reported as
+/// not certain.
+void start_write(
+    const std::shared_ptr<job_request_state>& state, const std::shared_ptr<pending_write>& w);
 
-/// Reads a job's state; the answer comes by the deadline, also when a call hangs.
-void read_state(const std::shared_ptr<entry_state>& state,
+/// Reads the state of a job. \p done is called by the deadline, even if a store call hangs.
+void read_state(const std::shared_ptr<job_request_state>& state,
     const std::string& id,
     core::mono_time deadline,
     std::function<void(state_answer)> done);
--- /dev/null
+++ b/libs/hosted/src/job_request_write.cpp
@@ -0,0 +1,94 @@
+#include "job_request_state.hpp"
+
+namespace camphorhitch::hosted
+{
+
+using ports::kv_status;
+
+namespace
+{
+
+bool is_refusal(kv_status s)
+{
+    return s == kv_status::unavailable || s == kv_status::rejected;
+}
+
+/// Refuses a write without sending it while the store is unresponsive. A write that is sent to such
+/// a store may take effect seconds later or never, and its caller learns neither, so the caller
+/// must not submit the request again. A write that was not sent certainly has no effect, and the
+/// caller may try again.
+/// \return whether the write was refused
+bool refuse_without_sending(const std::shared_ptr<job_request_state>& state, pending_write& w)
+{
+    if (w.may_have_effect || !is_store_unresponsive(state->ctx))
+    {
+        return false;
+    }
+    w.answered = true;
+    w.done(kv_status::unavailable, true);
+    return true;
+}
+
+/// Sends the write once. The change is idempotent because its keys are created only once. If an
+/// answer was lost, the repeat therefore shows whether the earlier attempt took effect: the repeat
+/// then fails with a conflict.
+void try_write(
+    const std::shared_ptr<job_request_state>& state, const std::shared_ptr<pending_write>& w)
+{
+    if (refuse_without_sending(state, *w))
+    {
+        return;
+    }
+    w->in_flight = true;
+    state->ctx.store.commit(w->change,
+        [state, w](const ports::commit_result& result)
+        {
+            w->in_flight = false;
+            if (w->answered)
+            {
+                return;
+            }
+            if (result.status == kv_status::ok || result.status == kv_status::conflict)
+            {
+                w->answered = true;
+                w->done(result.status, true);
+                return;
+            }
+            w->may_have_effect = w->may_have_effect || result.status == kv_status::unknown;
+            w->refusals += is_refusal(result.status) ? 1 : 0;
+            const bool give_up = !w->may_have_effect && w->refusals >= state->settings.max_refusals;
+            if (give_up || !state->has_time(w->deadline))
+            {
+                w->answered = true;
+                w->done(result.status, !w->may_have_effect);
+                return;
+            }
+            state->run_after_retry_delay(
+                [state, w]
+                {
+                    if (!w->answered)
+                    {
+                        try_write(state, w);
+                    }
+                });
+        });
+}
+
+} // namespace
+
+void start_write(
+    const std::shared_ptr<job_request_state>& state, const std::shared_ptr<pending_write>& w)
+{
+    state->run_at_deadline(w->deadline,
+        [w]
+        {
+            if (!w->answered)
+            {
+                w->answered = true;
+                w->done(kv_status::unknown, !w->may_have_effect && !w->in_flight);
+            }
+        });
+    try_write(state, w);
+}
+
+} // namespace camphorhitch::hosted
--- a/libs/hosted/src/leadership.cpp
+++ b/libs/hosted/src/leadership.cpp
@@ -10,66 +10,67 @@
 void leadership_state::schedule(core::millis delay, void (leadership_state::*next)())
 {
     ctx.time.cancel(timer);
-    due_at = ctx.boot_now() + delay;
+    timer_due_at = ctx.boot_now() + delay;
     timer = ctx.time.after(delay,
         guarded(
             [next](leadership_state& self)
             {
-                self.timer_late = self.ctx.boot_now() - self.due_at;
+                self.timer_delay = self.ctx.boot_now() - self.timer_due_at;
                 (self.*next)();
             }));
 }
 
-ports::log_fields leadership_state::pace_fields(core::mono_time now) const
+ports::log_fields leadership_state::renewal_delay_fields(core::mono_time now) const
 {
     const auto text = [](core::micros age)
     {
         return std::to_string(std::chrono::duration_cast<core::millis>(age).count());
     };
-    return {{"since_sent_ms", text(now - sent_at)},
-        {"since_answered_ms", text(now - answered_at)},
-        {"timer_late_ms", text(timer_late)}};
+    return {{"since_sent_ms", text(now - last_sent_at)},
+        {"since_answered_ms", text(now - last_renewed_at)},
+        {"timer_late_ms", text(timer_delay)}};
 }
 
-/// Tells of a renewal that is sent or answered so late that one more such delay ends the lease.
-void leadership_state::judge_pace(const char* step, core::mono_time now)
+/// Logs a renewal that is sent or answered so late that one more such delay would end the lease.
+void leadership_state::log_late_renewal(const char* step, core::mono_time now)
 {
-    if (now - answered_at <= settings.lease / 2)
+    if (now - last_renewed_at <= settings.lease / 2)
     {
         return;
     }
-    auto fields = pace_fields(now);
+    auto fields = renewal_delay_fields(now);
     fields.insert(fields.begin(), {"step", step});
     ctx.tel.log(ports::log_level::warning, "renewal_late", std::move(fields));
 }
 
-void leadership_state::renew()
+void leadership_state::renew_lease()
 {
     if (token == 0)
     {
         return;
     }
     const auto sent = ctx.boot_now();
-    const auto patience = is_store_silent(ctx) ? settings.silent_patience : settings.patience;
-    if (sent >= valid_until + patience)
+    const auto renewal_timeout =
+        is_store_unresponsive(ctx) ? settings.unresponsive_store_timeout : settings.renewal_timeout;
+    if (sent >= lease_valid_until + renewal_timeout)
     {
-        lose("the lease was not renewed in time");
+        lose_leadership("the lease was not renewed in time");
         return;
     }
-    judge_pace("sent", sent);
-    oldest_at_renew =
-        std::max(oldest_at_renew, sent - valid_until + settings.lease - settings.margin);
-    sent_at = sent;
-    // Past valid_until nothing is ordered, but the lease may well stand: the answer that says so
-    // may lie unread on a node that got no processor time. An answer, or none for
-    // as long as two renewals take, ends the term.
+    log_late_renewal("sent", sent);
+    max_lease_age =
+        std::max(max_lease_age, sent - lease_valid_until + settings.lease - settings.lease_margin);
+    last_sent_at = sent;
+    // After lease_valid_until this node gives no orders, but the lease may still exist: the answer
+    // that confirms it may lie unread on a node that got no processor time. The term ends with an
+    // answer that says so, or without one after the time of nearly two renewals.
     ctx.store.keep_alive(lease,
         guarded([sent](leadership_state& self, const ports::kv_lease& got)
-            { self.take_renewal(got, sent); }));
-    schedule(settings.renew_every, &leadership_state::renew);
+            { self.handle_renewal(got, sent); }));
+    schedule(settings.renew_interval, &leadership_state::renew_lease);
 }
 
-void leadership_state::take_renewal(const ports::kv_lease& got, core::mono_time sent)
+void leadership_state::handle_renewal(const ports::kv_lease& got, core::mono_time sent)
 {
     if (token == 0)
     {
@@ -77,21 +78,24 @@
     }
     if (got.status == ports::kv_status::ok && got.ttl.count() > 0)
     {
-        judge_pace("answered", ctx.boot_now());
-        answered_at = ctx.boot_now();
-        // The store counts from the call's arrival, which was after its sending.
-        valid_until = std::max(valid_until, sent + settings.lease - settings.margin);
+        log_late_renewal("answered", ctx.boot_now());
+        last_renewed_at = ctx.boot_now();
+        // The store counts the lease from the arrival of the call, which was after its sending.
+        lease_valid_until =
+            std::max(lease_valid_until, sent + settings.lease - settings.lease_margin);
     }
     else if (got.status == ports::kv_status::ok)
     {
-        lose("the lease has ended at the store");
+        lose_leadership("the lease has ended at the store");
     }
-    // Any other end proves nothing; the next renewal is on its way, and valid_until stands.
+    // Any other result proves nothing: the next renewal is already scheduled, and lease_valid_until
+    // is unchanged.
 }
 
-/// \return whether the key was held until now. What the term's parts would still do, they ask
-/// holds() for.
-bool leadership_state::let_go(const std::string& reason)
+/// Releases the leadership without calling on_lost. The parts of the term check holds_lease()
+/// before each further action.
+/// \return whether this node was the coordinator until now
+bool leadership_state::release(const std::string& reason)
 {
     if (token == 0)
     {
@@ -101,7 +105,7 @@
     timer = 0;
     ports::log_fields fields{
         {"term", std::to_string(term)}, {"token", std::to_string(token)}, {"reason", reason}};
-    for (auto& it : pace_fields(ctx.boot_now()))
+    for (auto& it : renewal_delay_fields(ctx.boot_now()))
     {
         fields.push_back(std::move(it));
     }
@@ -109,48 +113,50 @@
     token = 0;
     if (lease != 0)
     {
-        // So that no key of ours stands in a successor's way.
+        // Ending the lease removes this node's key, which would otherwise delay a successor.
         ctx.store.end_lease(std::exchange(lease, 0), [](ports::kv_status) {});
     }
-    schedule(settings.retry, &leadership_state::judge);
+    schedule(settings.retry_delay, &leadership_state::evaluate);
     return true;
 }
 
-void leadership_state::lose(const std::string& reason)
+void leadership_state::lose_leadership(const std::string& reason)
 {
-    if (let_go(reason))
+    if (release(reason))
     {
         events.on_lost(reason);
     }
 }
 
-/// The lease is ended before the term's parts are, which on a slowed node with thousands of jobs
-/// takes as long as a successor's first second of work. Its call goes before all others, and the
-/// key goes with it; without an answer it ends by itself, since it is not renewed. A note that is
-/// lost is one hand-over less that others count.
+/// Ends the lease before the parts of the term, whose destruction takes as long as a successor's
+/// first second of work on a slowed node with thousands of jobs. The call that ends the lease is
+/// sent before all others and removes the key as well. If that call gets no answer, the lease
+/// expires by itself because it is no longer renewed. If the write of leader_slowed_key is lost,
+/// the other nodes count one handover less.
 void leadership_state::hand_over(const std::string& reason)
 {
-    if (!let_go("handed over: " + reason))
+    if (!release("handed over: " + reason))
     {
         return;
     }
-    slowed_until = ctx.boot_now() + settings.slowed_for;
+    bid_delayed_until = ctx.boot_now() + settings.handover_bid_delay_duration;
     ports::store_transaction note;
     note.puts = {{leader_slowed_key, ctx.member, 0}};
     ctx.store.commit(std::move(note), [](const ports::commit_result&) {});
-    constexpr core::millis calls_leave{1}; // in the turn of the loop between
+    constexpr core::millis calls_leave{
+        1}; // the calls are sent in the loop iteration before on_lost
     ctx.time.after(
         calls_leave, guarded([reason](leadership_state& self) { self.events.on_lost(reason); }));
 }
 
-int leadership_state::count_hand_overs()
+int leadership_state::count_recent_handovers()
 {
     const auto now = ctx.boot_now();
-    while (!hand_overs.empty() && now - hand_overs.front() > settings.hand_overs_count_for)
+    while (!handover_times.empty() && now - handover_times.front() > settings.handover_count_window)
     {
-        hand_overs.pop_front();
+        handover_times.pop_front();
     }
-    return static_cast<int>(hand_overs.size());
+    return static_cast<int>(handover_times.size());
 }
 
 leadership::leadership(context c, leadership_settings s, leadership_events e)
@@ -166,16 +172,16 @@
     auto* const raw = state_.get();
     events.on_all = [raw](const std::vector<ports::stored_item>& all)
     {
-        raw->see_all(all);
-        raw->judge();
+        raw->apply_all(all);
+        raw->evaluate();
     };
     events.on_changes = [raw](const std::vector<ports::stored_change>& changes)
     {
         for (const auto& c : changes)
         {
-            raw->see(c);
+            raw->apply_change(c);
         }
-        raw->judge();
+        raw->evaluate();
     };
     it.follower = std::make_unique<prefix_follower>(it.ctx, follow, std::move(events));
 }
@@ -191,9 +197,9 @@
     state_->follower->start();
 }
 
-bool leadership::holds() const
+bool leadership::holds_lease() const
 {
-    return state_->token != 0 && state_->ctx.boot_now() < state_->valid_until;
+    return state_->token != 0 && state_->ctx.boot_now() < state_->lease_valid_until;
 }
 
 ports::revision leadership::token() const
@@ -204,12 +210,12 @@
 std::string leadership::leader() const
 {
     const bool own = state_->leader == state_->ctx.member;
-    return own && !holds() ? std::string{} : state_->leader;
+    return own && !holds_lease() ? std::string{} : state_->leader;
 }
 
 void leadership::step_down(const std::string& reason)
 {
-    state_->lose(reason);
+    state_->lose_leadership(reason);
 }
 
 void leadership::resign(std::function<void()> done)
@@ -222,8 +228,8 @@
         it.ctx.time.post(std::move(done));
         return;
     }
-    it.lease = 0; // ended here, with an answer to wait for
-    it.lose("this node stops");
+    it.lease = 0; // released below with a callback instead of by lose_leadership()
+    it.lose_leadership("this node stops");
     it.ctx.store.end_lease(lease, [done = std::move(done)](ports::kv_status) { done(); });
 }
 
@@ -232,20 +238,20 @@
     state_->hand_over(reason);
 }
 
-int leadership::hand_overs()
+int leadership::recent_handovers()
 {
-    return state_->count_hand_overs();
+    return state_->count_recent_handovers();
 }
 
-core::millis leadership::take_lease_age()
+core::millis leadership::take_max_lease_age()
 {
-    const auto age = std::exchange(state_->oldest_at_renew, core::micros{0});
+    const auto age = std::exchange(state_->max_lease_age, core::micros{0});
     return std::chrono::duration_cast<core::millis>(age);
 }
 
-core::mono_time leadership::last_answer() const
+core::mono_time leadership::last_answer_at() const
 {
-    return state_->follower->last_answer();
+    return state_->follower->last_answer_at();
 }
 
 } // namespace camphorhitch::hosted
--- a/libs/hosted/src/leadership_state.hpp
+++ b/libs/hosted/src/leadership_state.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Inside of leadership: what it knows of the store's keys, its lease and its bids.
+/// Internal state of leadership: the store's keys, the lease and the bids of this node.
 #pragma once
 
 #include "hosted/leadership.hpp"
@@ -14,7 +14,7 @@
 namespace camphorhitch::hosted
 {
 
-/// Callbacks hold it by weak pointer: an answer may come after its end.
+/// Callbacks hold the state by weak pointer, because an answer may arrive after it is destroyed.
 struct leadership_state : std::enable_shared_from_this<leadership_state>
 {
     context ctx;
@@ -22,30 +22,33 @@
     leadership_events events;
     std::unique_ptr<prefix_follower> follower;
 
-    // What the store holds, as last seen.
+    // Contents of the store as last read.
     ports::revision leader_revision = 0;
     ports::revision term_revision = 0;
     std::int64_t term = -1;
-    std::int64_t term_bid = 0; ///< of the latest bid
-    std::string leader;        ///< its name
+    std::int64_t bid_term = 0; ///< term number in the latest bid
+    std::string leader;        ///< name of the coordinator
 
     ports::lease_id lease = 0;
-    ports::revision token = 0;   ///< 0: not the leader
-    core::mono_time valid_until; ///< by the boot clock
-    core::mono_time best_until;  ///< of a bid: what valid_until becomes
+    ports::revision token = 0; ///< fencing token; 0 while this node is not the coordinator
+    /// End of the time in which this node may give orders; by the boot clock.
+    core::mono_time lease_valid_until;
+    core::mono_time bid_valid_until; ///< lease_valid_until in case the open bid succeeds
     // How well the renewals keep up, for the log; by the boot clock.
-    core::mono_time sent_at;         ///< latest bid or renewal
-    core::mono_time answered_at;     ///< latest answer that renewed the lease
-    core::mono_time due_at;          ///< of the timer that is set
-    core::micros timer_late{0};      ///< of the timer that fired last
-    core::micros oldest_at_renew{0}; ///< age of the lease at a renewal, since it was last asked
+    core::mono_time last_sent_at;    ///< time of the latest bid or renewal
+    core::mono_time last_renewed_at; ///< time of the latest answer that renewed the lease
+    core::mono_time timer_due_at;    ///< when the timer that is set is due
+    core::micros timer_delay{0};     ///< how late the latest timer fired
+    core::micros max_lease_age{0};   ///< maximum age at a renewal since take_max_lease_age()
     bool bidding = false;
     bool resigned = false;
-    double tried_share = 0;                 ///< of a core, by the trial before the latest bid
-    core::mono_time slowed_until;           ///< this node handed the lead over
-    bool looked = false;                    ///< all keys were read once
-    ports::revision slowed_revision = 0;    ///< of the latest hand-over that was seen
-    std::deque<core::mono_time> hand_overs; ///< when they were seen; by the boot clock
+    double measured_share = 0; ///< share of a core, measured before the latest bid
+    /// Until then the bids of this node are delayed, because it handed leadership over.
+    core::mono_time bid_delayed_until;
+    bool initial_read_done = false;             ///< all leader keys were read once
+    ports::revision last_handover_revision = 0; ///< revision of the latest handover seen
+    /// Times at which recent handovers were seen; by the boot clock.
+    std::deque<core::mono_time> handover_times;
     ports::timer_id timer = 0;
 
     template <class Fn>
@@ -60,23 +63,23 @@
         };
     }
 
-    void see(const ports::stored_change& it);
-    void see_all(const std::vector<ports::stored_item>& items);
-    void judge();
+    void apply_change(const ports::stored_change& it);
+    void apply_all(const std::vector<ports::stored_item>& items);
+    void evaluate();
     void bid();
-    void take_lease(const ports::kv_lease& got);
+    void handle_lease_grant(const ports::kv_lease& got);
     void write_key();
-    void take_key(const ports::commit_result& result);
-    void bid_failed();
-    void renew();
-    void take_renewal(const ports::kv_lease& got, core::mono_time sent);
+    void handle_key_write(const ports::commit_result& result);
+    void handle_failed_bid();
+    void renew_lease();
+    void handle_renewal(const ports::kv_lease& got, core::mono_time sent);
     void schedule(core::millis delay, void (leadership_state::*next)());
-    bool let_go(const std::string& reason);
-    void lose(const std::string& reason);
+    bool release(const std::string& reason);
+    void lose_leadership(const std::string& reason);
     void hand_over(const std::string& reason);
-    int count_hand_overs();
-    void judge_pace(const char* step, core::mono_time now);
-    ports::log_fields pace_fields(core::mono_time now) const;
+    int count_recent_handovers();
+    void log_late_renewal(const char* step, core::mono_time now);
+    ports::log_fields renewal_delay_fields(core::mono_time now) const;
 };
 
 } // namespace camphorhitch::hosted
--- a/libs/hosted/src/lease_bridge.cpp
+++ b/libs/hosted/src/lease_bridge.cpp
@@ -39,7 +39,7 @@
 void lease_bridge::renew(const std::string& host)
 {
     const auto found = term_.fleet.hosts.find(host);
-    if (stopped_ || found == term_.fleet.hosts.end() || !term_.lead->holds())
+    if (stopped_ || found == term_.fleet.hosts.end() || !term_.lead->holds_lease())
     {
         return;
     }
--- a/libs/hosted/src/load_watch.cpp
+++ b/libs/hosted/src/load_watch.cpp
@@ -69,7 +69,7 @@
     const auto now = term_.now();
     term_.load.timer_delays.add(now, now - due_);
     overdue_ += now - due_;
-    pace_.see_timer(now, now - due_);
+    pace_.record_timer_delay(now, now - due_);
     probe_sockets(now);
     on_delay_(std::max(now - due_, sent_ ? now - *sent_ : core::micros{0}));
     if (now - reported_ >= report_every)
@@ -116,7 +116,7 @@
     m.timer_late = largest(term_.load.timer_delays);
     m.socket_late = largest(term_.load.socket_delays);
     m.overdue = std::chrono::round<core::millis>(std::exchange(overdue_, core::micros{0}));
-    m.lease_age = term_.lead->take_lease_age();
+    m.lease_age = term_.lead->take_max_lease_age();
     m.intake_age = std::chrono::duration_cast<core::millis>(now - term_.jobs_heard());
     if (term_.ctx.processor_time)
     {
--- a/libs/hosted/src/load_watch.hpp
+++ b/libs/hosted/src/load_watch.hpp
@@ -2,7 +2,7 @@
 /// Measures how late the loop is while this node coordinates, and reports its load once a second.
 #pragma once
 
-#include "pace_watch.hpp"
+#include "lag_monitor.hpp"
 #include "term.hpp"
 
 #include <optional>
@@ -38,7 +38,7 @@
     core::mono_time reported_;
     core::micros processor_{0}; ///< used until the latest report
     core::micros overdue_{0};   ///< since then
-    pace_watch pace_;
+    lag_monitor pace_;
 };
 
 } // namespace camphorhitch::hosted
--- a/libs/hosted/src/machine_desk.cpp
+++ b/libs/hosted/src/machine_desk.cpp
@@ -186,7 +186,7 @@
 
 void machine_desk::order(const coordinator::move_action& a)
 {
-    if (!term_.lead->holds())
+    if (!term_.lead->holds_lease())
     {
         // Not sent: it is ordered again once a renewal is answered.
         coordinator::task_events out;
--- a/libs/hosted/src/pending_count.cpp
+++ b/libs/hosted/src/pending_count.cpp
@@ -1,7 +1,7 @@
 #include "pending_count.hpp"
 
-#include "entry_state.hpp"
 #include "hosted/keys.hpp"
+#include "job_request_state.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -9,15 +9,15 @@
 namespace camphorhitch::hosted
 {
 
-/// One caller's question.
-struct pending_ask
+/// A caller's query.
+struct pending_query
 {
     std::string queue;
     core::mono_time deadline;
     std::function<void(pending_answer)> done;
-    const char* why = "record_unread"; ///< what keeps it from being known
-    ports::revision target = 0;        ///< the store's revision when the record was read for it
-    bool told = false;
+    const char* unknown_reason = "record_unread"; ///< why the count is not known so far
+    ports::revision target_revision = 0; ///< store revision when the record was read for this query
+    bool answered = false;
 };
 
 namespace
@@ -25,116 +25,122 @@
 
 using ports::kv_status;
 
-/// The age that the interface of callers allows a count.
-constexpr core::millis most_age{2000};
+/// Maximum age of a count that the callers' interface allows.
+constexpr core::millis max_count_age{2000};
 
-/// Jobs accepted beyond the record that are kept at once: what 1,000 a second come to in the 20 s
-/// that the store's history reaches back. Beyond it the count is not known.
-constexpr std::size_t most_added = 20000;
+/// Jobs accepted since the record that are cached at most: those of 20 s, the span of the store's
+/// change log, at 1,000 per second. With more jobs the count is not known.
+constexpr std::size_t max_added_jobs = 20000;
 
-/// Pauses after readings of the history that got no answer. Its pages have up to 1 MB: a slow node
-/// that asks again at once fails again, and 40 of them keep the store busy with pages that nobody
-/// takes in: 788 readings in vain in one run.
-constexpr core::millis first_pause{250};
-constexpr core::millis longest_pause{4000};
+/// Delays after a failed read of the change log, doubled with each failure. The pages have up to
+/// 1 MB: on a slow node an immediate retry fails again, and 40 such nodes keep the store busy with
+/// pages that are never received; one run had 788 reads in vain.
+constexpr core::millis initial_retry_delay{250};
+constexpr core::millis max_retry_delay{4000};
 
-using state_ref = std::shared_ptr<entry_state>;
-using ask_ref = std::shared_ptr<pending_ask>;
+using state_ref = std::shared_ptr<job_request_state>;
+using query_ref = std::shared_ptr<pending_query>;
 
 std::string ms_text(core::micros t)
 {
     return std::to_string(std::chrono::duration_cast<core::millis>(t).count());
 }
 
-void note_answer(
-    const entry_state& state, const pending_ask& ask, const char* how, ports::log_fields fields)
+void record_answer(const job_request_state& state,
+    const pending_query& query,
+    const char* how,
+    ports::log_fields fields)
 {
     state.ctx.tel.count("camphorhitch_pending_answers_total", {{"how", how}}, 1);
-    fields.insert(fields.begin(), {"queue", ask.queue});
+    fields.insert(fields.begin(), {"queue", query.queue});
     state.ctx.tel.log(ports::log_level::info, "pending_told", std::move(fields));
 }
 
-void refuse(const entry_state& state, pending_ask& ask)
+void refuse(const job_request_state& state, pending_query& query)
 {
-    if (!std::exchange(ask.told, true))
+    if (!std::exchange(query.answered, true))
     {
-        note_answer(state, ask, "unknown", {{"outcome", "unknown"}, {"why", ask.why}});
-        ask.done({});
+        record_answer(
+            state, query, "unknown", {{"outcome", "unknown"}, {"why", query.unknown_reason}});
+        query.done({});
     }
 }
 
-void refuse(const entry_state& state, pending_ask& ask, const char* why)
+void refuse(const job_request_state& state, pending_query& query, const char* unknown_reason)
 {
-    ask.why = why;
-    refuse(state, ask);
+    query.unknown_reason = unknown_reason;
+    refuse(state, query);
 }
 
-/// \return how long ago each job within \p through, and no other, was certainly accepted; nothing
-/// when that is longer than callers accept.
-std::optional<core::micros> age_of(const entry_state& state, ports::revision through)
+/// \return the age of store data up to \p through_revision: the time since a moment before which
+/// every accepted job is certainly within that revision. nullopt if that is longer than callers
+/// accept.
+std::optional<core::micros> age_of(const job_request_state& state, ports::revision through_revision)
 {
-    const auto covered = state.pending.revisions->covered_until(through);
+    const auto covered = state.pending.revisions->covered_until(through_revision);
     if (!covered)
     {
         return {};
     }
     const auto age = state.ctx.boot_now() - *covered;
-    return age <= most_age ? std::optional<core::micros>{age} : std::nullopt;
+    return age <= max_count_age ? std::optional<core::micros>{age} : std::nullopt;
 }
 
-void tell(const entry_state& state, pending_ask& ask, bool extended, core::micros age)
+void answer_query(
+    const job_request_state& state, pending_query& query, bool extended, core::micros age)
 {
-    const auto& view = state.pending;
-    const int added = extended ? view.tally.added(ask.queue) : 0;
-    const int jobs = view.tally.in_record(ask.queue) + added;
-    const auto through = extended ? view.tally.through() : view.tally.base_through();
-    ask.told = true;
+    const auto& cache = state.pending;
+    const int added_count = extended ? cache.tally.added_count(query.queue) : 0;
+    const int jobs = cache.tally.recorded_count(query.queue) + added_count;
+    const auto through_revision =
+        extended ? cache.tally.through_revision() : cache.tally.base_through_revision();
+    query.answered = true;
     const char* const how = extended ? "extended" : "record";
-    note_answer(state,
-        ask,
+    record_answer(state,
+        query,
         how,
         {{"outcome", "told"},
             {"how", how},
             {"jobs", std::to_string(jobs)},
-            {"added", std::to_string(added)},
+            {"added", std::to_string(added_count)},
             {"as_of_ms", ms_text(age)},
-            {"through", std::to_string(through)},
-            {"record_revision", std::to_string(view.record)},
-            {"store_revision", std::to_string(view.store)},
-            {"cached_ms", ms_text(state.ctx.boot_now() - *view.read_at)}});
-    ask.done({true, jobs});
+            {"through", std::to_string(through_revision)},
+            {"record_revision", std::to_string(cache.record_revision)},
+            {"store_revision", std::to_string(cache.latest_store_revision)},
+            {"cached_ms", ms_text(state.ctx.boot_now() - *cache.read_at)}});
+    query.done({true, jobs});
 }
 
-/// \return whether what is at hand was new enough, and the caller has it.
-bool tell_if_new(const entry_state& state, pending_ask& ask)
+/// \return whether the cached data was fresh enough, so that the query is answered.
+bool answer_if_fresh(const job_request_state& state, pending_query& query)
 {
     const auto& tally = state.pending.tally;
-    if (const auto age = age_of(state, tally.base_through()))
+    if (const auto age = age_of(state, tally.base_through_revision()))
     {
-        tell(state, ask, false, *age);
+        answer_query(state, query, false, *age);
         return true;
     }
-    if (const auto age = age_of(state, tally.through()))
+    if (const auto age = age_of(state, tally.through_revision()))
     {
-        tell(state, ask, true, *age);
+        answer_query(state, query, true, *age);
         return true;
     }
     return false;
 }
 
-/// \return why the count is not known; nullptr when the record is in.
-const char* take_record(entry_state& state, const ports::item_read& read)
+/// \return the reason why the count is not known; nullptr if the record was read.
+const char* apply_record(job_request_state& state, const ports::item_read& read)
 {
-    auto& view = state.pending;
-    view.read_at = state.ctx.boot_now();
-    view.store = read.store_revision;
+    auto& cache = state.pending;
+    cache.read_at = state.ctx.boot_now();
+    cache.latest_store_revision = read.store_revision;
     if (!read.item)
     {
         return "record_missing";
     }
-    if (read.item->modified <= view.record)
+    if (read.item->modified <= cache.record_revision)
     {
-        return nullptr; // it is known, or an answer that came late
+        return nullptr; // the record is cached already, or the answer is outdated
     }
     auto record = read_pending(read.item->value);
     if (!core::is_ok(record))
@@ -146,90 +152,96 @@
                 {"reason", core::failure(record).message}});
         return "record_damaged";
     }
-    view.record = read.item->modified;
-    view.tally.set_base(std::move(core::value(record)));
+    cache.record_revision = read.item->modified;
+    cache.tally.set_base(std::move(core::value(record)));
     return nullptr;
 }
 
-void read_record(const state_ref& state, const ask_ref& ask);
+void read_record(const state_ref& state, const query_ref& query);
 
-void try_again(const state_ref& state,
-    const ask_ref& ask,
-    void (*next)(const state_ref& state, const ask_ref& ask))
+void retry_later(const state_ref& state,
+    const query_ref& query,
+    void (*next)(const state_ref& state, const query_ref& query))
 {
-    if (!state->has_time(ask->deadline))
+    if (!state->has_time(query->deadline))
     {
-        refuse(*state, *ask);
+        refuse(*state, *query);
         return;
     }
-    state->again(
-        [state, ask, next]
+    state->run_after_retry_delay(
+        [state, query, next]
         {
-            if (!ask->told)
+            if (!query->answered)
             {
-                next(state, ask);
+                next(state, query);
             }
         });
 }
 
-void want_history(const state_ref& state, const ask_ref& ask);
+void request_change_log(const state_ref& state, const query_ref& query);
 
-/// Answers what can be answered now; the others go on waiting.
-void serve(const state_ref& state, const ask_ref& ask)
+/// Answers the query if the cached data allows it; otherwise the query continues to wait.
+void process_query(const state_ref& state, const query_ref& query)
 {
-    const auto& view = state->pending;
-    if (ask->told || tell_if_new(*state, *ask))
+    const auto& cache = state->pending;
+    if (query->answered || answer_if_fresh(*state, *query))
     {
         return;
     }
-    if (view.tally.through() >= ask->target)
+    if (cache.tally.through_revision() >= query->target_revision)
     {
-        ask->why = "store_slow"; // all calls took longer than a count may be old
-        try_again(state, ask, &read_record);
+        query->unknown_reason = "store_slow"; // every call took longer than max_count_age
+        retry_later(state, query, &read_record);
         return;
     }
-    want_history(state, ask);
+    request_change_log(state, query);
 }
 
-void take_failure(entry_state& state)
+void handle_failed_read(job_request_state& state)
 {
-    auto& view = state.pending;
-    constexpr int most_doublings = 4;
-    const auto pause = first_pause * (1 << std::min(view.failed_readings, most_doublings));
-    view.next_reading = state.ctx.boot_now() + std::min(pause, longest_pause);
-    ++view.failed_readings;
+    auto& cache = state.pending;
+    constexpr int max_doublings = 4;
+    const auto delay =
+        initial_retry_delay * (1 << std::min(cache.failed_change_log_reads, max_doublings));
+    cache.next_change_log_read_at = state.ctx.boot_now() + std::min(delay, max_retry_delay);
+    ++cache.failed_change_log_reads;
 }
 
-void take_history(const state_ref& state, ports::revision after, const ports::changes_read& read)
+void apply_change_log(
+    const state_ref& state, ports::revision after, const ports::changes_read& read)
 {
-    auto& view = state->pending;
-    view.reads_history = false;
-    const auto asks = std::exchange(view.asks, {});
+    auto& cache = state->pending;
+    cache.reading_change_log = false;
+    const auto waiting_queries = std::exchange(cache.waiting_queries, {});
     const char* lost = read.change_log_truncated ? "history_lost" : nullptr;
     if (lost == nullptr && read.status != kv_status::ok)
     {
-        take_failure(*state);
+        handle_failed_read(*state);
     }
     else if (lost == nullptr)
     {
-        view.failed_readings = 0;
-        // Without progress not at once: each reading costs the store the same again.
-        const bool moved = read.store_revision > after;
-        view.next_reading = state->ctx.boot_now() + (moved ? core::millis{0} : first_pause);
-        if (view.tally.through() >= after) // else the tally was begun anew meanwhile
+        cache.failed_change_log_reads = 0;
+        // Without progress the next read is delayed, because each read costs the store the same
+        // again.
+        const bool advanced = read.store_revision > after;
+        cache.next_change_log_read_at =
+            state->ctx.boot_now() + (advanced ? core::millis{0} : initial_retry_delay);
+        // Otherwise an older record has reset the tally meanwhile.
+        if (cache.tally.through_revision() >= after)
         {
-            view.tally.add_changes(read.changes, read.store_revision);
-            view.read_at = state->ctx.boot_now();
+            cache.tally.add_changes(read.changes, read.store_revision);
+            cache.read_at = state->ctx.boot_now();
         }
-        if (view.tally.size() > most_added)
+        if (cache.tally.size() > max_added_jobs)
         {
-            view.tally = {};
-            view.record = 0;
-            view.next_reading = state->ctx.boot_now() + longest_pause; // it would end so again
+            cache.tally = {};
+            cache.record_revision = 0;
+            // An immediate read would exceed the limit again.
+            cache.next_change_log_read_at = state->ctx.boot_now() + max_retry_delay;
             lost = "too_many_jobs";
         }
     }
-    for (const auto& it : asks)
+    for (const auto& it : waiting_queries)
     {
         if (lost != nullptr)
         {
@@ -237,100 +249,103 @@
         }
         else
         {
-            serve(state, it);
+            process_query(state, it);
         }
     }
 }
 
-void read_history(const state_ref& state)
+void read_change_log(const state_ref& state)
 {
-    auto& view = state->pending;
-    std::erase_if(view.asks, [](const ask_ref& it) { return it->told; });
-    if (view.asks.empty())
+    auto& cache = state->pending;
+    std::erase_if(cache.waiting_queries, [](const query_ref& it) { return it->answered; });
+    if (cache.waiting_queries.empty())
     {
-        view.reads_history = false;
+        cache.reading_change_log = false;
         return;
     }
-    const auto after = view.tally.through();
+    const auto after = cache.tally.through_revision();
     state->ctx.store.watch(job_prefix,
         after,
         core::millis{0},
-        [state, after](const ports::changes_read& read) { take_history(state, after, read); });
+        [state, after](const ports::changes_read& read) { apply_change_log(state, after, read); });
 }
 
-/// While nobody coordinates nothing starts, so the record and what was accepted since are exact.
-/// With a coordinating node that lags they are too high by what it started meanwhile. One reading
-/// at a time serves all who ask.
-void want_history(const state_ref& state, const ask_ref& ask)
+/// Registers a query for the next read of the change log. While there is no coordinator no task
+/// starts, so the sum of the record and of the jobs accepted since is exact. If the coordinator
+/// lags, the sum is too high by the jobs that it started meanwhile. One read at a time serves all
+/// waiting queries.
+void request_change_log(const state_ref& state, const query_ref& query)
 {
-    auto& view = state->pending;
-    ask->why = "history_unread";
-    view.asks.push_back(ask);
-    if (std::exchange(view.reads_history, true))
+    auto& cache = state->pending;
+    query->unknown_reason = "history_unread";
+    cache.waiting_queries.push_back(query);
+    if (std::exchange(cache.reading_change_log, true))
     {
         return;
     }
-    const auto pause = std::chrono::ceil<core::millis>(view.next_reading - state->ctx.boot_now());
-    if (pause <= core::millis{0})
+    const auto delay =
+        std::chrono::ceil<core::millis>(cache.next_change_log_read_at - state->ctx.boot_now());
+    if (delay <= core::millis{0})
     {
-        read_history(state);
+        read_change_log(state);
         return;
     }
-    state->ctx.time.after(pause,
+    state->ctx.time.after(delay,
         [weak = std::weak_ptr{state}]
         {
             if (const auto self = weak.lock())
             {
-                read_history(self);
+                read_change_log(self);
             }
         });
 }
 
-void read_record(const state_ref& state, const ask_ref& ask)
+void read_record(const state_ref& state, const query_ref& query)
 {
-    ask->why = "record_unread";
+    query->unknown_reason = "record_unread";
     state->ctx.store.get(pending_key,
         ports::read_freshness::newest,
-        [state, ask](const ports::item_read& read)
+        [state, query](const ports::item_read& read)
         {
-            if (ask->told)
+            if (query->answered)
             {
                 return;
             }
             if (read.status != kv_status::ok)
             {
-                try_again(state, ask, &read_record);
+                retry_later(state, query, &read_record);
                 return;
             }
-            if (const char* const why = take_record(*state, read))
+            if (const char* const unknown_reason = apply_record(*state, read))
             {
-                refuse(*state, *ask, why);
+                refuse(*state, *query, unknown_reason);
                 return;
             }
-            ask->target = read.store_revision;
-            serve(state, ask);
+            query->target_revision = read.store_revision;
+            process_query(state, query);
         });
 }
 
 } // namespace
 
-void count_pending(const std::shared_ptr<entry_state>& state,
+void count_pending(const std::shared_ptr<job_request_state>& state,
     const std::string& queue,
     core::mono_time deadline,
     std::function<void(pending_answer)> done)
 {
-    const auto ask = std::make_shared<pending_ask>();
-    ask->queue = queue;
-    ask->deadline = deadline;
-    ask->done = std::move(done);
+    const auto query = std::make_shared<pending_query>();
+    query->queue = queue;
+    query->deadline = deadline;
+    query->done = std::move(done);
     const auto& read_at = state->pending.read_at;
-    const bool at_hand = read_at && state->ctx.boot_now() - *read_at < state->settings.pending_age;
-    if (at_hand && tell_if_new(*state, *ask))
+    const bool is_cached =
+        read_at && state->ctx.boot_now() - *read_at < state->settings.cached_count_max_age;
+    if (is_cached && answer_if_fresh(*state, *query))
     {
         return;
     }
-    state->at_deadline(deadline, [state = state.get(), ask] { refuse(*state, *ask); });
-    read_record(state, ask);
+    state->run_at_deadline(deadline, [state = state.get(), query] { refuse(*state, *query); });
+    read_record(state, query);
 }
 
 } // namespace camphorhitch::hosted
--- a/libs/hosted/src/pending_count.hpp
+++ b/libs/hosted/src/pending_count.hpp
@@ -1,9 +1,10 @@
 /// \file
-/// Tells how many jobs wait, and never what is older than callers accept: from the record of the
-/// coordinating node where that is new enough, and else from it and the store's history since.
+/// Counts the waiting jobs of a queue, never from data older than callers accept. The count comes
+/// from the coordinator's record if that is fresh enough, and otherwise from the record and the
+/// store's change log since.
 #pragma once
 
-#include "hosted/entry_desk.hpp"
+#include "hosted/job_request_handler.hpp"
 #include "pending_tally.hpp"
 #include "revision_log.hpp"
 
@@ -16,24 +17,27 @@
 namespace camphorhitch::hosted
 {
 
-struct pending_ask;
+struct pending_query;
 
-/// What a node has read of the waiting jobs.
-struct pending_view
+/// Cached data from which a node counts the waiting jobs.
+struct pending_count_cache
 {
     std::shared_ptr<revision_log> revisions = std::make_shared<revision_log>();
     pending_tally tally;
-    ports::revision record = 0;             ///< last write of the tally's record; 0: there is none
-    ports::revision store = 0;              ///< the store's, told by the latest reading
-    std::optional<core::mono_time> read_at; ///< when it was last read, by the boot clock
-    std::vector<std::shared_ptr<pending_ask>> asks; ///< that wait for the history
-    bool reads_history = false;                     ///< or is about to
-    int failed_readings = 0;                        ///< of the history, in a row
-    core::mono_time next_reading;                   ///< of the history, by the boot clock
+    ports::revision record_revision = 0; ///< revision of the record in the tally; 0: there is none
+    ports::revision latest_store_revision = 0; ///< store revision returned by the latest read
+    std::optional<core::mono_time> read_at;    ///< time of the latest read, by the boot clock
+    /// Queries that wait for the change log.
+    std::vector<std::shared_ptr<pending_query>> waiting_queries;
+    bool reading_change_log = false; ///< a read of the change log is in progress or scheduled
+    int failed_change_log_reads = 0; ///< consecutive failed reads of the change log
+    /// Earliest time of the next read of the change log, by the boot clock.
+    core::mono_time next_change_log_read_at;
 };
 
-/// The answer comes by the deadline, also when a call hangs.
-void count_pending(const std::shared_ptr<entry_state>& state,
+/// Counts the waiting jobs of a queue. \p done is called by the deadline, even if a store call
+/// hangs.
+void count_pending(const std::shared_ptr<job_request_state>& state,
     const std::string& queue,
     core::mono_time deadline,
     std::function<void(pending_answer)> done);
--- a/libs/hosted/src/pending_record.cpp
+++ b/libs/hosted/src/pending_record.cpp
@@ -13,14 +13,14 @@
 
 using nlohmann::json;
 
-core::error damage(const std::string& what)
+core::error damaged(const std::string& what)
 {
     return {core::error_code::invalid, what};
 }
 
-/// \return the number; nothing when it is none from 0 to \p most.
+/// \return the number, or nullopt if it is not a whole number from 0 to \p most.
 template <class Whole>
-std::optional<Whole> whole_up_to(const json& from, Whole most)
+std::optional<Whole> whole_number_up_to(const json& from, Whole most)
 {
     const bool fits =
         from.is_number_unsigned() && from.get<std::uint64_t>() <= static_cast<std::uint64_t>(most);
@@ -31,7 +31,7 @@
 
 std::string write_pending(const pending_record& r)
 {
-    return json{{"through", r.through}, {"waiting", r.waiting}}.dump();
+    return json{{"through", r.through_revision}, {"waiting", r.waiting}}.dump();
 }
 
 core::result<pending_record> read_pending(const std::string& text)
@@ -39,27 +39,27 @@
     const auto from = json::parse(text, nullptr, false);
     if (!from.is_object() || !from.contains("through") || !from.contains("waiting"))
     {
-        return damage("no record of waiting jobs");
+        return damaged("not a record of waiting jobs: keys through and waiting expected");
     }
     pending_record out;
-    const auto through =
-        whole_up_to(from.at("through"), std::numeric_limits<ports::revision>::max());
-    if (!through || *through == 0)
+    const auto through_revision =
+        whole_number_up_to(from.at("through"), std::numeric_limits<ports::revision>::max());
+    if (!through_revision || *through_revision == 0)
     {
-        return damage("through is no revision");
+        return damaged("through is not a positive revision");
     }
-    out.through = *through;
+    out.through_revision = *through_revision;
     const auto& waiting = from.at("waiting");
     if (!waiting.is_object())
     {
-        return damage("waiting is no object");
+        return damaged("waiting is not an object");
     }
     for (const auto& [queue, it] : waiting.items())
     {
-        const auto n = whole_up_to(it, std::numeric_limits<int>::max());
+        const auto n = whole_number_up_to(it, std::numeric_limits<int>::max());
         if (!n)
         {
-            return damage("no count of jobs: " + queue);
+            return damaged("not a count of jobs for queue " + queue);
         }
         out.waiting[queue] = *n;
     }
--- a/libs/hosted/src/pending_record.hpp
+++ b/libs/hosted/src/pending_record.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// The record under pending_key: how many jobs wait, by queue, as the coordinating node counted.
+/// The record under pending_key: the number of waiting jobs by queue, as counted by the
+/// coordinator.
 #pragma once
 
 #include "core/result.hpp"
@@ -13,16 +14,17 @@
 
 struct pending_record
 {
-    /// Each job accepted up to this revision of the store was known when they were counted. Of all
-    /// clocks only the store's revisions mean the same to every node.
-    ports::revision through = 0;
-    std::map<std::string, int> waiting; ///< by queue; a queue that is left out has none
+    /// Store revision up to which every accepted job was included in the count. Revisions are used
+    /// because they mean the same on every node, unlike any clock.
+    ports::revision through_revision = 0;
+    /// Number of waiting jobs by queue; a queue without an entry has none.
+    std::map<std::string, int> waiting;
 };
 
 std::string write_pending(const pending_record& r);
 
-/// \return the record, or an error when any part of the text is none of it: what can't be read is
-/// not known, and never taken for no job.
+/// \return the record, or an error if any part of the text is not valid. A damaged count is
+/// reported as not known, never as zero jobs.
 core::result<pending_record> read_pending(const std::string& text);
 
 } // namespace camphorhitch::hosted
--- a/libs/hosted/src/pending_tally.cpp
+++ b/libs/hosted/src/pending_tally.cpp
@@ -11,14 +11,15 @@
 
 void pending_tally::set_base(pending_record r)
 {
-    if (r.through < base_.through)
+    if (r.through_revision < base_.through_revision)
     {
-        added_.clear(); // which jobs came between the two is forgotten
-        through_ = 0;
+        added_jobs_.clear(); // the jobs accepted between the two records are not known any more
+        through_revision_ = 0;
     }
     base_ = std::move(r);
-    std::erase_if(added_, [this](const auto& it) { return it.second.revision <= base_.through; });
-    through_ = std::max(through_, base_.through);
+    std::erase_if(added_jobs_,
+        [this](const auto& it) { return it.second.revision <= base_.through_revision; });
+    through_revision_ = std::max(through_revision_, base_.through_revision);
 }
 
 void pending_tally::add_changes(
@@ -26,8 +27,9 @@
 {
     for (const auto& it : changes)
     {
-        // An answer to another call may have brought it before, or the base holds it.
-        if (it.item.modified <= through_ || it.item.key == handover_key)
+        // The change may have been applied from the answer to another call, or the base record
+        // includes it.
+        if (it.item.modified <= through_revision_ || it.item.key == handover_key)
         {
             continue;
         }
@@ -39,44 +41,45 @@
         }
         if (cancels || it.removed)
         {
-            added_.erase(id);
+            added_jobs_.erase(id);
             continue;
         }
-        // One that can't be read is left alone by the coordinating node too.
+        // A job record that cannot be read does not count, because the coordinator skips it too.
         const auto spec = workflow::read_job(it.item.value);
         if (core::is_ok(spec) && !workflow::is_scheduled(core::value(spec)))
         {
-            added_[id] = {core::value(spec).queue, it.item.modified};
+            added_jobs_[id] = {core::value(spec).queue, it.item.modified};
         }
     }
-    through_ = std::max(through_, to);
+    through_revision_ = std::max(through_revision_, to);
 }
 
-ports::revision pending_tally::through() const
+ports::revision pending_tally::through_revision() const
 {
-    return through_;
+    return through_revision_;
 }
 
-ports::revision pending_tally::base_through() const
+ports::revision pending_tally::base_through_revision() const
 {
-    return base_.through;
+    return base_.through_revision;
 }
 
-int pending_tally::in_record(const std::string& queue) const
+int pending_tally::recorded_count(const std::string& queue) const
 {
     const auto found = base_.waiting.find(queue);
     return found == base_.waiting.end() ? 0 : found->second;
 }
 
-int pending_tally::added(const std::string& queue) const
+int pending_tally::added_count(const std::string& queue) const
 {
-    return static_cast<int>(std::count_if(
-        added_.begin(), added_.end(), [&](const auto& it) { return it.second.queue == queue; }));
+    return static_cast<int>(std::count_if(added_jobs_.begin(),
+        added_jobs_.end(),
+        [&](const auto& it) { return it.second.queue == queue; }));
 }
 
 std::size_t pending_tally::size() const
 {
-    return added_.size();
+    return added_jobs_.size();
 }
 
 } // namespace camphorhitch::hosted
--- a/libs/hosted/src/pending_tally.hpp
+++ b/libs/hosted/src/pending_tally.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// The counts of a record, and what the store's history tells of jobs accepted since.
+/// The counts of a pending record, combined with the jobs accepted since according to the store's
+/// change log.
 #pragma once
 
 #include "pending_record.hpp"
@@ -15,27 +16,29 @@
 class pending_tally
 {
 public:
-    /// Takes a record that was read for the base. Jobs that it has in its counts leave the tally;
-    /// what is known beyond it stays.
+    /// Replaces the base record. Jobs that are included in its counts are removed from the added
+    /// jobs; jobs accepted after it stay.
     void set_base(pending_record r);
 
-    /// Takes in what changed among the jobs after some revision up to through(), and up to \p to.
+    /// Applies the changes of jobs between a revision of at most through_revision() and revision \p
+    /// to.
     void add_changes(const std::vector<ports::stored_change>& changes, ports::revision to);
 
-    /// \return the store revision up to which accepted jobs are in the tally; 0: there is no base.
-    ports::revision through() const;
+    /// \return the store revision up to which accepted jobs are included; 0: there is no base
+    /// record.
+    ports::revision through_revision() const;
 
-    /// \return as through, of the record alone.
-    ports::revision base_through() const;
+    /// \return the store revision up to which accepted jobs are included in the base record.
+    ports::revision base_through_revision() const;
 
-    /// \return jobs of the queue that waited by the record.
-    int in_record(const std::string& queue) const;
+    /// \return the number of waiting jobs of the queue according to the base record.
+    int recorded_count(const std::string& queue) const;
 
-    /// \return jobs of the queue accepted since the record was counted and neither cancelled nor
-    /// ended. Which of them have begun is not known.
-    int added(const std::string& queue) const;
+    /// \return the number of jobs of the queue that were accepted after the base record was counted
+    /// and neither cancelled nor ended. Some of them may have started.
+    int added_count(const std::string& queue) const;
 
-    /// \return jobs that were accepted since, of all queues.
+    /// \return the number of jobs of all queues accepted after the base record was counted.
     std::size_t size() const;
 
 private:
@@ -46,8 +49,8 @@
     };
 
     pending_record base_;
-    ports::revision through_ = 0;
-    std::unordered_map<std::string, accepted_job> added_; ///< by id
+    ports::revision through_revision_ = 0;
+    std::unordered_map<std::string, accepted_job> added_jobs_; ///< accepted jobs by id
 };
 
 } // namespace camphorhitch::hosted
--- a/libs/hosted/src/prefix_follower.cpp
+++ b/libs/hosted/src/prefix_follower.cpp
@@ -5,45 +5,46 @@
 namespace camphorhitch::hosted
 {
 
-/// Callbacks hold it by weak pointer: an answer may come after the follower's end.
+/// Callbacks hold the state by weak pointer, because an answer may arrive after the follower is
+/// destroyed.
 struct follower_state : std::enable_shared_from_this<follower_state>
 {
     context ctx;
     follower_settings settings;
     follower_events events;
-    core::mono_time last_answer;
+    core::mono_time last_answer_at;
     ports::revision revision = 0;
-    ports::revision through = 0;
+    ports::revision through_revision = 0;
     std::vector<ports::stored_item> pages;
     int pages_read = 0;
     ports::timer_id timer = 0;
-    bool answering = true;
+    bool store_reachable = true;
 
-    void note_answer(bool ok, const char* call);
-    void later(core::millis delay, void (follower_state::*next)());
+    void record_answer(bool ok, const char* call);
+    void schedule(core::millis delay, void (follower_state::*next)());
     void read_all();
     void read_page();
-    void take_page(ports::page_read page);
+    void apply_page(ports::page_read page);
     void watch();
-    void take_changes(ports::changes_read read);
+    void apply_changes(ports::changes_read read);
 };
 
-void follower_state::note_answer(bool ok, const char* call)
+void follower_state::record_answer(bool ok, const char* call)
 {
     if (ok)
     {
-        last_answer = ctx.time.now();
+        last_answer_at = ctx.time.now();
     }
-    if (ok != answering)
+    if (ok != store_reachable)
     {
-        answering = ok;
+        store_reachable = ok;
         ctx.tel.log(ok ? ports::log_level::info : ports::log_level::warning,
             ok ? "store_regained" : "store_lost",
             {{"prefix", settings.prefix}, {"call", call}});
     }
 }
 
-void follower_state::later(core::millis delay, void (follower_state::*next)())
+void follower_state::schedule(core::millis delay, void (follower_state::*next)())
 {
     timer = ctx.time.after(delay,
         [weak = weak_from_this(), next]
@@ -73,27 +74,29 @@
         {
             if (const auto self = weak.lock())
             {
-                self->take_page(std::move(page));
+                self->apply_page(std::move(page));
             }
         });
 }
 
-void follower_state::take_page(ports::page_read page)
+void follower_state::apply_page(ports::page_read page)
 {
     const bool ok = page.status == ports::kv_status::ok;
-    note_answer(ok, "range");
+    record_answer(ok, "range");
     if (!ok)
     {
-        // Begun anew, a reading of many pages would never end where one call in a few fails. The
-        // pages before stay good, however old: the watch tells what has changed since the first.
-        later(settings.retry, &follower_state::read_page);
+        // The read continues with the failed page. If it started over, a read of many pages would
+        // never finish where one call in a few fails. The pages read before remain usable, however
+        // old they are: the watch reports what has changed since the first one.
+        schedule(settings.retry_delay, &follower_state::read_page);
         return;
     }
     if (revision == 0)
     {
-        // Pages are read one after the other, and are no snapshot. Watching from the first one's
-        // revision brings every change made meanwhile once more, which does no harm; the last one's
-        // could miss some. If that history is gone by then, the watch says so: all is read anew.
+        // The pages are read one after the other and are not a snapshot. Watching from the revision
+        // of the first page returns every change made meanwhile a second time, which is harmless;
+        // watching from the revision of the last page could miss changes. If the change log no
+        // longer covers the first revision by then, the watch says so and all keys are read again.
         revision = page.store_revision;
     }
     ++pages_read;
@@ -103,7 +106,8 @@
         read_page();
         return;
     }
-    through = std::max(through, revision); // the events may ask for it
+    // Set first because the event handlers may read it.
+    through_revision = std::max(through_revision, revision);
     events.on_all(std::exchange(pages, {}));
     watch();
 }
@@ -112,21 +116,21 @@
 {
     ctx.store.watch(settings.prefix,
         revision,
-        settings.wait,
+        settings.max_wait,
         [weak = weak_from_this()](ports::changes_read read)
         {
             if (const auto self = weak.lock())
             {
-                self->take_changes(std::move(read));
+                self->apply_changes(std::move(read));
             }
         });
 }
 
-void follower_state::take_changes(ports::changes_read read)
+void follower_state::apply_changes(ports::changes_read read)
 {
     if (read.change_log_truncated)
     {
-        note_answer(true, "watch");
+        record_answer(true, "watch");
         ctx.tel.log(ports::log_level::info,
             "history_lost",
             {{"prefix", settings.prefix}, {"revision", std::to_string(revision)}});
@@ -134,19 +138,19 @@
         return;
     }
     const bool ok = read.status == ports::kv_status::ok;
-    note_answer(ok, "watch");
+    record_answer(ok, "watch");
     if (!ok)
     {
-        later(settings.retry, &follower_state::watch);
+        schedule(settings.retry_delay, &follower_state::watch);
         return;
     }
     revision = std::max(revision, read.store_revision);
-    through = std::max(through, revision);
+    through_revision = std::max(through_revision, revision);
     if (!read.changes.empty())
     {
         events.on_changes(std::move(read.changes));
     }
-    later(settings.pause, &follower_state::watch);
+    schedule(settings.watch_delay, &follower_state::watch);
 }
 
 prefix_follower::prefix_follower(context c, follower_settings s, follower_events e)
@@ -167,14 +171,14 @@
     state_->read_all();
 }
 
-core::mono_time prefix_follower::last_answer() const
+core::mono_time prefix_follower::last_answer_at() const
 {
-    return state_->last_answer;
+    return state_->last_answer_at;
 }
 
-ports::revision prefix_follower::through() const
+ports::revision prefix_follower::through_revision() const
 {
-    return state_->through;
+    return state_->through_revision;
 }
 
 int prefix_follower::pages_read() const
--- a/libs/hosted/src/progress_writer.cpp
+++ b/libs/hosted/src/progress_writer.cpp
@@ -15,10 +15,10 @@
 namespace
 {
 
-/// What a transaction takes: conditions, puts and removals together.
-constexpr std::size_t most_rows = 32;
-/// A condition, a put, and for a final job two removals.
-constexpr std::size_t most_rows_per_job = 4;
+/// Maximum rows of a transaction: conditions, puts and removals together.
+constexpr std::size_t max_rows = 32;
+/// A condition, a put, and two removals for a final job.
+constexpr std::size_t max_rows_per_job = 4;
 
 } // namespace
 
@@ -28,16 +28,17 @@
 
 void progress_writer::request()
 {
-    if (!requested_ && batches_out_ == 0)
+    if (!requested_ && batches_in_flight_ == 0)
     {
         requested_ = true;
-        term_.ctx.time.after(term_.settings.store_delay, term_.guarded([this] { begin(); }));
+        term_.ctx.time.after(term_.settings.store_delay, term_.guarded([this] { start_writes(); }));
     }
 }
 
 void progress_writer::request_if_due()
 {
-    // Also ends that changed no job: until they count as stored their hosts can't be taken down.
+    // Run ends that changed no job are included: until they are recorded as stored, their hosts
+    // cannot be taken down.
     const bool ends = std::any_of(term_.fleet.hosts.begin(),
         term_.fleet.hosts.end(),
         [](const auto& it) { return it.second.last_applied_end > it.second.last_stored_end; });
@@ -47,42 +48,42 @@
     }
 }
 
-void progress_writer::begin()
+void progress_writer::start_writes()
 {
     requested_ = false;
-    if (!term_.lead->holds())
+    if (!term_.lead->holds_lease())
     {
-        return; // what can't be recorded isn't acknowledged either; the successor reads it anew
+        return; // ends that are not stored are not acknowledged, so the successor reads them again
     }
     auto dirty = std::exchange(term_.fleet.dirty_jobs, {});
-    ends_.clear();
+    covered_ends_.clear();
     term_.load.ends.begin_store();
     for (const auto& [id, h] : term_.fleet.hosts)
     {
         if (h.last_applied_end > h.last_stored_end)
         {
-            ends_[id] = h.last_applied_end;
+            covered_ends_[id] = h.last_applied_end;
         }
     }
     all_stored_ = true;
     if (dirty.empty())
     {
-        end();
+        finish_writes();
         return;
     }
     std::vector<batch> batches;
     for (const auto& id : dirty)
     {
-        if (batches.empty() || batches.back().rows() + most_rows_per_job > most_rows)
+        if (batches.empty() || batches.back().rows() + max_rows_per_job > max_rows)
         {
             batches.emplace_back().change.conditions.push_back({leader_key, term_.token});
         }
         add_job(id, batches.back());
     }
-    batches_out_ = batches.size();
+    batches_in_flight_ = batches.size();
     for (auto& it : batches)
     {
-        send(std::move(it));
+        send_batch(std::move(it));
     }
 }
 
@@ -101,8 +102,9 @@
         j.ended_unix_ms = core::to_unix_ms(term_.ctx.time.wall_now());
     }
     to.jobs.push_back(id);
-    // Each job's own revision too: a write whose answer was lost may land seconds later, while
-    // this node still leads, and would put an old progress over a newer one.
+    // The revision of each job's state is a condition too: a write whose answer was lost may take
+    // effect seconds later, while this node is still the coordinator, and would overwrite newer
+    // progress with older.
     to.change.conditions.push_back({state_key(id), j.stored_revision});
     to.change.puts.push_back(
         {state_key(id), workflow::write_progress(j.spec, coordinator::progress_of(j)), 0});
@@ -113,25 +115,25 @@
     }
 }
 
-void progress_writer::send(batch b)
+void progress_writer::send_batch(batch b)
 {
     if (b.jobs.empty())
     {
-        batch_over(true, {});
+        finish_batch(true, {});
         return;
     }
     ++term_.load.counts.store_batches;
     auto change = b.change;
     term_.ctx.store.commit(std::move(change),
-        term_.guarded(
-            [this, b = std::move(b)](const ports::commit_result& result) { take(b, result); }));
+        term_.guarded([this, b = std::move(b)](const ports::commit_result& result)
+            { handle_result(b, result); }));
 }
 
-void progress_writer::take(const batch& b, const ports::commit_result& result)
+void progress_writer::handle_result(const batch& b, const ports::commit_result& result)
 {
     if (result.status == kv_status::conflict)
     {
-        take_conflict(b, result);
+        handle_conflict(b, result);
         return;
     }
     const bool ok = result.status == kv_status::ok;
@@ -141,20 +143,20 @@
         {
             if (const auto it = term_.fleet.jobs.find(id); it != term_.fleet.jobs.end())
             {
-                take_stored(*it->second, result.modified);
+                apply_stored(*it->second, result.modified);
             }
         }
     }
-    batch_over(ok, b.jobs);
+    finish_batch(ok, b.jobs);
 }
 
-void progress_writer::take_stored(coordinator::job_entry& j, ports::revision at)
+void progress_writer::apply_stored(coordinator::job_entry& j, ports::revision at)
 {
     j.stored_revision = at;
     if (j.losses_stored != j.losses_written)
     {
         j.losses_stored = j.losses_written;
-        term_.wake(); // tasks waited for it
+        term_.wake(); // tasks wait until their losses are stored
     }
     if (workflow::is_final(j.state) && !j.dirty)
     {
@@ -164,14 +166,14 @@
     coordinator::shrink_job(term_.fleet, j);
 }
 
-void progress_writer::take_conflict(const batch& b, const ports::commit_result& result)
+void progress_writer::handle_conflict(const batch& b, const ports::commit_result& result)
 {
     if (term_.lost_key(result))
     {
-        batch_over(false, b.jobs);
+        finish_batch(false, b.jobs);
         return;
     }
-    // Only this node writes these keys in this term: an earlier try of its own took effect.
+    // Only this node writes these keys in this term, so an earlier attempt of its own took effect.
     for (const auto& it : result.current)
     {
         if (it.key.starts_with(state_prefix))
@@ -183,10 +185,10 @@
             }
         }
     }
-    batch_over(false, b.jobs);
+    finish_batch(false, b.jobs);
 }
 
-void progress_writer::batch_over(bool stored, const std::vector<std::string>& jobs)
+void progress_writer::finish_batch(bool stored, const std::vector<std::string>& jobs)
 {
     if (!stored)
     {
@@ -201,18 +203,18 @@
             }
         }
     }
-    if (--batches_out_ == 0)
+    if (--batches_in_flight_ == 0)
     {
-        end();
+        finish_writes();
     }
 }
 
-void progress_writer::end()
+void progress_writer::finish_writes()
 {
     if (all_stored_)
     {
         term_.note_stored();
-        for (const auto& [id, n] : ends_)
+        for (const auto& [id, n] : covered_ends_)
         {
             if (const auto it = term_.fleet.hosts.find(id); it != term_.fleet.hosts.end())
             {
@@ -223,7 +225,7 @@
         return;
     }
     requested_ = true;
-    term_.ctx.time.after(term_.settings.store_retry, term_.guarded([this] { begin(); }));
+    term_.ctx.time.after(term_.settings.store_retry, term_.guarded([this] { start_writes(); }));
 }
 
 } // namespace camphorhitch::hosted
--- a/libs/hosted/src/progress_writer.hpp
+++ b/libs/hosted/src/progress_writer.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Stores the progress of jobs, and tells which ends may be acknowledged since.
+/// Stores the progress of jobs, and records which run ends may be acknowledged to their runners.
 #pragma once
 
 #include "term.hpp"
@@ -16,10 +16,10 @@
 public:
     explicit progress_writer(term& t);
 
-    /// Writes soon what has changed.
+    /// Schedules a write of the changed jobs.
     void request();
 
-    /// As request(), when there is anything to store or any end to be counted as stored.
+    /// Calls request() if there is progress to store or a run end to be recorded as stored.
     void request_if_due();
 
 private:
@@ -34,20 +34,21 @@
         }
     };
 
-    void begin();
+    void start_writes();
     void add_job(const std::string& id, batch& to);
-    void send(batch b);
-    void take(const batch& b, const ports::commit_result& result);
-    void take_stored(coordinator::job_entry& j, ports::revision at);
-    void take_conflict(const batch& b, const ports::commit_result& result);
-    void batch_over(bool stored, const std::vector<std::string>& jobs);
-    void end();
+    void send_batch(batch b);
+    void handle_result(const batch& b, const ports::commit_result& result);
+    void apply_stored(coordinator::job_entry& j, ports::revision at);
+    void handle_conflict(const batch& b, const ports::commit_result& result);
+    void finish_batch(bool stored, const std::vector<std::string>& jobs);
+    void finish_writes();
 
     term& term_;
     bool requested_ = false;
-    std::size_t batches_out_ = 0;
+    std::size_t batches_in_flight_ = 0;
     bool all_stored_ = true;
-    std::map<std::string, std::int64_t> ends_; ///< by host: taken in before the writes began
+    /// By host: last run end applied before the current writes started.
+    std::map<std::string, std::int64_t> covered_ends_;
 };
 
 } // namespace camphorhitch::hosted
--- a/libs/hosted/src/range_reader.cpp
+++ b/libs/hosted/src/range_reader.cpp
@@ -9,28 +9,28 @@
 void read_after(const context& c,
     const std::string& prefix,
     const std::string& after,
-    const std::function<void(const ports::stored_item&)>& take,
-    const std::function<void(bool whole)>& end)
+    const std::function<void(const ports::stored_item&)>& on_item,
+    const std::function<void(bool complete)>& on_end)
 {
     c.store.range(prefix,
         after,
-        [c, prefix, take, end](const ports::page_read& page)
+        [c, prefix, on_item, on_end](const ports::page_read& page)
         {
             if (page.status != ports::kv_status::ok)
             {
-                end(false);
+                on_end(false);
                 return;
             }
             for (const auto& it : page.items)
             {
-                take(it);
+                on_item(it);
             }
             if (page.more && !page.items.empty())
             {
-                read_after(c, prefix, page.items.back().key, take, end);
+                read_after(c, prefix, page.items.back().key, on_item, on_end);
                 return;
             }
-            end(true);
+            on_end(true);
         });
 }
 
@@ -38,10 +38,10 @@
 
 void read_range(const context& c,
     const std::string& prefix,
-    const std::function<void(const ports::stored_item&)>& take,
-    const std::function<void(bool whole)>& end)
+    const std::function<void(const ports::stored_item&)>& on_item,
+    const std::function<void(bool complete)>& on_end)
 {
-    read_after(c, prefix, {}, take, end);
+    read_after(c, prefix, {}, on_item, on_end);
 }
 
 } // namespace camphorhitch::hosted
--- a/libs/hosted/src/relay_registry.cpp
+++ b/libs/hosted/src/relay_registry.cpp
@@ -203,7 +203,7 @@
 {
     follower_settings s;
     s.prefix = relay_prefix;
-    s.pause = settings.follow_pause;
+    s.watch_delay = settings.follow_pause;
     follower_events events;
     events.on_all = [this](const std::vector<ports::stored_item>& all)
     {
--- a/libs/hosted/src/repeated_order.cpp
+++ b/libs/hosted/src/repeated_order.cpp
@@ -60,7 +60,7 @@
         t->guarded(
             [self = shared_from_this(), &t = *t, due]
             {
-                if (self->told || !t.lead->holds())
+                if (self->told || !t.lead->holds_lease())
                 {
                     return;
                 }
--- a/libs/hosted/src/revision_log.cpp
+++ b/libs/hosted/src/revision_log.cpp
@@ -8,42 +8,46 @@
 namespace
 {
 
-/// One sample is kept for each span: a busy node's thousands of calls a second tell no more.
-constexpr core::millis span{100};
-/// Samples kept, 3 s of them: somewhat more than the age that a caller accepts of a count.
-constexpr std::int64_t spans_kept = 30;
+/// Interval for which one sample is kept: the thousands of calls per second of a busy node give no
+/// further information.
+constexpr core::millis sample_interval{100};
+/// Number of intervals kept. They cover 3 s, somewhat more than the maximum age of a count that
+/// callers accept.
+constexpr std::int64_t max_intervals = 30;
 
-std::int64_t span_of(core::mono_time t)
+std::int64_t interval_of(core::mono_time t)
 {
-    return t.time_since_epoch() / span;
+    return t.time_since_epoch() / sample_interval;
 }
 
 } // namespace
 
-void revision_log::note(core::mono_time sent, ports::revision told)
+void revision_log::record(core::mono_time sent, ports::revision returned_revision)
 {
-    if (told <= 0)
+    if (returned_revision <= 0)
     {
-        return; // the answer named none
+        return; // the answer contains no revision
     }
-    const auto [place, added] = samples_.try_emplace(span_of(sent), sample{sent, told});
-    if (!added && told < place->second.told)
+    const auto [sample_entry, added] =
+        samples_.try_emplace(interval_of(sent), sample{sent, returned_revision});
+    if (!added && returned_revision < sample_entry->second.returned_revision)
     {
-        place->second = {sent, told};
+        sample_entry->second = {sent, returned_revision};
     }
     const auto newest = samples_.rbegin()->first;
-    samples_.erase(samples_.begin(), samples_.lower_bound(newest - spans_kept));
+    samples_.erase(samples_.begin(), samples_.lower_bound(newest - max_intervals));
 }
 
-std::optional<core::mono_time> revision_log::covered_until(ports::revision through) const
+std::optional<core::mono_time> revision_log::covered_until(ports::revision through_revision) const
 {
     const auto found = std::find_if(samples_.rbegin(),
         samples_.rend(),
-        [through](const auto& it) { return it.second.told <= through; });
+        [through_revision](const auto& it)
+        { return it.second.returned_revision <= through_revision; });
     return found == samples_.rend() ? std::nullopt : std::optional{found->second.sent};
 }
 
-ports::metadata_store with_revisions_noted(const ports::metadata_store& real,
+ports::metadata_store with_recorded_revisions(const ports::metadata_store& real,
     const std::function<core::mono_time()>& boot_now,
     const std::shared_ptr<revision_log>& log)
 {
@@ -59,7 +63,7 @@
             {
                 if (newest && read.status == ports::kv_status::ok)
                 {
-                    log->note(sent, read.store_revision);
+                    log->record(sent, read.store_revision);
                 }
                 done(std::move(read));
             });
@@ -74,7 +78,7 @@
             {
                 if (read.status == ports::kv_status::ok)
                 {
-                    log->note(sent, read.store_revision);
+                    log->record(sent, read.store_revision);
                 }
                 done(std::move(read));
             });
@@ -87,7 +91,7 @@
             {
                 if (result.status == ports::kv_status::ok)
                 {
-                    log->note(sent, result.modified);
+                    log->record(sent, result.modified);
                 }
                 done(std::move(result));
             });
--- a/libs/hosted/src/revision_log.hpp
+++ b/libs/hosted/src/revision_log.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// How far the store had come when: what this node's own calls have shown.
+/// Records which store revision this node's own calls have returned, and when the calls were sent.
 #pragma once
 
 #include "core/time.hpp"
@@ -14,32 +14,37 @@
 namespace camphorhitch::hosted
 {
 
-/// A call that sees every acknowledged write was sent, and its answer told the store's revision:
-/// every write acknowledged before the sending is within that revision. So the age of what was made
-/// from the store up to a revision is told by this node's clock alone. Answers that may be older
-/// than their call, as those of a cheap reading, must not be noted: they prove nothing.
+/// Bounds the age of store data using only this node's clock. If a call that sees every
+/// acknowledged write returns a store revision, every write acknowledged before the call was sent
+/// is within that revision. Answers that may be older than their call, such as those of a read
+/// without the newest freshness, must not be recorded, because they prove nothing.
 class revision_log
 {
 public:
-    /// \param sent by a clock that goes on while the machine is suspended
-    void note(core::mono_time sent, ports::revision told);
+    /// Records the answer of a call.
+    /// \param sent time at which the call was sent, by a clock that keeps running while the machine
+    /// is suspended
+    /// \param returned_revision store revision in the answer; 0 is ignored
+    void record(core::mono_time sent, ports::revision returned_revision);
 
-    /// \return a time before which every acknowledged write is within \p through; nothing when no
-    /// call of the last seconds shows one.
-    std::optional<core::mono_time> covered_until(ports::revision through) const;
+    /// \return a time such that every write acknowledged before it is within \p through_revision;
+    /// nullopt if no call of the last seconds shows one.
+    std::optional<core::mono_time> covered_until(ports::revision through_revision) const;
 
 private:
     struct sample
     {
         core::mono_time sent;
-        ports::revision told = 0;
+        ports::revision returned_revision = 0;
     };
 
-    std::map<std::int64_t, sample> samples_; ///< by the span of time in which it was sent
+    /// By the index of the interval in which the call was sent.
+    std::map<std::int64_t, sample> samples_;
 };
 
-/// \return \p real, whose newest readings and writes are noted in \p log.
-ports::metadata_store with_revisions_noted(const ports::metadata_store& real,
+/// \return \p real, with the revisions returned by its newest reads, range reads and writes
+/// recorded in \p log.
+ports::metadata_store with_recorded_revisions(const ports::metadata_store& real,
     const std::function<core::mono_time()>& boot_now,
     const std::shared_ptr<revision_log>& log);
 
--- a/libs/hosted/src/runner_desk.cpp
+++ b/libs/hosted/src/runner_desk.cpp
@@ -106,7 +106,7 @@
 
 void runner_desk::start(const coordinator::start_action& a)
 {
-    if (!term_.lead->holds())
+    if (!term_.lead->holds_lease())
     {
         // Asked for each order: the ones before it may have taken longer than the lease had left.
         take_start(a, {runner_verdict::not_sent, -1});
@@ -187,7 +187,7 @@
 
 void runner_desk::stop(const coordinator::stop_action& a)
 {
-    if (!term_.lead->holds())
+    if (!term_.lead->holds_lease())
     {
         take_stop(a, {runner_verdict::not_sent, -1});
         return;
@@ -208,7 +208,7 @@
 
 void runner_desk::stop_strays()
 {
-    if (!term_.lead->holds())
+    if (!term_.lead->holds_lease())
     {
         return; // they stay listed
     }
--- a/libs/hosted/src/runner_desk_polls.cpp
+++ b/libs/hosted/src/runner_desk_polls.cpp
@@ -96,7 +96,8 @@
 void runner_desk::poll(const std::string& host)
 {
     const auto found = term_.fleet.hosts.find(host);
-    if (found == term_.fleet.hosts.end() || !term_.lead->holds() || !needs_polls(found->second))
+    if (found == term_.fleet.hosts.end() || !term_.lead->holds_lease() ||
+        !needs_polls(found->second))
     {
         polling_.erase(host);
         return;
@@ -153,7 +154,7 @@
 void runner_desk::renew(const std::string& host, core::mono_time begun, core::mono_time due)
 {
     const auto found = term_.fleet.hosts.find(host);
-    if (!is_open(host, begun) || found == term_.fleet.hosts.end() || !term_.lead->holds())
+    if (!is_open(host, begun) || found == term_.fleet.hosts.end() || !term_.lead->holds_lease())
     {
         return;
     }
--- a/libs/hosted/src/runner_list.cpp
+++ b/libs/hosted/src/runner_list.cpp
@@ -30,8 +30,8 @@
 {
     follower_settings s;
     s.prefix = term_.spelling->runner_prefix;
-    s.pause = term_.settings.hosts_pause;
-    s.wait = term_.settings.hosts_wait;
+    s.watch_delay = term_.settings.hosts_pause;
+    s.max_wait = term_.settings.hosts_wait;
     follower_events events;
     events.on_all = [this](std::vector<ports::stored_item> all)
     {
@@ -136,7 +136,7 @@
     {
         return std::move(core::value(runner));
     }
-    if (is_news(damaged_, it))
+    if (should_log(damaged_, it))
     {
         term_.log(ports::log_level::error,
             "runner_entry_damaged",
--- a/libs/hosted/src/runner_list.hpp
+++ b/libs/hosted/src/runner_list.hpp
@@ -6,7 +6,7 @@
 /// or so with nothing new in them; such a write is told to nobody.
 #pragma once
 
-#include "damage_notes.hpp"
+#include "damaged_record_log.hpp"
 #include "hosted/prefix_follower.hpp"
 #include "term.hpp"
 
@@ -66,7 +66,7 @@
     std::function<void()> on_change_;
     std::map<std::string, entry> entries_; ///< by key
     std::set<std::string> pools_;
-    damage_notes damaged_;
+    damaged_record_log damaged_;
     std::unique_ptr<prefix_follower> follower_;
 };
 
--- a/libs/hosted/src/store_answer.hpp
+++ b/libs/hosted/src/store_answer.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// How the store's answers stand in lines.
+/// Names of the store's results in log lines.
 #pragma once
 
 #include "core/names.hpp"
@@ -18,7 +18,7 @@
     {ports::kv_status::rejected, "rejected"},
 }};
 
-/// \return the answer's word in a line.
+/// \return the name of the store's result in log lines.
 inline std::string store_answer(ports::kv_status s)
 {
     return std::string{core::name_of(store_answer_names, s)};
--- a/libs/hosted/src/term.hpp
+++ b/libs/hosted/src/term.hpp
@@ -30,7 +30,7 @@
     load_report load;
     std::function<void()> wake;                  ///< plan soon
     std::function<void()> store_soon;            ///< progress has changed
-    std::function<core::mono_time()> jobs_heard; ///< as job_reader::last_heard
+    std::function<core::mono_time()> jobs_heard; ///< as job_reader::last_job_answer_at
     std::function<void()> record_hosts;          ///< a runner has answered after a silence
     /// A job was accepted \p at, perhaps before this term.
     std::function<void(const workflow::job&, core::mono_time at)> on_job;
--- a/libs/hosted/src/wave_runner.cpp
+++ b/libs/hosted/src/wave_runner.cpp
@@ -104,7 +104,7 @@
         auto& w = place->second.wave;
         w.number = it.number;
         w.machines = it.machines;
-        w.most_at_once = it.most_at_once;
+        w.most_at_once = it.max_at_once;
         w.taken_at = term_.now();
         w.due = w.taken_at + it.duration;
         place->second.due_unix_ms =
@@ -113,7 +113,7 @@
             "wave_taken",
             {{"wave", std::to_string(it.number)},
                 {"machines", std::to_string(it.machines.size())},
-                {"at_once", std::to_string(it.most_at_once)},
+                {"at_once", std::to_string(it.max_at_once)},
                 {"duration_ms", std::to_string(it.duration.count())}});
         load(it.number);
     }
@@ -205,7 +205,7 @@
 
 void wave_runner::maintain(std::int64_t number, const std::string& machine)
 {
-    if (!term_.lead->holds())
+    if (!term_.lead->holds_lease())
     {
         // The term may go on once a renewal is answered; dropped, the machine's turn would never
         // come again.
--- a/libs/hosted/tests/broken_records_tests.cpp
+++ b/libs/hosted/tests/broken_records_tests.cpp
@@ -34,7 +34,7 @@
         return "runner/" + c.hosts.machines.at(machine).runner;
     }
 
-    /// \return how many log lines of all nodes hold both texts.
+    /// \return the number of log lines of all nodes that contain both texts.
     std::ptrdiff_t lines_with(const std::string& a, const std::string& b) const
     {
         std::ptrdiff_t n = 0;
@@ -55,9 +55,10 @@
     }
 };
 
-// Another writer leaves entries among the runners, before and behind the good ones. Jobs run on the
-// good ones, and each broken one is told once, though the list is read many times meanwhile.
-TEST(broken_records, broken_runner_entries_leave_the_others_in_use)
+// Another writer leaves damaged entries among the runners, sorted before and after the valid ones.
+// Jobs run on the valid runners, and each damaged entry is logged once, although the list is read
+// many times meanwhile.
+TEST(broken_records, damaged_runner_entries_leave_the_others_in_use)
 {
     int n = 0;
     for (const auto* const it : {"", "\xff\xfe", "{}", "p 10.0.0.1:80 weary", "p 10.0.0.1:80"})
@@ -77,9 +78,9 @@
     LONGS_EQUAL(2, lines_with("runner_entry_damaged", "key=runner/ "));
 }
 
-// The entry of a runner at work turns unreadable. Its task is not started elsewhere, since the
-// runner goes on with it under its lease; new work goes to the other runner.
-TEST(broken_records, a_known_runner_with_a_broken_entry_keeps_its_runs)
+// The entry of a busy runner becomes unreadable. Its task is not started elsewhere, because the
+// runner continues it under its lease; new work goes to the other runner.
+TEST(broken_records, a_known_runner_with_a_damaged_entry_keeps_its_runs)
 {
     c.hosts.behaviour.run_time = 8s;
     begin(2);
@@ -97,8 +98,9 @@
     check_all_done("b");
 }
 
-// The entry of a runner at work names another's address. Whoever lives there says that the runner
-// is not there; taken for proof, its task would run a second time beside the first.
+// The entry of a busy runner contains the address of another runner. The runner at that address
+// answers that the busy runner is not there. If the coordinator accepted this as evidence of the
+// busy runner's end, the task would run a second time beside the first.
 TEST(broken_records, another_address_in_a_known_runners_entry_proves_nothing)
 {
     c.hosts.behaviour.run_time = 4s;
@@ -111,7 +113,7 @@
     LONGS_EQUAL(1, lines_with("host_entry_odd", c.hosts.machines.at("m1").runner));
 }
 
-// An entry names a pool that no configuration knows. Nobody calls its address.
+// An entry names a pool that is in no configuration. No call goes to its address.
 TEST(broken_records, a_runner_of_an_unknown_pool_is_not_used)
 {
     c.hosts.add("x");
@@ -127,10 +129,10 @@
     LONGS_EQUAL(1, lines_with("host_added", odd));
 }
 
-// Records of jobs that cannot be read, or name steps that there are not, stand among good ones.
-// These run; each broken one is told once, also when the store has lost its history and all are
-// read anew.
-TEST(broken_records, broken_jobs_leave_the_others_running)
+// Job records that cannot be read, or that refer to steps that do not exist, are stored among valid
+// ones. The valid jobs run. Each damaged record is logged once per term, even if the store's change
+// log is truncated and all records are read again.
+TEST(broken_records, damaged_jobs_leave_the_others_running)
 {
     auto waits = c.make_job("w", 1);
     waits.steps[0].depends_on = {7};
@@ -156,14 +158,14 @@
     for (const auto* const key : {"job/0", "job/1", "job/2", "job/", "job/w", "job/v"})
     {
         const auto terms = lines_with("jobs_read", "");
-        const auto told = lines_with("record_damaged", std::string{"key="} + key + " ");
-        CHECK_TEXT(told >= 1 && told <= terms, key);
+        const auto damage_lines = lines_with("record_damaged", std::string{"key="} + key + " ");
+        CHECK_TEXT(damage_lines >= 1 && damage_lines <= terms, key);
     }
 }
 
-// The progress of an open job can't be read when a successor takes over. Which of its tasks are
-// done is not known, so none is started again; other jobs go on.
-TEST(broken_records, a_job_with_broken_progress_does_not_run_its_tasks_again)
+// The progress of an open job cannot be read at a takeover. It is not known which of its tasks are
+// done, so none is started again; other jobs continue.
+TEST(broken_records, a_job_with_damaged_progress_does_not_run_its_tasks_again)
 {
     const char* const texts[] = {"",
         "{",
@@ -187,9 +189,9 @@
     LONGS_EQUAL(2, c.hosts.starts);
 }
 
-// The count of terms turns unreadable. Were it to begin anew, the next coordinator's runs would
-// have lower numbers than those that runners have seen, and be refused for good.
-TEST(broken_records, a_broken_count_of_terms_does_not_begin_anew)
+// The term number becomes unreadable. If it restarted from zero, the next coordinator's runs would
+// have lower numbers than those that the runners have seen, and would be refused for good.
+TEST(broken_records, a_damaged_term_number_does_not_restart_from_zero)
 {
     begin(2);
     std::int64_t before = 0;
@@ -242,9 +244,9 @@
     }
 }
 
-// Mutated texts of the system's own records. Whatever comes out keeps to its bounds: no reader
-// throws, and a job that was read can be taken in.
-TEST(broken_records, readers_stand_mutated_texts)
+// Reads randomly mutated texts of the system's own records. The results stay within their bounds,
+// no reader throws, and a job that was read can be added to a fleet.
+TEST(broken_records, readers_withstand_mutated_texts)
 {
     auto j = c.make_job("a", 3, 2);
     j.timing = {2, 1700000000000, 500};
@@ -287,9 +289,9 @@
         }
         coordinator::demand e;
         coordinator::learnt k;
-        const auto through =
+        const auto through_revision =
             hosted::read_demand(m.mutate(demand), 20, e, k, core::mono_time{2s}, 1700000001000);
-        CHECK(through >= 0 && through <= 20);
+        CHECK(through_revision >= 0 && through_revision <= 20);
         for (const auto& [image, it] : k.images)
         {
             CHECK(it.mean_ms >= 0 && it.runs >= 0);
@@ -297,7 +299,7 @@
         const auto counts = hosted::read_pending(m.mutate(pending));
         if (core::is_ok(counts))
         {
-            CHECK(core::value(counts).through > 0);
+            CHECK(core::value(counts).through_revision > 0);
             for (const auto& [queue, n] : core::value(counts).waiting)
             {
                 CHECK(n >= 0);
--- a/libs/hosted/tests/config_follower_tests.cpp
+++ b/libs/hosted/tests/config_follower_tests.cpp
@@ -10,7 +10,7 @@
 {
     cluster c;
     hosted::formats formats;
-    std::vector<std::int64_t> versions; ///< as they came into force
+    std::vector<std::int64_t> versions; ///< in the order in which they came into force
     std::size_t waves = 0;
     std::unique_ptr<hosted::config_follower> follower;
 
@@ -61,7 +61,8 @@
     LONGS_EQUAL(5, follower->config()->version);
 }
 
-// Operators write a text that is no configuration. The one in force stays, and the log says why.
+// Operators write a text that is not a valid configuration. The configuration in force stays, and
+// the log contains the reason.
 TEST(config_follower, a_damaged_configuration_changes_nothing)
 {
     begin();
@@ -74,12 +75,12 @@
         [](const auto& it) { return it.find("config_damaged") != std::string::npos; }));
 }
 
-// The text stays damaged while the store forgets its history and all is read anew. It is told once;
-// written anew and damaged again, once more.
-TEST(config_follower, damage_is_told_once_for_each_writing)
+// The configuration stays damaged while the store's change log is truncated and all entries are
+// read again. It is logged once, and once more after it was written again and is still damaged.
+TEST(config_follower, damage_is_logged_once_per_write)
 {
     begin();
-    const auto told = [this]
+    const auto damage_lines = [this]
     {
         const auto& lines = c.nodes.front().log.lines;
         return std::count_if(lines.begin(),
@@ -97,14 +98,14 @@
         c.time.run_for(15s);
     }
     CHECK(c.nodes.front().log.has("history_lost"));
-    LONGS_EQUAL(1, told());
+    LONGS_EQUAL(1, damage_lines());
     put("operator/config", "{");
-    LONGS_EQUAL(2, told());
+    LONGS_EQUAL(2, damage_lines());
 }
 
-// Another writer's key holds a text with the number of a wave that is under way. It must not stand
-// in for that wave.
-TEST(config_follower, a_wave_under_another_key_is_none)
+// An entry of another writer contains the number of a wave that is in progress. It must not replace
+// that wave.
+TEST(config_follower, a_wave_under_another_key_is_ignored)
 {
     begin();
     put("operator/wave/12", "1");
@@ -115,8 +116,9 @@
     LONGS_EQUAL(1, waves);
 }
 
-// The store forgets its history while the follower waits. It reads all anew and misses nothing.
-TEST(config_follower, a_lost_history_loses_no_change)
+// The store's change log is truncated while the follower waits. The follower reads all entries
+// again and misses no change.
+TEST(config_follower, a_truncated_change_log_loses_no_change)
 {
     begin();
     put("operator/config", "2");
--- a/libs/hosted/tests/demand_record_tests.cpp
+++ b/libs/hosted/tests/demand_record_tests.cpp
@@ -7,8 +7,9 @@
 
 TEST_GROUP(demand_record){};
 
-// A successor has another monotonic clock; what it reads lies as long ago as it was.
-TEST(demand_record, it_comes_back_on_another_clock)
+// A successor has another monotonic clock; the times that it reads are as far in the past as they
+// were.
+TEST(demand_record, a_record_is_read_on_another_clock)
 {
     coordinator::demand d;
     coordinator::learnt l;
@@ -27,7 +28,7 @@
     DOUBLES_EQUAL(700, m.images["i"].mean_ms, 0.001);
 }
 
-TEST(demand_record, a_damaged_one_changes_nothing)
+TEST(demand_record, a_damaged_record_changes_nothing)
 {
     for (const char* text : {"",
              "{",
@@ -43,8 +44,8 @@
     }
 }
 
-// The owner before had a time of day seconds ahead. Its busy times lay in the past all the same:
-// one that is yet to come would count as just begun until then, and hold hosts for it.
+// The previous coordinator's wall clock was seconds ahead. Its busy periods are still read as times
+// in the past: one in the future would count as just begun until then, and hold hosts for it.
 TEST(demand_record, no_busy_time_begins_in_the_future)
 {
     coordinator::demand d;
@@ -60,14 +61,14 @@
     CHECK(e.history.front().at == later - 4s);
 }
 
-// A record of the version before names no revision, and a damaged one may name any: a later one
-// than its own would hide jobs from the demand for ever.
-TEST(demand_record, none_knows_jobs_later_than_itself)
+// A record of the previous version contains no revision, and a damaged one may contain any. A
+// revision later than the record's own would hide jobs from the demand for good.
+TEST(demand_record, no_record_includes_jobs_later_than_itself)
 {
     struct row
     {
         const char* through;
-        std::int64_t known;
+        std::int64_t expected;
     };
     const row rows[] = {
         {"", 20}, {R"(,"through":0)", 0}, {R"(,"through":17)", 17}, {R"(,"through":4000)", 20}};
@@ -78,6 +79,6 @@
         const auto text =
             std::string{R"({"at_unix_ms":1,"pools":{},"busy":[],"times":{})"} + it.through + "}";
         LONGS_EQUAL_TEXT(
-            it.known, hosted::read_demand(text, 20, d, l, core::mono_time{2s}, 5), it.through);
+            it.expected, hosted::read_demand(text, 20, d, l, core::mono_time{2s}, 5), it.through);
     }
 }
--- a/libs/hosted/tests/tidier_tests.cpp
+++ b/libs/hosted/tests/finished_job_cleaner_tests.cpp
@@ -6,7 +6,7 @@
 using namespace camphorhitch::hosted_fakes;
 using workflow::job_state;
 
-TEST_GROUP(tidier)
+TEST_GROUP(finished_job_cleaner)
 {
     cluster c;
 
@@ -32,7 +32,7 @@
     }
 };
 
-TEST(tidier, a_state_is_told_for_its_time_and_then_goes)
+TEST(finished_job_cleaner, a_state_is_kept_for_its_retention_time_and_then_removed)
 {
     begin();
     for (int i = 0; i < 30; ++i)
@@ -49,9 +49,9 @@
     STRCMP_EQUAL("", c.breaches().c_str());
 }
 
-// The coordinator dies between a job's end and the end of its state's time. Its successor knows of
-// such jobs from the store alone; were they left out, they would stay for ever.
-TEST(tidier, a_successor_removes_what_ended_before_it)
+// The coordinator dies between the end of a job and the end of its state's retention. Its successor
+// finds such jobs only in the store; if it left them out, their states would stay for good.
+TEST(finished_job_cleaner, a_successor_removes_what_ended_before_it)
 {
     begin();
     run_job("a");
@@ -63,9 +63,9 @@
     CHECK(!has_state("a"));
 }
 
-// A caller's cancel reaches the store just after its job's end was written, which removes cancels.
-// Left there, it would stay for ever, and cancel a job of the same id.
-TEST(tidier, a_cancel_after_the_end_is_removed)
+// A cancel is stored just after the job's end was written, which removes cancels. If it stayed, it
+// would remain for good and cancel a later job with the same id.
+TEST(finished_job_cleaner, a_cancel_after_the_end_is_removed)
 {
     begin();
     run_job("a");
@@ -75,9 +75,9 @@
     CHECK(has_state("a"));
 }
 
-// The store's answers to removals are lost. What is gone is not asked for again and again, and what
-// stands is removed in the end.
-TEST(tidier, lost_answers_end_well)
+// The store's answers to removals are lost. Removed states are not requested again and again, and
+// the remaining ones are removed in the end.
+TEST(finished_job_cleaner, removals_succeed_after_lost_answers)
 {
     begin();
     run_job("a");
--- a/libs/hosted/tests/lagging_owner_tests.cpp
+++ b/libs/hosted/tests/lagging_owner_tests.cpp
@@ -239,7 +239,7 @@
     stall = true;
     c.time.run_for(5s);
     CHECK(!stall);
-    CHECK(owner.lead->holds());
+    CHECK(owner.lead->holds_lease());
     CHECK(token == owner.lead->token());
 }
 
@@ -257,7 +257,7 @@
     const auto token = owner.lead->token();
     owner.cpu->stand_still(1500ms);
     c.time.run_for(1600ms);
-    CHECK(!owner.lead->holds());
+    CHECK(!owner.lead->holds_lease());
     CHECK(c.has_leader());
     CHECK(token != c.leader()->lead->token());
 }
--- a/libs/hosted/tests/log_lines.hpp
+++ b/libs/hosted/tests/log_lines.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What a node's lines say.
+/// Reads the log lines of a node in tests.
 #pragma once
 
 #include "hosted_fakes/cluster.hpp"
@@ -10,7 +10,7 @@
 namespace camphorhitch::hosted_fakes
 {
 
-/// \return the value of a key in a line; empty without the key.
+/// \return the value of a key in a log line; empty if the line has no such key.
 inline std::string value_in(const std::string& line, const std::string& key)
 {
     const auto at = line.find(" " + key + "=");
@@ -22,7 +22,7 @@
     return line.substr(from, line.find(' ', from) - from);
 }
 
-/// \return the value of a key in a line that has it, as a number.
+/// \return the value of a key, as a number, in a log line that contains the key.
 inline std::int64_t number_in(const std::string& line, const std::string& key)
 {
     return std::stoll(value_in(line, key));
--- a/libs/hosted/tests/pending_count_tests.cpp
+++ b/libs/hosted/tests/pending_count_tests.cpp
@@ -12,13 +12,13 @@
 TEST_GROUP(pending_count)
 {
     cluster c;
-    node* owner = nullptr;
-    node* other = nullptr; ///< a node that doesn't coordinate
+    node* leader_node = nullptr;
+    node* other = nullptr; ///< a node that is not the coordinator
     bool nobody_may_lead = false;
-    std::vector<std::string> accepted; ///< ids, by accept
-    int reads_of_counts = 0;           ///< calls of the store for them, since the test's last look
+    std::vector<std::string> accepted; ///< ids of the jobs stored by accept()
+    int count_reads = 0;               ///< store calls for counts since the test's last reset
 
-    /// Two nodes, of which one coordinates and has told that no job waits.
+    /// Starts two nodes. One is the coordinator and has stored that no job waits.
     void begin()
     {
         const auto more = c.plant;
@@ -37,13 +37,13 @@
             n.ctx.store.get = [this, real = n.ctx.store.get](
                                   const std::string& key, auto fresh, const auto& done)
             {
-                reads_of_counts += key == hosted::pending_key ? 1 : 0;
+                count_reads += key == hosted::pending_key ? 1 : 0;
                 real(key, fresh, done);
             };
             n.ctx.store.watch = [this, real = n.ctx.store.watch](
                                     const auto& prefix, auto after, core::millis wait, auto done)
             {
-                reads_of_counts += wait == 0ms ? 1 : 0;
+                count_reads += wait == 0ms ? 1 : 0;
                 real(prefix, after, wait, done);
             };
             if (more)
@@ -55,22 +55,22 @@
         c.add_node();
         CHECK(c.has_leader());
         c.time.run_for(1s);
-        owner = c.leader();
-        other = owner == &c.nodes.front() ? &c.nodes.back() : &c.nodes.front();
+        leader_node = c.leader();
+        other = leader_node == &c.nodes.front() ? &c.nodes.back() : &c.nodes.front();
         const auto none = count(*other);
         CHECK(none.known);
         LONGS_EQUAL(0, none.jobs);
     }
 
-    void lose_all_leaders()
+    void end_all_leadership()
     {
         nobody_may_lead = true;
-        owner->process.dead = true;
+        leader_node->process.dead = true;
         c.time.run_for(3s);
         CHECK(c.leader() == nullptr);
     }
 
-    /// Accepts jobs of one task each.
+    /// Stores jobs of one task each.
     void accept(int jobs, const std::string& prefix = "a")
     {
         for (int i = 0; i < jobs; ++i)
@@ -96,8 +96,8 @@
         LONGS_EQUAL(jobs, it.jobs);
     }
 
-    /// An answer that isn't known is a true one.
-    void check_tells(int jobs, const hosted::pending_answer& it)
+    /// An answer that says that the count is not known is correct too.
+    void check_is_or_unknown(int jobs, const hosted::pending_answer& it)
     {
         if (it.known)
         {
@@ -106,24 +106,24 @@
     }
 };
 
-// A caller hears that no job waits although two were accepted 8 s ago. The coordinating node died,
-// none follows it, and jobs are accepted all the same. Every node goes on telling the last record,
-// which says nothing of its age.
-TEST(pending_count, a_record_that_nobody_renews_is_not_told_for_ever)
+// The coordinator dies, no successor follows, and jobs are still accepted. The last record contains
+// no age: if every node continued to report it, a caller would be told that no job waits although
+// two were accepted 8 s ago.
+TEST(pending_count, a_record_that_is_not_renewed_expires)
 {
     begin();
-    lose_all_leaders();
+    end_all_leadership();
     accept(2);
     c.time.run_for(8s);
-    check_tells(2, count(*other));
+    check_is_or_unknown(2, count(*other));
 }
 
-// The coordinating node's watch of the jobs gets no answer for 7 s, and it leads on: its lease is
-// renewed by other calls. It writes a fresh record of an old view twice a second, and a caller
-// hears that none of the jobs accepted 6 s ago waits.
-TEST(pending_count, a_fresh_record_of_an_old_view_is_not_told)
+// The coordinator's watch of the jobs gets no answer for 7 s, while its lease is renewed by other
+// calls. The coordinator writes fresh records of an outdated view twice a second. A caller must not
+// be told that none of the jobs accepted 6 s ago waits.
+TEST(pending_count, a_fresh_record_of_an_outdated_view_is_not_reported)
 {
-    bool deaf = false;
+    bool watch_fails = false;
     c.plant = [&](node& n)
     {
         n.ctx.store.watch = [&, real = n.ctx.store.watch](
@@ -131,7 +131,7 @@
         {
             const auto take = [&, prefix, done](const ports::changes_read& read)
             {
-                const bool lost = deaf && &n == owner && prefix == hosted::job_prefix;
+                const bool lost = watch_fails && &n == leader_node && prefix == hosted::job_prefix;
                 if (!lost)
                 {
                     done(read);
@@ -143,15 +143,15 @@
         };
     };
     begin();
-    deaf = true;
+    watch_fails = true;
     accept(4);
     c.time.run_for(6s);
-    CHECK(owner == c.leader());
-    check_tells(4, count(*other));
+    CHECK(leader_node == c.leader());
+    check_is_or_unknown(4, count(*other));
 }
 
-// Starts are ordered and the runner never answers: nothing has begun. A caller hears of those jobs
-// alone that had no room, as if the ordered ones ran.
+// Starts are ordered and the runner never answers, so no task has started. A caller must not be
+// told of those jobs alone for which there was no capacity, as if the ordered ones were running.
 TEST(pending_count, a_job_whose_start_is_not_answered_still_waits)
 {
     c.plant = [](node& n)
@@ -171,12 +171,12 @@
     LONGS_EQUAL(12, it.jobs);
 }
 
-// The record is damaged, and a caller hears that no job waits: what could not be read was taken for
-// nothing.
-TEST(pending_count, a_damaged_record_is_not_known)
+// The record is damaged. A caller must not be told that no job waits: a count that cannot be read
+// is not zero.
+TEST(pending_count, a_damaged_record_gives_unknown)
 {
     begin();
-    lose_all_leaders();
+    end_all_leadership();
     for (const char* const text :
         {"", "{", "[]", "7", R"({"q":"x"})", R"({"q":-1})", R"({"through":9,"waiting":{"q":-1}})"})
     {
@@ -186,27 +186,28 @@
     }
 }
 
-// As before, with no record at all: no coordinating node has counted yet.
-TEST(pending_count, a_missing_record_is_not_known)
+// As before, without any record: no coordinator has counted yet.
+TEST(pending_count, a_missing_record_gives_unknown)
 {
     begin();
-    lose_all_leaders();
+    end_all_leadership();
     accept(2);
     c.store.remove(hosted::pending_key);
     c.time.run_for(1s);
     CHECK_FALSE(count(*other).known);
 }
 
-// A node's machine is suspended for 6 s, and asked just as it wakes. Its monotonic clock stood
-// still, so its own copy of the record seems milliseconds old, and it tells what it knew before.
-TEST(pending_count, a_copy_from_before_a_sleep_is_not_told)
+// The machine of a node is suspended for 6 s, and the node is queried when it resumes. Its
+// monotonic clock stood still, so its cached record seems milliseconds old. The node must not
+// report the count from before the suspension.
+TEST(pending_count, a_cached_record_from_before_a_suspension_is_not_reported)
 {
-    core::millis slept{0};
+    core::millis suspended_for{0};
     c.plant = [&](node& n)
     {
         n.ctx.time.now = [&]
         {
-            return c.time.now() - (&n == other ? slept : 0ms);
+            return c.time.now() - (&n == other ? suspended_for : 0ms);
         };
     };
     begin();
@@ -214,37 +215,37 @@
     other->process.paused = true;
     accept(2);
     c.time.run_for(6s);
-    slept = 6s;
+    suspended_for = 6s;
     c.time.resume(other->process);
-    check_tells(2, count(*other));
+    check_is_or_unknown(2, count(*other));
 }
 
-// The usual case: the record is new, and the node's own calls show that. It is told as it is, for
-// one call of the store, and then without any.
-TEST(pending_count, a_new_record_is_told_for_one_call)
+// The usual case: the record is fresh, as the node's own store calls show. The count is reported
+// after one store call, and then without any call.
+TEST(pending_count, a_fresh_record_needs_one_store_call)
 {
     begin();
     accept(3);
     c.time.run_for(1s);
-    reads_of_counts = 0;
+    count_reads = 0;
     check_is(3, count(*other));
     STRCMP_EQUAL("record", value_in(lines_of(*other, "pending_told").back(), "how").c_str());
     CHECK(number_in(lines_of(*other, "pending_told").back(), "as_of_ms") <= 2000);
-    LONGS_EQUAL(1, reads_of_counts);
-    reads_of_counts = 0;
+    LONGS_EQUAL(1, count_reads);
+    count_reads = 0;
     c.time.run_for(300ms);
     check_is(3, count(*other));
-    LONGS_EQUAL(0, reads_of_counts);
+    LONGS_EQUAL(0, count_reads);
 }
 
-// Nobody coordinates. A caller hears of the jobs in the last record and of those accepted since, of
-// its queue only; of none that was cancelled or has a time.
-TEST(pending_count, what_was_accepted_since_the_record_counts)
+// There is no coordinator. A caller is told of the jobs in the last record and of those accepted
+// since, of its own queue only, without cancelled jobs and jobs with a start time.
+TEST(pending_count, jobs_accepted_since_the_record_count)
 {
     begin();
     accept(3);
     c.time.run_for(1s);
-    lose_all_leaders();
+    end_all_leadership();
     accept(2, "b");
     auto j = c.make_job("other", 1);
     j.queue = "r";
@@ -267,12 +268,12 @@
     STRCMP_EQUAL("3", value_in(lines_of(*other, "pending_told").back(), "added").c_str());
 }
 
-// As before, and the store has dropped its history: what was accepted since the record can't be
-// known.
-TEST(pending_count, a_lost_history_is_not_known)
+// As before, and the store's change log is truncated: the jobs accepted since the record cannot be
+// determined.
+TEST(pending_count, a_truncated_change_log_gives_unknown)
 {
     begin();
-    lose_all_leaders();
+    end_all_leadership();
     accept(2);
     c.store.compact();
     c.time.run_for(1s);
@@ -280,9 +281,9 @@
     STRCMP_EQUAL("history_lost", value_in(lines_of(*other, "pending_told").back(), "why").c_str());
 }
 
-// The history takes longer to read than the caller waits. The answer comes in time, and says that
-// it is not known.
-TEST(pending_count, a_long_reading_of_the_history_ends_by_the_deadline)
+// Reading the change log takes longer than the caller waits. The answer is sent by the deadline and
+// says that the count is not known.
+TEST(pending_count, a_slow_change_log_read_ends_by_the_deadline)
 {
     bool slow = false;
     c.plant = [&](node& n)
@@ -295,18 +296,19 @@
         };
     };
     begin();
-    lose_all_leaders();
+    end_all_leadership();
     accept(2);
     slow = true;
-    const auto begun = c.time.now();
+    const auto started = c.time.now();
     CHECK_FALSE(count(*other).known);
-    CHECK(c.time.now() - begun <= 1s);
+    CHECK(c.time.now() - started <= 1s);
     STRCMP_EQUAL(
         "history_unread", value_in(lines_of(*other, "pending_told").back(), "why").c_str());
 }
 
-// The history comes in parts, the first without the newest jobs. A part is not told for the whole.
-TEST(pending_count, a_history_in_parts_is_read_to_its_end)
+// The change log is returned in parts, the first without the newest jobs. A part must not be
+// reported as the complete count.
+TEST(pending_count, a_change_log_in_parts_is_read_to_its_end)
 {
     c.plant = [](node& n)
     {
@@ -328,15 +330,15 @@
         };
     };
     begin();
-    lose_all_leaders();
+    end_all_leadership();
     accept(7);
     c.time.run_for(1s);
     check_is(7, count(*other));
 }
 
-// A count is 1.8 s old when it is told. Asked again while the store is away, the node has a copy
-// that it read 0.3 s ago, and that is older than callers accept.
-TEST(pending_count, an_own_copy_is_told_no_longer_than_it_is_true)
+// A count is 1.8 s old when it is reported. It is queried again while the store is down: the node's
+// copy was read 0.3 s ago, but the count in it is older than callers accept.
+TEST(pending_count, a_cached_count_is_not_reported_beyond_its_maximum_age)
 {
     begin();
     accept(2);
@@ -349,10 +351,10 @@
     CHECK_FALSE(count(*other).known);
 }
 
-// Jobs are read again whole, since the store has dropped its history, while new ones come. The
-// record goes on saying up to where its maker knew them: neither less than before, nor what it has
-// not read yet.
-TEST(pending_count, a_record_is_true_while_jobs_are_read_anew)
+// All jobs are read again because the store's change log was truncated, while new jobs are
+// accepted. The record continues to state the revision up to which the coordinator has the jobs:
+// neither a lower one than before, nor one that it has not read yet.
+TEST(pending_count, a_record_is_correct_while_jobs_are_read_again)
 {
     c.store.page_size = 2;
     bool slow = false;
@@ -376,31 +378,31 @@
         accept(1, "b" + std::to_string(i) + "x");
         c.time.run_for(100ms);
         const auto r = core::value(hosted::read_pending(c.store.find(hosted::pending_key)->value));
-        CHECK(r.through >= last);
-        last = r.through;
+        CHECK(r.through_revision >= last);
+        last = r.through_revision;
         const auto known = std::count_if(accepted.begin(),
             accepted.end(),
             [&](const auto& id)
-            { return c.store.find(hosted::job_key(id))->created <= r.through; });
+            { return c.store.find(hosted::job_key(id))->created <= r.through_revision; });
         LONGS_EQUAL(known, r.waiting.at("q"));
     }
-    CHECK(owner == c.leader());
+    CHECK(leader_node == c.leader());
 }
 
-// A node takes over, and dies before it has counted a second time. Its count is there all the same:
-// it was made as soon as the jobs were read.
+// A node takes over and may die before its second count. Its first count is stored as soon as the
+// jobs are read.
 TEST(pending_count, a_successor_counts_at_once)
 {
     begin();
     const auto before = c.store.find(hosted::pending_key)->modified;
-    owner->process.dead = true;
+    leader_node->process.dead = true;
     CHECK(c.time.run_until([&] { return other->log.has("jobs_read"); }, 5s));
     c.time.run_for(10ms);
     CHECK(c.store.find(hosted::pending_key)->modified > before);
 }
 
-// Nothing waits for minutes. The record is written anew all the same, so that the history that
-// readers add to it is short.
+// No job waits for minutes. The record is still renewed, so that the change log that readers add to
+// it stays short.
 TEST(pending_count, an_idle_record_is_renewed)
 {
     begin();
@@ -412,15 +414,16 @@
     }
 }
 
-// Nobody coordinates, jobs are many, and reading the history takes longer than a call may. Callers
-// ask on: were each of them to begin a reading of its own, at once and again, all nodes together
-// would keep the store from the successor that reads the jobs.
-TEST(pending_count, a_history_that_takes_too_long_is_read_seldom)
+// There is no coordinator, there are many jobs, and a read of the change log takes longer than a
+// call may. Callers continue to ask. If each query started a read of its own, and repeated it
+// immediately, all nodes together would keep the store too busy for the successor that reads the
+// jobs.
+TEST(pending_count, a_slow_change_log_is_read_rarely)
 {
     bool slow = false;
-    int readings = 0;
-    int out = 0;
-    int most_out = 0;
+    int reads = 0;
+    int in_flight = 0;
+    int max_in_flight = 0;
     c.plant = [&](node& n)
     {
         n.ctx.store.watch = [&, time = n.ctx.time, real = n.ctx.store.watch](
@@ -431,18 +434,18 @@
                 real(prefix, after, wait, done);
                 return;
             }
-            ++readings;
-            most_out = std::max(most_out, ++out);
+            ++reads;
+            max_in_flight = std::max(max_in_flight, ++in_flight);
             time.after(1200ms,
-                [&out, done]
+                [&in_flight, done]
                 {
-                    --out;
+                    --in_flight;
                     done({});
                 });
         };
     };
     begin();
-    lose_all_leaders();
+    end_all_leadership();
     accept(2);
     slow = true;
     int refused = 0;
@@ -453,8 +456,8 @@
             [&](const hosted::pending_answer& it) { refused += it.known ? 0 : 1; });
         c.time.run_for(100ms);
     }
-    LONGS_EQUAL(1, most_out);
-    CHECK(readings <= 8); // within 20 s
+    LONGS_EQUAL(1, max_in_flight);
+    CHECK(reads <= 8); // within 20 s
     c.time.run_for(3s);
     LONGS_EQUAL(200, refused);
     slow = false;
--- a/libs/hosted/tests/pending_tally_tests.cpp
+++ b/libs/hosted/tests/pending_tally_tests.cpp
@@ -55,9 +55,9 @@
     }
 };
 
-TEST(pending_tally, what_counts_as_accepted_since)
+TEST(pending_tally, jobs_counted_as_accepted_since_the_record)
 {
-    LONGS_EQUAL(100, t.through());
+    LONGS_EQUAL(100, t.through_revision());
     t.add_changes({accepted("a", 101),
                       accepted("b", 102),
                       accepted("timed", 103, 2),
@@ -69,51 +69,51 @@
                       removed(hosted::job_key("c"), 109),
                       change(hosted::cancel_key("inherited"), 110, "1")},
         112);
-    LONGS_EQUAL(2, t.added("q")); // a and d
-    LONGS_EQUAL(0, t.added("r"));
-    LONGS_EQUAL(3, t.in_record("q"));
-    LONGS_EQUAL(1, t.in_record("r"));
-    LONGS_EQUAL(0, t.in_record("s"));
-    LONGS_EQUAL(112, t.through());
-    LONGS_EQUAL(100, t.base_through());
+    LONGS_EQUAL(2, t.added_count("q")); // a and d
+    LONGS_EQUAL(0, t.added_count("r"));
+    LONGS_EQUAL(3, t.recorded_count("q"));
+    LONGS_EQUAL(1, t.recorded_count("r"));
+    LONGS_EQUAL(0, t.recorded_count("s"));
+    LONGS_EQUAL(112, t.through_revision());
+    LONGS_EQUAL(100, t.base_through_revision());
 }
 
-// Two callers ask at once, and the store's answers overlap or change places. No job counts twice,
-// and none that has ended comes back.
+// Two callers query at the same time, and the store's answers overlap or arrive out of order. No
+// job counts twice, and no ended job is counted again.
 TEST(pending_tally, overlapping_answers_count_once)
 {
     t.add_changes(
         {accepted("a", 101), accepted("b", 102), removed(hosted::job_key("a"), 103)}, 103);
     t.add_changes({accepted("a", 101), accepted("b", 102)}, 102);
-    LONGS_EQUAL(1, t.added("q"));
-    LONGS_EQUAL(103, t.through());
+    LONGS_EQUAL(1, t.added_count("q"));
+    LONGS_EQUAL(103, t.through_revision());
     t.add_changes(
         {accepted("b", 102), removed(hosted::job_key("a"), 103), accepted("c", 104)}, 104);
-    LONGS_EQUAL(2, t.added("q"));
+    LONGS_EQUAL(2, t.added_count("q"));
 }
 
-// A newer record has counted some of the jobs that were added: these leave, the others stay, and
-// the history between is not asked for again.
-TEST(pending_tally, a_newer_record_takes_its_jobs_over)
+// A newer record includes some of the added jobs: these are removed, the others stay, and the
+// change log in between is not read again.
+TEST(pending_tally, a_newer_record_absorbs_its_jobs)
 {
     t.add_changes({accepted("a", 101), accepted("b", 105)}, 110);
     t.set_base({103, {{"q", 4}}});
-    LONGS_EQUAL(4, t.in_record("q"));
-    LONGS_EQUAL(1, t.added("q"));
-    LONGS_EQUAL(110, t.through());
+    LONGS_EQUAL(4, t.recorded_count("q"));
+    LONGS_EQUAL(1, t.added_count("q"));
+    LONGS_EQUAL(110, t.through_revision());
     t.set_base({120, {{"q", 5}}});
-    LONGS_EQUAL(0, t.added("q"));
-    LONGS_EQUAL(120, t.through());
+    LONGS_EQUAL(0, t.added_count("q"));
+    LONGS_EQUAL(120, t.through_revision());
 }
 
-// A write of the record lands seconds late, over a newer one. What came between the two is not
-// known any more and has to be read anew.
-TEST(pending_tally, an_older_record_begins_anew)
+// A write of the record takes effect seconds late, over a newer record. The jobs accepted between
+// the two records are not known any more and have to be read again.
+TEST(pending_tally, an_older_record_resets_the_added_jobs)
 {
     t.add_changes({accepted("a", 101)}, 110);
     t.set_base({90, {{"q", 1}}});
-    LONGS_EQUAL(90, t.through());
-    LONGS_EQUAL(0, t.added("q"));
+    LONGS_EQUAL(90, t.through_revision());
+    LONGS_EQUAL(0, t.added_count("q"));
     t.add_changes({accepted("z", 95), accepted("a", 101)}, 110);
-    LONGS_EQUAL(2, t.added("q"));
+    LONGS_EQUAL(2, t.added_count("q"));
 }
