--- a/libs/hosted/tests/random_count_tests.cpp
+++ b/libs/hosted/tests/random_count_tests.cpp
@@ -13,21 +13,25 @@
 namespace
 {
 
-constexpr core::millis callers_accept{2000}; ///< the age that their interface allows a count
+constexpr core::millis max_count_age{
+    2000}; ///< maximum age of a count that the callers' interface allows
 
-/// Asks nodes how many jobs wait while everything fails, and checks each answer.
-struct counting_world
+/// Queries nodes for the number of waiting jobs during random faults, and checks each answer.
+struct pending_count_simulation
 {
     random_world w;
-    std::mt19937_64 random; ///< of its own: the faults stay those of the seed
-    std::map<std::string, core::mono_time> accepted;
-    std::map<std::string, core::mono_time> begun; ///< at the runners; noted within a step
-    std::string wrong;
-    int told = 0;
+    /// Separate from the fault generator, so that the faults depend on the seed only.
+    std::mt19937_64 random;
+    std::map<std::string, core::mono_time> accepted_at;
+    /// When tasks started at the runners, to within a step.
+    std::map<std::string, core::mono_time> started_at;
+    std::string violations;
+    int reported = 0;
     int refused = 0;
-    int exact = 0; ///< answers that are checked from above too
+    int exact = 0; ///< answers for which an upper bound is checked too
 
-    explicit counting_world(std::uint64_t seed, const std::function<void(cluster&)>& prepare = {})
+    explicit pending_count_simulation(
+        std::uint64_t seed, const std::function<void(cluster&)>& prepare = {})
         : w(seed, prepare), random(seed)
     {
         w.on_step = [this]
@@ -38,82 +42,81 @@
 
     void step()
     {
-        note_news();
+        record_events();
         auto n = w.c.nodes.begin();
         std::advance(n, static_cast<std::ptrdiff_t>(random() % w.c.nodes.size()));
         if (!n->process.dead && !n->process.paused)
         {
-            ask(*n, false);
+            query(*n, false);
         }
     }
 
-    void note_news()
+    void record_events()
     {
         for (const auto& id : w.jobs)
         {
-            accepted.try_emplace(id, w.c.time.now());
+            accepted_at.try_emplace(id, w.c.time.now());
         }
         for (const auto& id : w.c.hosts.begun)
         {
-            begun.try_emplace(id, w.c.time.now());
+            started_at.try_emplace(id, w.c.time.now());
         }
     }
 
-    /// \return jobs accepted before that have not begun.
-    int waiting_of(core::mono_time before) const
+    /// \return the number of jobs accepted before \p before that have not started.
+    int min_waiting(core::mono_time before) const
     {
-        return static_cast<int>(std::count_if(accepted.begin(),
-            accepted.end(),
+        return static_cast<int>(std::count_if(accepted_at.begin(),
+            accepted_at.end(),
             [&](const auto& it)
             { return it.second < before && !w.c.hosts.begun.contains(it.first); }));
     }
 
-    /// \return jobs that had not begun 2 s ago, and those accepted since.
-    int waiting_at_most() const
+    /// \return the number of jobs that had not started 2 s ago, including those accepted since.
+    int max_waiting() const
     {
-        const auto then = w.c.time.now() - callers_accept;
-        return static_cast<int>(std::count_if(accepted.begin(),
-            accepted.end(),
+        const auto then = w.c.time.now() - max_count_age;
+        return static_cast<int>(std::count_if(accepted_at.begin(),
+            accepted_at.end(),
             [&](const auto& it)
             {
-                const auto at = begun.find(it.first);
-                return at == begun.end() || at->second >= then;
+                const auto at = started_at.find(it.first);
+                return at == started_at.end() || at->second >= then;
             }));
     }
 
-    void ask(node& n, bool all_is_well)
+    void query(node& n, bool is_healed)
     {
         n.desk->count_pending("q",
             n.ctx.time.now() + 2s,
-            [this, &n, all_is_well](const hosted::pending_answer& it)
+            [this, &n, is_healed](const hosted::pending_answer& it)
             {
-                note_news();
+                record_events();
                 if (!it.known)
                 {
                     ++refused;
-                    wrong += all_is_well ? "\n" + n.ctx.member + " refuses" : "";
+                    violations += is_healed ? "\n" + n.ctx.member + " refuses" : "";
                     return;
                 }
-                ++told;
-                const auto least = waiting_of(w.c.time.now() - callers_accept);
-                const auto most =
-                    all_is_well ? waiting_at_most() : static_cast<int>(accepted.size());
-                exact += all_is_well ? 1 : 0;
+                ++reported;
+                const auto least = min_waiting(w.c.time.now() - max_count_age);
+                const auto most = is_healed ? max_waiting() : static_cast<int>(accepted_at.size());
+                exact += is_healed ? 1 : 0;
                 if (it.jobs < least || it.jobs > most)
                 {
-                    wrong += "\n" + std::to_string(w.c.time.passed_ms()) + " " + n.ctx.member +
-                             " tells " + std::to_string(it.jobs) + " of " + std::to_string(least) +
-                             " to " + std::to_string(most);
+                    violations += "\n" + std::to_string(w.c.time.passed_ms()) + " " + n.ctx.member +
+                                  " tells " + std::to_string(it.jobs) + " of " +
+                                  std::to_string(least) + " to " + std::to_string(most);
                 }
             });
     }
 
-    /// Plays the faults, heals, and goes on for a while.
+    /// Simulates the faults, removes them, and continues for a while.
     void play(int steps)
     {
         w.play(steps);
         w.heal();
-        w.c.time.run_for(15s); // leases lapse, runners are looked at
+        w.c.time.run_for(15s); // until leases expire and runners are polled again
         for (int i = 0; i < 40; ++i)
         {
             if (random() % 2 == 0)
@@ -121,12 +124,12 @@
                 w.add_job();
             }
             w.c.time.run_for(100ms);
-            note_news();
+            record_events();
             for (auto& n : w.c.nodes)
             {
                 if (!n.process.dead && !n.process.paused)
                 {
-                    ask(n, true);
+                    query(n, true);
                 }
             }
         }
@@ -138,39 +141,40 @@
 
 TEST_GROUP(random_count){};
 
-// Leaders die, stand still, lose the store or their key; answers are lost and writes land late. No
-// node ever tells fewer jobs than were accepted over 2 s ago and haven't begun: callers may be told
-// half of those of 5 s. Once all is well again, none tells of more than wait, and all tell.
+// Coordinators die, stall, or lose the store or their key; answers are lost and writes take effect
+// late. No node ever reports fewer jobs than were accepted more than 2 s ago and have not started.
+// Once the faults are removed, no node reports more jobs than wait, and every node reports a count.
 TEST(random_count, no_count_is_older_than_callers_accept)
 {
     constexpr std::uint64_t seeds = 12;
     constexpr int steps = 120;
-    int told = 0;
+    int reported = 0;
     int refused = 0;
     for_each_seed(seeds,
         [&](std::uint64_t seed)
         {
-            counting_world w(seed);
+            pending_count_simulation w(seed);
             w.play(steps);
             const auto about = "seed " + std::to_string(seed);
-            STRCMP_EQUAL_TEXT("", w.wrong.c_str(), about.c_str());
+            STRCMP_EQUAL_TEXT("", w.violations.c_str(), about.c_str());
             CHECK_TEXT(w.exact > 0, about.c_str());
-            told += w.told;
+            reported += w.reported;
             refused += w.refused;
         });
-    CHECK(told > refused);
+    CHECK(reported > refused);
     if (std::getenv("CAMPHORHITCH_SEEDS") != nullptr)
     {
-        UT_PRINT(StringFromFormat("counts told %d, refused %d", told, refused).asCharString());
+        UT_PRINT(StringFromFormat("counts told %d, refused %d", reported, refused).asCharString());
     }
 }
 
-// A reading that claims the store never moves on makes each record seem new: the check sees it.
-TEST(random_count, a_record_that_seems_always_new_is_seen)
+// With reads that claim that the store's revision never advances, each record seems fresh. The
+// check must detect that.
+TEST(random_count, a_record_that_always_seems_fresh_is_detected)
 {
-    constexpr std::uint64_t most_seeds = 20;
+    constexpr std::uint64_t max_seeds = 20;
     constexpr int steps = 120;
-    const auto still = [](cluster& c)
+    const auto freeze_revision = [](cluster& c)
     {
         c.plant = [](node& n)
         {
@@ -187,12 +191,12 @@
             };
         };
     };
-    bool seen = false;
-    for (std::uint64_t seed = 1; seed <= most_seeds && !seen; ++seed)
+    bool detected = false;
+    for (std::uint64_t seed = 1; seed <= max_seeds && !detected; ++seed)
     {
-        counting_world w(seed, still);
+        pending_count_simulation w(seed, freeze_revision);
         w.play(steps);
-        seen = !w.wrong.empty();
+        detected = !w.violations.empty();
     }
-    CHECK(seen);
+    CHECK(detected);
 }
--- a/libs/hosted/tests/revision_log_tests.cpp
+++ b/libs/hosted/tests/revision_log_tests.cpp
@@ -11,10 +11,10 @@
 
 constexpr core::mono_time start{1000s};
 
-/// \return milliseconds after the start; -1: nothing is covered.
-std::int64_t covered_ms(const hosted::revision_log& log, ports::revision through)
+/// \return the covered time in milliseconds after the start; -1 if nothing is covered.
+std::int64_t covered_ms(const hosted::revision_log& log, ports::revision through_revision)
 {
-    const auto it = log.covered_until(through);
+    const auto it = log.covered_until(through_revision);
     return it ? std::chrono::duration_cast<core::millis>(*it - start).count() : -1;
 }
 
@@ -27,57 +27,57 @@
 
 TEST(revision_log, the_newest_call_that_a_revision_covers)
 {
-    log.note(start, 10);
-    log.note(start + 200ms, 20);
-    log.note(start + 450ms, 20);
-    log.note(start + 700ms, 31);
+    log.record(start, 10);
+    log.record(start + 200ms, 20);
+    log.record(start + 450ms, 20);
+    log.record(start + 700ms, 31);
     struct row
     {
-        ports::revision through;
+        ports::revision through_revision;
         std::int64_t covered;
     };
     for (const auto& it :
         {row{9, -1}, row{10, 0}, row{19, 0}, row{20, 450}, row{30, 450}, row{31, 700}})
     {
-        LONGS_EQUAL(it.covered, covered_ms(log, it.through));
+        LONGS_EQUAL(it.covered, covered_ms(log, it.through_revision));
     }
 }
 
-// An answer comes late: what it shows is as old as its call. An answer without a revision shows
+// An answer arrives late: what it shows is as old as its call. An answer without a revision shows
 // nothing.
 TEST(revision_log, answers_in_any_order)
 {
-    log.note(start + 700ms, 31);
-    log.note(start, 10);
-    log.note(start + 900ms, 0);
+    log.record(start + 700ms, 31);
+    log.record(start, 10);
+    log.record(start + 900ms, 0);
     LONGS_EQUAL(0, covered_ms(log, 10));
     LONGS_EQUAL(700, covered_ms(log, 40));
     LONGS_EQUAL(-1, covered_ms(log, 0));
 }
 
-// A node that asks thousands of times a second keeps few samples, and each stays true.
-TEST(revision_log, many_calls_take_no_more_room_and_old_ones_go)
+// A node that makes thousands of calls per second keeps few samples, and each remains correct.
+TEST(revision_log, many_calls_keep_few_samples_and_old_ones_are_dropped)
 {
     for (int i = 0; i < 5000; ++i)
     {
-        log.note(start + core::millis{i}, 100 + i);
+        log.record(start + core::millis{i}, 100 + i);
     }
-    for (const int through : {5000, 4000, 3000})
+    for (const int through_revision : {5000, 4000, 3000})
     {
-        const auto covered = covered_ms(log, through);
-        CHECK(covered >= through - 100 - 100 && covered <= through - 100);
+        const auto covered = covered_ms(log, through_revision);
+        CHECK(covered >= through_revision - 100 - 100 && covered <= through_revision - 100);
     }
     LONGS_EQUAL(-1, covered_ms(log, 1000)); // 4 s old
 }
 
-// A reading that may be seconds old shows nothing of the store's newest revision.
-TEST(revision_log, only_calls_that_see_all_writes_are_noted)
+// A read that may be seconds old shows nothing about the store's newest revision.
+TEST(revision_log, only_calls_that_see_all_writes_are_recorded)
 {
     daemon_fakes::virtual_time time;
     daemon_fakes::process process;
     hosted_fakes::store kv{time};
     const auto seen = std::make_shared<hosted::revision_log>();
-    const auto store = hosted::with_revisions_noted(
+    const auto store = hosted::with_recorded_revisions(
         kv.port(process), [&] { return time.now(); }, seen);
     const auto covered = [&]
     {
@@ -87,7 +87,7 @@
     store.get("a", ports::read_freshness::any_recent, [](const ports::item_read&) {});
     CHECK_FALSE(covered());
     store.commit({{{"a", 7}}, {{"a", "x", 0}}, {}}, [](const ports::commit_result&) {});
-    CHECK_FALSE(covered()); // refused: its answer tells no revision
+    CHECK_FALSE(covered()); // refused: the answer contains no revision
     const auto sent = time.now();
     store.get("a", ports::read_freshness::newest, [](const ports::item_read&) {});
     CHECK(covered());
--- a/libs/hosted/tests/revoked_key_tests.cpp
+++ b/libs/hosted/tests/revoked_key_tests.cpp
@@ -9,43 +9,45 @@
 namespace
 {
 
-// The store takes the owner's key away, and the answers that would tell the owner so are lost: it
-// hears of it by its next watches. A cut between the zones leaves the first runner to the former
-// owner, and all others to its successor.
-struct revoked_world
+// The store removes the leader key, and the answers that would tell the coordinator are lost: the
+// coordinator learns of it from its next watches. A network cut between the zones leaves the first
+// runner reachable only from the previous coordinator, and all others only from its successor.
+struct revoked_key_simulation
 {
     cluster c;
-    node* former = nullptr;
-    core::millis watches_late{0}; ///< of the former owner, from now on
+    node* previous = nullptr;
+    /// Delay of the previous coordinator's watches, from the removal on.
+    core::millis watch_delay{0};
 
-    bool is_cut_off(const node& n, const ports::runner_ref& to) const
+    bool is_unreachable(const node& n, const ports::runner_ref& to) const
     {
         const bool first = to.address == c.hosts.machines.at("m1").address;
-        return former != nullptr && first != (&n == former);
+        return previous != nullptr && first != (&n == previous);
     }
 
-    template <class Call, class Silence>
-    void cut(node& n, Call& call, Silence silence)
+    template <class Call, class NoAnswer>
+    void cut(node& n, Call& call, NoAnswer no_answer)
     {
-        call = [this, &n, silence, real = call](const auto& to, const auto& order, const auto& done)
+        call = [this, &n, no_answer, real = call](
+                   const auto& to, const auto& order, const auto& done)
         {
-            if (is_cut_off(n, to))
+            if (is_unreachable(n, to))
             {
-                n.ctx.time.after(700ms, [done, silence] { done(silence); });
+                n.ctx.time.after(700ms, [done, no_answer] { done(no_answer); });
                 return;
             }
             real(to, order, done);
         };
     }
 
-    void plant()
+    void plant_faults()
     {
         c.plant = [this](node& n)
         {
-            const ports::runner_answer silence{ports::runner_verdict::unknown, -1};
-            cut(n, n.ctx.runners.start, silence);
-            cut(n, n.ctx.runners.stop, silence);
-            cut(n, n.ctx.runners.poll, ports::poll_answer{silence, {}, {}});
+            const ports::runner_answer no_answer{ports::runner_verdict::unknown, -1};
+            cut(n, n.ctx.runners.start, no_answer);
+            cut(n, n.ctx.runners.stop, no_answer);
+            cut(n, n.ctx.runners.poll, ports::poll_answer{no_answer, {}, {}});
             n.ctx.store.watch = [this, &n, real = n.ctx.store.watch](const std::string& prefix,
                                     auto after,
                                     auto wait,
@@ -56,17 +58,18 @@
                     wait,
                     [this, &n, done](const ports::changes_read& read)
                     {
-                        const auto late = &n == former ? watches_late : 0ms;
-                        n.ctx.time.after(late, [done, read] { done(read); });
+                        const auto delay = &n == previous ? watch_delay : 0ms;
+                        n.ctx.time.after(delay, [done, read] { done(read); });
                     });
             };
         };
     }
 
-    /// \return the promises that were broken when the key was taken away \p at into a job.
-    std::string play(core::millis at, core::millis late)
+    /// \return the guarantees that were broken if the key is removed \p at after a job's
+    /// submission.
+    std::string simulate(core::millis at, core::millis delay)
     {
-        plant();
+        plant_faults();
         c.hosts.behaviour.run_time = 10s;
         for (int i = 0; i < 3; ++i)
         {
@@ -79,8 +82,8 @@
         c.put_job(c.make_job_on_each("a", 2));
         c.time.run_for(at);
         LONGS_EQUAL(1, c.hosts.machines.at("m1").runs.size());
-        former = c.leader();
-        watches_late = late;
+        previous = c.leader();
+        watch_delay = delay;
         c.store.revoke(hosted::leader_key);
         c.time.run_for(15s);
         return c.breaches();
@@ -91,15 +94,15 @@
 
 TEST_GROUP(revoked_key){};
 
-// A former owner that goes on granting leases for longer than its successor reckons with: the task
-// on the runner that only the former reaches ran twice.
-TEST(revoked_key, a_former_owner_that_hears_late_of_its_end_grants_no_lease_unseen)
+// A previous coordinator must not grant leases for longer than its successor accounts for:
+// otherwise the task on the runner that only the previous coordinator reaches runs twice.
+TEST(revoked_key, a_previous_coordinator_that_learns_late_of_its_end_grants_no_uncounted_lease)
 {
     for (auto at = 500ms; at <= 1000ms; at += 50ms)
     {
-        for (const auto late : {900ms, 2400ms, 5000ms})
+        for (const auto delay : {900ms, 2400ms, 5000ms})
         {
-            STRCMP_EQUAL("", revoked_world().play(at, late).c_str());
+            STRCMP_EQUAL("", revoked_key_simulation().simulate(at, delay).c_str());
         }
     }
 }
--- a/libs/hosted/tests/take_over_tests.cpp
+++ b/libs/hosted/tests/take_over_tests.cpp
@@ -27,7 +27,7 @@
         c.time.run_for(1s);
     }
 
-    workflow::job lasting_job(const std::string& id, int tasks)
+    workflow::job long_running_job(const std::string& id, int tasks)
     {
         auto j = c.make_job(id, tasks);
         j.steps[0].long_running = true;
@@ -45,9 +45,9 @@
     STRCMP_EQUAL("", c.breaches().c_str());
 }
 
-// The coordinator's process dies amid the work. Callers see their jobs complete all the same: the
-// successor finds what runs on the runners, and starts nothing that runs or has ended.
-TEST(take_over, a_successor_goes_on_without_running_anything_twice)
+// The coordinator's process dies while jobs run. The jobs still complete: the successor finds the
+// runs on the runners, and starts nothing that is running or has ended.
+TEST(take_over, a_successor_continues_without_running_anything_twice)
 {
     begin(3, 2);
     for (int i = 0; i < 5; ++i)
@@ -64,8 +64,8 @@
     LONGS_EQUAL(30, c.hosts.starts);
 }
 
-// More jobs have stored progress than one page of a range holds. A successor that read the first
-// page again and again would never start anything: callers wait for ever.
+// More jobs have stored progress than fit into one page of a range read. A successor that read the
+// first page again and again would never start anything, and callers would wait indefinitely.
 TEST(take_over, progress_on_several_pages_is_read_whole)
 {
     c.store.page_size = 3;
@@ -85,9 +85,9 @@
     STRCMP_EQUAL("", c.breaches().c_str());
 }
 
-// The coordinator dies while a runner is cut off with a task that its lease still lets run. The
-// task may start elsewhere only once that lease has certainly ended; then it has to.
-TEST(take_over, a_task_on_a_silent_runner_starts_elsewhere_after_its_lease)
+// The coordinator dies while a runner is cut off with a task that its lease still allows to run.
+// The task may start elsewhere only once that lease has certainly ended, and must start then.
+TEST(take_over, a_task_on_an_unresponsive_runner_starts_elsewhere_after_its_lease)
 {
     begin(2, 2);
     c.hosts.behaviour.run_time = 3s;
@@ -100,12 +100,12 @@
     LONGS_EQUAL(3, c.hosts.starts);
 }
 
-// A runner leaves for good while polls to it go on. Were each unanswered poll to grant a lease that
-// may have been taken, its leases would never end and its tasks never run again.
+// A runner leaves for good while polls to it continue. If each unanswered poll extended the lease
+// that the runner may have, its leases would never end and its tasks would never run again.
 TEST(take_over, a_task_of_a_runner_that_left_runs_again)
 {
     begin(1, 2);
-    c.put_job(lasting_job("a", 2));
+    c.put_job(long_running_job("a", 2));
     c.time.run_for(1s);
     LONGS_EQUAL(2, c.running());
     const auto before = c.hosts.starts;
@@ -114,8 +114,9 @@
     STRCMP_EQUAL("", c.breaches().c_str());
 }
 
-// The store takes the coordinator's key away and shows it on no request. The former owner must
-// notice by itself, and the two together must run nothing twice.
+// The store removes the leader key and does not show it in the answer to any request. The previous
+// coordinator must detect the loss by itself, and the two coordinators together must run nothing
+// twice.
 TEST(take_over, a_revoked_key_hands_the_work_over)
 {
     begin(3, 3);
@@ -124,11 +125,11 @@
         c.put_job(c.make_job("a" + std::to_string(i), 3, 2));
     }
     c.time.run_for(200ms);
-    const auto old = c.leader()->lead->token();
+    const auto previous = c.leader()->lead->token();
     c.store.revoke(hosted::leader_key);
     const auto handed_over = [&]
     {
-        return c.leader() != nullptr && c.leader()->lead->token() != old;
+        return c.leader() != nullptr && c.leader()->lead->token() != previous;
     };
     CHECK(c.time.run_until(handed_over, 5s));
     for (int i = 0; i < 6; ++i)
@@ -138,13 +139,14 @@
     STRCMP_EQUAL("", c.breaches().c_str());
 }
 
-// The store takes the owner's key away, and the owner is slow to hear of it: it still renews its
-// lease. A successor takes the key, and a caller hands in a job, which both hear of at once. The
-// successor may start it, since no former owner can have; a runner that has not heard the
-// successor yet takes the same task from the former owner, and the caller's work is done twice.
-TEST(take_over, work_accepted_after_the_change_is_not_the_former_owners)
+// The store removes the leader key, and the coordinator is slow to learn of it because its lease is
+// still renewed. A successor creates the key, and a caller submits a job, which both nodes receive
+// immediately. The successor may start the job, since no previous coordinator can have started it.
+// A runner that has not been polled by the successor yet would accept the same task from the
+// previous coordinator, and the task would run twice.
+TEST(take_over, a_previous_coordinator_does_not_start_jobs_accepted_after_the_change)
 {
-    node* deaf = nullptr;
+    node* slow_to_learn = nullptr;
     core::millis first_runner_late{0};
     c.plant = [&](node& n)
     {
@@ -153,7 +155,7 @@
         {
             const auto late = [&, prefix, done](const ports::changes_read& read)
             {
-                const bool slow = &n == deaf && prefix == hosted::leader_prefix;
+                const bool slow = &n == slow_to_learn && prefix == hosted::leader_prefix;
                 n.ctx.time.after(slow ? 900ms : 0ms, [done, read] { done(read); });
             };
             watch(prefix, after, wait, late);
@@ -161,19 +163,19 @@
         const auto poll = n.ctx.runners.poll;
         n.ctx.runners.poll = [&, poll](const auto& to, const auto& order, const auto& done)
         {
-            const bool slow = &n != deaf && to.address == "10.0.0.1:80";
+            const bool slow = &n != slow_to_learn && to.address == "10.0.0.1:80";
             n.ctx.time.after(slow ? first_runner_late : 0ms, [=] { poll(to, order, done); });
         };
     };
     begin(2, 2);
-    deaf = c.leader();
+    slow_to_learn = c.leader();
     first_runner_late = 300ms;
     c.store.revoke(hosted::leader_key);
     const auto has_successor = [&]
     {
         return std::any_of(c.nodes.begin(),
             c.nodes.end(),
-            [&](const node& n) { return &n != deaf && n.lead->holds(); });
+            [&](const node& n) { return &n != slow_to_learn && n.lead->holds_lease(); });
     };
     CHECK(c.time.run_until(has_successor, 2s));
     c.put_job(c.make_job("a", 1));
@@ -182,10 +184,10 @@
     LONGS_EQUAL(1, c.hosts.starts);
 }
 
-// The coordinator dies with many jobs open, and its successor needs 1.5 s to read them. Leases that
-// were granted last end within 2.5 s of the grant. Were they renewed only once all jobs are read,
-// tasks on runners that are well would end, more at once than their users bear.
-TEST(take_over, leases_outlive_a_long_reading_of_jobs)
+// The coordinator dies with many open jobs, and its successor needs 1.5 s to read them. The
+// runners' leases end within 2.5 s of the latest grant. If they were renewed only after all jobs
+// are read, tasks on healthy runners would end, more at a time than their jobs allow.
+TEST(take_over, leases_outlive_a_long_read_of_jobs)
 {
     core::millis reading{0};
     c.plant = [&](node& n)
@@ -198,7 +200,7 @@
         };
     };
     begin(2, 4);
-    c.put_job(lasting_job("a", 4));
+    c.put_job(long_running_job("a", 4));
     c.time.run_for(1s);
     LONGS_EQUAL(4, c.running());
     reading = 1500ms;
@@ -211,25 +213,26 @@
     STRCMP_EQUAL("", c.breaches().c_str());
 }
 
-// A paused coordinator wakes beside its successor with orders in mind. Runners refuse its token,
-// and it gives up by its own clock.
-TEST(take_over, a_woken_coordinator_does_no_harm)
+// A paused coordinator resumes beside its successor and still has orders to send. Runners refuse
+// its fencing token, and it steps down by its own clock.
+TEST(take_over, a_resumed_coordinator_runs_nothing_twice)
 {
     begin(2, 2);
     c.put_job(c.make_job("a", 4, 3));
     c.time.run_for(150ms);
-    auto* const old = c.leader();
-    old->process.paused = true;
+    auto* const previous = c.leader();
+    previous->process.paused = true;
     CHECK(c.time.run_until([&] { return c.leader() != nullptr; }, 5s));
     c.time.run_for(200ms);
-    c.time.resume(old->process);
+    c.time.resume(previous->process);
     CHECK(c.ends("a", job_state::completed, 8s));
-    CHECK(!old->lead->holds());
+    CHECK(!previous->lead->holds_lease());
     STRCMP_EQUAL("", c.breaches().c_str());
 }
 
-// The answer to a write of progress is lost, though it took effect. The next write meets a newer
-// revision than it expects; it must go on from there and not take itself for fenced.
+// The answer to a write of progress is lost, though the write took effect. The next write finds a
+// newer revision than expected; the coordinator must continue from that revision and not treat
+// itself as fenced.
 TEST(take_over, a_lost_answer_of_the_store_loses_no_progress)
 {
     begin(1, 2);
@@ -240,8 +243,8 @@
     LONGS_EQUAL(8, c.hosts.starts);
 }
 
-// A start gets no answer and is carried out seconds later. The task must not run elsewhere before
-// the runner has promised to refuse that order.
+// A start order gets no answer and is carried out seconds later. The task must not run elsewhere
+// before the runner has promised to refuse that order.
 TEST(take_over, late_orders_run_nothing_twice)
 {
     begin(1, 3);
@@ -257,9 +260,9 @@
     STRCMP_EQUAL("", c.breaches().c_str());
 }
 
-// A task that always fails ends its job after its attempts, also when the coordinator dies between
-// the reading of a failed end and its acknowledgement: no end counts twice.
-TEST(take_over, attempts_are_counted_once_over_terms)
+// A task that always fails ends its job after its maximum attempts, even if the coordinator dies
+// between reading a failed end and acknowledging it: no end counts twice.
+TEST(take_over, attempts_are_counted_once_across_terms)
 {
     begin(2, 2);
     c.hosts.behaviour.fails = 1;
@@ -271,15 +274,15 @@
     STRCMP_EQUAL("", c.breaches().c_str());
 }
 
-// A task fails on one host after the other while nothing can be stored, then its owner loses its
-// lease. The successor reads the ends from the runners in no order of time; were one of them taken
-// for a repeat, the task would start once more than it may.
+// A task fails on one host after the other while nothing can be stored, and then its coordinator
+// loses its lease. The successor reads the ends from the runners in any order. If it took one of
+// them for a repeat, the task would start once more than allowed.
 TEST(take_over, failed_ends_count_in_any_order)
 {
     begin(2, 4);
     c.hosts.behaviour = {100ms, 1};
     c.leader()->process.store_cut = true;
-    c.put_job(c.make_job("a", 3)); // read by the successor only
+    c.put_job(c.make_job("a", 3)); // the job is read by the successor only
     c.time.run_for(4s);
     for (int i = 0; i < 6; ++i)
     {
@@ -299,12 +302,12 @@
     STRCMP_EQUAL("", c.breaches().c_str());
 }
 
-// A wave comes to a host just after a take-over, before its runs were looked at. Taken down then,
-// it would end two tasks of one step that may only miss one.
-TEST(take_over, a_host_that_was_not_looked_at_is_not_maintained)
+// A wave reaches a host just after a takeover, before the host was polled for its runs. If the host
+// were taken down then, two tasks of a step that allows one unavailable task would end.
+TEST(take_over, a_host_not_polled_since_the_takeover_is_not_maintained)
 {
     begin(2, 1);
-    c.put_job(lasting_job("a", 2));
+    c.put_job(long_running_job("a", 2));
     c.time.run_for(1s);
     LONGS_EQUAL(2, c.running());
     c.hosts.add("p");
@@ -328,12 +331,12 @@
     STRCMP_EQUAL("", c.breaches().c_str());
 }
 
-// The coordinator dies amid a wave that nobody is pressed to end. Its successor counts the wave's
-// time from the request: counted from the take-over, the wave would end late.
-TEST(take_over, a_wave_keeps_its_time)
+// The coordinator dies during a wave with time to spare. Its successor counts the wave's time from
+// the request: counted from the takeover, the wave would end late.
+TEST(take_over, a_wave_keeps_its_due_time_across_terms)
 {
     begin(2, 3);
-    c.put_job(lasting_job("a", 2));
+    c.put_job(long_running_job("a", 2));
     c.time.run_for(1s);
     const auto due = c.time.passed_ms() + 16000;
     for (auto& it : c.nodes)
@@ -352,11 +355,12 @@
     STRCMP_EQUAL("", c.breaches().c_str());
 }
 
-// A cancel is stored while the coordinator is dead. The successor stops what runs of the job.
-TEST(take_over, a_cancel_reaches_what_runs)
+// A cancel is stored while there is no coordinator. The successor stops the running tasks of the
+// job.
+TEST(take_over, a_cancel_stops_running_tasks_after_a_takeover)
 {
     begin(2, 2);
-    c.put_job(lasting_job("a", 3));
+    c.put_job(long_running_job("a", 3));
     c.time.run_for(1s);
     LONGS_EQUAL(3, c.running());
     c.leader()->process.dead = true;
@@ -365,10 +369,10 @@
     CHECK(c.ends("a", job_state::cancelled, 2s));
 }
 
-// A new owner reads its own key and term before the answer to the write of them comes. Were the
-// term then counted twice, the next owner would have the same one, and runners would take its runs
-// for those they have seen: callers' tasks would not start.
-TEST(take_over, each_owner_has_a_term_of_its_own)
+// A new coordinator reads its own key and term before the answer to their write arrives. If the
+// term were counted twice, the next coordinator would use the same term, runners would take its
+// runs for those that they have seen, and callers' tasks would not start.
+TEST(take_over, each_coordinator_has_its_own_term)
 {
     c.plant = [this](node& n)
     {
@@ -383,7 +387,7 @@
                     return;
                 }
                 c.store.put("x", "1");
-                c.store.compact(); // what is watched is read anew
+                c.store.compact(); // makes the followers read all keys again
                 c.time.after(100ms, [done, it] { done(it); });
             };
             real(t, read_first);
@@ -394,8 +398,8 @@
     {
         c.leader()->process.dead = true;
         CHECK(c.has_leader());
-        const auto told = lines_of(*c.leader(), "leadership_gained").back();
-        STRCMP_EQUAL(
-            c.store.find(hosted::leader_term_key)->value.c_str(), value_in(told, "term").c_str());
+        const auto log_line = lines_of(*c.leader(), "leadership_gained").back();
+        STRCMP_EQUAL(c.store.find(hosted::leader_term_key)->value.c_str(),
+            value_in(log_line, "term").c_str());
     }
 }
--- a/libs/hosted/tests/unread_jobs_tests.cpp
+++ b/libs/hosted/tests/unread_jobs_tests.cpp
@@ -15,31 +15,31 @@
 
 using page_answer = std::function<void(ports::page_read)>;
 
-/// What a node's page reads meet. Its other calls are well.
-struct page_trouble
+/// Fault of a node's page reads. Its other calls are not affected.
+struct page_fault
 {
-    std::string prefix = hosted::job_prefix; ///< which pages
-    int fails_of = 0;                        ///< one call in so many is given up; 0: none
-    core::millis given_up_after{300};
-    core::millis takes{0}; ///< a page that comes
+    std::string prefix = hosted::job_prefix; ///< prefix of the affected pages
+    int failing_call = 0;                    ///< every so many calls one fails; 0: no call fails
+    core::millis failure_delay{300};
+    core::millis page_delay{0}; ///< delay of a page that arrives
     int calls = 0;
 };
 
 void read_page(cluster& c,
-    page_trouble& t,
+    page_fault& t,
     const hosted::context& n,
     const std::function<void(const page_answer&)>& real,
     const page_answer& done)
 {
     ++t.calls;
-    if (t.fails_of > 0 && t.calls % t.fails_of == 0)
+    if (t.failing_call > 0 && t.calls % t.failing_call == 0)
     {
         auto lost = ports::page_read{};
         lost.status = ports::kv_status::unknown;
-        n.time.after(t.given_up_after, [done, lost] { done(lost); });
+        n.time.after(t.failure_delay, [done, lost] { done(lost); });
         return;
     }
-    c.time.after(t.takes, [real, done] { real(done); });
+    c.time.after(t.page_delay, [real, done] { real(done); });
 }
 
 } // namespace
@@ -47,7 +47,7 @@
 TEST_GROUP(unread_jobs)
 {
     cluster c;
-    std::map<std::string, page_trouble> troubled; ///< by node
+    std::map<std::string, page_fault> faulty; ///< fault by node name
 
     void setup() override
     {
@@ -61,14 +61,14 @@
                 {
                     range(prefix, after, then);
                 };
-                const auto it = troubled.find(n.ctx.member);
-                const bool hit = it != troubled.end() && prefix == it->second.prefix;
-                hit ? read_page(c, it->second, n.ctx, real, done) : real(done);
+                const auto it = faulty.find(n.ctx.member);
+                const bool is_faulty = it != faulty.end() && prefix == it->second.prefix;
+                is_faulty ? read_page(c, it->second, n.ctx, real, done) : real(done);
             };
         };
     }
 
-    /// A new node that leads and is well.
+    /// Starts a new healthy node that becomes the coordinator.
     node& begin(std::size_t hosts)
     {
         while (c.hosts.machines.size() < hosts)
@@ -90,7 +90,7 @@
         c.time.run_for(3s);
     }
 
-    void start_lasting(int tasks)
+    void start_long_running(int tasks)
     {
         auto j = c.make_job("lasting", tasks);
         j.steps[0].long_running = true;
@@ -132,16 +132,16 @@
     }
 };
 
-// Callers' jobs are accepted and none begins, for minutes. The node that coordinates gets no page
-// of them whole: each call is given up, or its answer comes later than anybody waits. Its lease is
-// renewed by small calls all the while, so the node beside it, which is well, never takes over.
-TEST(unread_jobs, a_node_that_can_read_them_takes_over)
+// Jobs are accepted and none starts for minutes. The coordinator receives no page of the jobs
+// completely: each call fails, or its answer arrives too late. Its lease is renewed by small calls
+// all the while, so without a handover the healthy node beside it would never take over.
+TEST(unread_jobs, a_node_that_can_read_the_jobs_takes_over)
 {
     struct row
     {
         const char* name;
-        page_trouble trouble;
-        int pages; ///< that are read: of progress there is one, with nothing on it
+        page_fault fault;
+        int pages; ///< pages that are read: there is one page of progress, which is empty
     };
     const row rows[] = {
         {"each call is given up", {hosted::job_prefix, 1, 1200ms}, 1},
@@ -151,52 +151,53 @@
     for (const auto& it : rows)
     {
         auto& first = begin(2);
-        const auto hit = "n" + std::to_string(c.last_node + 1);
-        troubled[hit] = it.trouble;
+        const auto faulty_node = "n" + std::to_string(c.last_node + 1);
+        faulty[faulty_node] = it.fault;
         c.add_node();
         c.time.run_for(500ms);
         first.process.dead = true;
         CHECK_TEXT(c.has_leader(), it.name);
-        STRCMP_EQUAL_TEXT(hit.c_str(), c.leader()->ctx.member.c_str(), it.name);
+        STRCMP_EQUAL_TEXT(faulty_node.c_str(), c.leader()->ctx.member.c_str(), it.name);
         c.add_node();
-        const auto job = "a" + hit;
+        const auto job = "a" + faulty_node;
         c.put_job(c.make_job(job, 2));
         CHECK_TEXT(c.ends(job, job_state::completed, 6s), it.name);
-        const auto told = lines_of(*std::prev(c.nodes.end(), 2), "leadership_handed_over");
-        LONGS_EQUAL_TEXT(1, told.size(), it.name);
-        STRCMP_EQUAL_TEXT("jobs_unread", value_in(told[0], "reason").c_str(), it.name);
-        LONGS_EQUAL_TEXT(it.pages, number_in(told[0], "pages"), it.name);
-        CHECK_TEXT(number_in(told[0], "unread_ms") >= 4000, it.name);
+        const auto handover_lines =
+            lines_of(*std::prev(c.nodes.end(), 2), "leadership_handed_over");
+        LONGS_EQUAL_TEXT(1, handover_lines.size(), it.name);
+        STRCMP_EQUAL_TEXT("jobs_unread", value_in(handover_lines[0], "reason").c_str(), it.name);
+        LONGS_EQUAL_TEXT(it.pages, number_in(handover_lines[0], "pages"), it.name);
+        CHECK_TEXT(number_in(handover_lines[0], "unread_ms") >= 4000, it.name);
         end_all();
     }
     STRCMP_EQUAL("", c.breaches().c_str());
 }
 
-// Callers' jobs are accepted and none begins. The only node gets one page in two, and there are six
-// or seven: with each page that fails it begins with the first one anew, and never has them all.
-TEST(unread_jobs, reading_goes_on_from_the_page_that_was_reached)
+// Jobs are accepted and none starts. The only node receives one page in two, and there are six or
+// seven. If it restarted from the first page after each failure, it would never have all of them.
+TEST(unread_jobs, reading_continues_from_the_last_page_reached)
 {
     c.store.page_size = 3;
     auto& first = begin(4);
     first.process.dead = true;
     c.time.run_for(2s);
     put_jobs("a", 18);
-    troubled["n2"] = {hosted::job_prefix, 2};
+    faulty["n2"] = {hosted::job_prefix, 2};
     c.add_node();
     CHECK(all_end("a", 18, 10s));
     LONGS_EQUAL(18, c.hosts.starts);
     STRCMP_EQUAL("", c.breaches().c_str());
 }
 
-// As before, with the progress of jobs that have ended, which a successor reads first.
-TEST(unread_jobs, reading_of_progress_goes_on_from_the_page_that_was_reached)
+// As before, with the progress of finished jobs, which a successor reads first.
+TEST(unread_jobs, reading_of_progress_continues_from_the_last_page_reached)
 {
     c.store.page_size = 3;
     auto& first = begin(4);
     put_jobs("a", 18);
     CHECK(all_end("a", 18, 10s));
     first.process.dead = true;
-    troubled["n2"] = {hosted::state_prefix, 2};
+    faulty["n2"] = {hosted::state_prefix, 2};
     c.add_node();
     put_jobs("b", 1);
     CHECK(all_end("b", 1, 10s));
@@ -204,14 +205,14 @@
     STRCMP_EQUAL("", c.breaches().c_str());
 }
 
-// What is accepted, and what is taken back, while the pages are read one by one with failures in
-// between, is seen all the same: callers would find their job never begun, or their cancel without
-// effect. Pages are no snapshot; the changes since the first one come after the last.
-TEST(unread_jobs, changes_between_the_pages_are_seen)
+// Jobs that are accepted and cancels that are stored while the pages are read one by one, with
+// failures in between, are applied. Otherwise a job would never start or a cancel would have no
+// effect. Pages are not a snapshot; the changes since the first page are read after the last one.
+TEST(unread_jobs, changes_between_the_pages_are_applied)
 {
     c.store.page_size = 3;
-    c.hosts.behaviour.run_time = 6s; // longer than two readings: the cancel comes in time
-    for (const bool forgets : {false, true})
+    c.hosts.behaviour.run_time = 6s; // longer than two reads, so that the cancel arrives in time
+    for (const bool truncates : {false, true})
     {
         auto& first = begin(4);
         first.process.dead = true;
@@ -219,14 +220,14 @@
         const auto name = "m" + std::to_string(c.last_node) + ".";
         put_jobs(name, 18);
         const auto next = "n" + std::to_string(c.last_node + 1);
-        troubled[next] = {hosted::job_prefix, 2};
+        faulty[next] = {hosted::job_prefix, 2};
         c.add_node();
-        const auto& trouble = troubled[next];
-        CHECK(c.time.run_until([&] { return trouble.calls >= 6; }, 10s));
-        const auto early = "a" + next; // stands before all pages that were read
+        const auto& fault = faulty[next];
+        CHECK(c.time.run_until([&] { return fault.calls >= 6; }, 10s));
+        const auto early = "a" + next; // sorts before all pages read so far
         c.put_job(c.make_job(early, 1));
         c.store.put(hosted::cancel_key(name + "0"), "1");
-        if (forgets)
+        if (truncates)
         {
             c.store.compact();
         }
@@ -238,9 +239,10 @@
     STRCMP_EQUAL("", c.breaches().c_str());
 }
 
-// Each node of the fleet is small and needs 6 s for the pages, longer than a first owner is given.
-// Handed from one to the next after the same time, the jobs would never be read and never begin.
-TEST(unread_jobs, a_fleet_of_small_nodes_gets_them_read)
+// Each node of the fleet is small and needs 6 s for the pages, longer than a first coordinator is
+// allowed. If every node handed over after the same time, the jobs would never be read and never
+// start.
+TEST(unread_jobs, a_fleet_of_small_nodes_reads_the_jobs)
 {
     c.store.page_size = 3;
     for (const int nodes : {1, 4})
@@ -252,7 +254,7 @@
         put_jobs(name, 18);
         for (int i = 0; i < nodes; ++i)
         {
-            troubled["n" + std::to_string(c.last_node + 1)] = {hosted::job_prefix, 0, 0ms, 1s};
+            faulty["n" + std::to_string(c.last_node + 1)] = {hosted::job_prefix, 0, 0ms, 1s};
             c.add_node();
         }
         CHECK(all_end(name, 18, 30s));
@@ -261,15 +263,15 @@
     STRCMP_EQUAL("", c.breaches().c_str());
 }
 
-// Neither of two nodes can read the jobs for a minute. Handed to and fro without end, the work
-// would pass from owner to owner each second, with gaps in which nobody renews the runners' leases:
-// tasks that run well would end. Once the pages come, the jobs run, each once.
-TEST(unread_jobs, two_nodes_that_cannot_read_hand_over_seldom)
+// Neither of two nodes can read the jobs for a minute. With unlimited handovers, leadership would
+// change every second, with gaps in which no node renews the runners' leases, and healthy tasks
+// would end. Once the pages arrive, the jobs run, each once.
+TEST(unread_jobs, two_nodes_that_cannot_read_hand_over_rarely)
 {
     auto& first = begin(3);
-    start_lasting(3);
-    troubled["n2"] = {hosted::job_prefix, 1, 1200ms};
-    troubled["n3"] = troubled["n2"];
+    start_long_running(3);
+    faulty["n2"] = {hosted::job_prefix, 1, 1200ms};
+    faulty["n3"] = faulty["n2"];
     c.add_node();
     c.add_node();
     c.time.run_for(1s);
@@ -280,7 +282,7 @@
     LONGS_EQUAL(0, c.hosts.lapsed);
     LONGS_EQUAL(3, c.running());
     LONGS_EQUAL(3, c.hosts.starts);
-    troubled.clear();
+    faulty.clear();
     CHECK(all_end("a", 4, 8s));
     LONGS_EQUAL(0, c.hosts.lapsed);
     LONGS_EQUAL(7, c.hosts.starts);
--- a/libs/hosted/tests/store_silence_tests.cpp
+++ b/libs/hosted/tests/unresponsive_store_tests.cpp
@@ -10,20 +10,20 @@
 using hosted::submit_outcome;
 
 // The load is a steady stream of submissions at one node. The fault is a metadata store that
-// stands still: it answers nothing and refuses nothing, and is back seconds later.
-TEST_GROUP(store_silence)
+// stalls: it neither answers nor refuses calls, and recovers seconds later.
+TEST_GROUP(unresponsive_store)
 {
     cluster c;
     node* n = &c.add_node();
 
-    struct told
+    struct submission
     {
         std::string id;
         core::mono_time sent;
         core::mono_time answered;
         submit_outcome outcome = submit_outcome::unknown;
     };
-    std::list<told> all;
+    std::list<submission> all;
 
     void submit()
     {
@@ -39,7 +39,7 @@
             });
     }
 
-    /// A submission each tenth of a second.
+    /// Submits a job every 100 ms.
     void submit_for(core::millis how_long)
     {
         for (const auto until = c.time.now() + how_long; c.time.now() < until;)
@@ -55,22 +55,22 @@
     }
 };
 
-// A caller submits while the store is silent. A write that was sent may take effect later, so the
-// caller would be told "unknown" and must not try again. Half a second into the silence nothing is
-// sent any more: the refusal comes at once, and it is true for good.
-TEST(store_silence, submissions_to_a_silent_store_are_refused_unsent_and_at_once)
+// A caller submits while the store is unresponsive. A write that was sent may take effect later, so
+// the caller would be told "unknown" and could not try again. From half a second into the outage
+// nothing is sent any more: the submission is refused immediately, and the job is never stored.
+TEST(unresponsive_store, submissions_to_an_unresponsive_store_are_refused_at_once_without_sending)
 {
     CHECK(c.has_leader());
     c.store.down = true;
-    const auto fell_silent = c.time.now();
+    const auto unresponsive_since = c.time.now();
     submit_for(4s);
     c.store.down = false;
     c.time.run_for(6s);
     for (const auto& it : all)
     {
-        if (it.sent < fell_silent + 600ms)
+        if (it.sent < unresponsive_since + 600ms)
         {
-            continue; // the silence did not show yet
+            continue; // the outage was not detected yet
         }
         CHECK(it.outcome == submit_outcome::not_accepted);
         CHECK(it.answered - it.sent <= 10ms);
@@ -79,9 +79,9 @@
     LONGS_EQUAL(1, lines_of(*n, "store_silent").size());
 }
 
-// As before. The store answers again; callers who come back are accepted within a quarter of a
-// second, not when calls that were sent into the silence have ended.
-TEST(store_silence, submissions_are_accepted_soon_after_the_store_is_back)
+// As before. The store recovers; callers that try again are accepted within a quarter of a second,
+// not only after the calls sent during the outage have timed out.
+TEST(unresponsive_store, submissions_are_accepted_soon_after_the_store_recovers)
 {
     CHECK(c.has_leader());
     c.store.timeout = 3s;
@@ -95,10 +95,10 @@
     CHECK(last.outcome == submit_outcome::accepted);
 }
 
-// A node starts while the store is silent, as all do after a loss of power. Its first reading is
-// under way when the store comes back, over a connection on which nothing will come. Callers wait
-// for a node that leads: it must not wait for that reading's timeout of 3 s first.
-TEST(store_silence, a_node_that_started_in_the_silence_leads_soon_after_it)
+// A node starts while the store is unresponsive, as all nodes do after a power failure. Its first
+// read is open when the store recovers, on a connection that will return nothing. Callers wait for
+// a coordinator, so the node must not wait for the 3 s timeout of that read.
+TEST(unresponsive_store, a_node_started_during_the_outage_leads_soon_after_it)
 {
     c.store.down = true;
     c.store.timeout = 3s;
@@ -106,11 +106,11 @@
     auto& late = c.add_node();
     c.time.run_for(2s);
     c.store.down = false;
-    CHECK(c.time.run_until([&] { return late.lead->holds(); }, 1s));
+    CHECK(c.time.run_until([&] { return late.lead->holds_lease(); }, 1s));
 }
 
-// One answer is lost while others come: the store is not silent, and submissions go on.
-TEST(store_silence, a_lost_answer_is_no_silence)
+// One answer is lost while others arrive: the store is not unresponsive, and submissions continue.
+TEST(unresponsive_store, a_single_lost_answer_is_no_outage)
 {
     CHECK(c.has_leader());
     submit_for(500ms);
@@ -124,9 +124,10 @@
     LONGS_EQUAL(0, lines_of(*n, "store_silent").size());
 }
 
-// The node itself stands still for two seconds, as on a suspended host. When it goes on, its
-// timers fire before the answers are read that came meanwhile: its own delay is no silence.
-TEST(store_silence, a_node_that_stood_still_does_not_blame_the_store)
+// The node itself stalls for two seconds, as on a suspended host. When it resumes, its timers fire
+// before the answers that arrived meanwhile are read. Its own delay must not count as an outage of
+// the store.
+TEST(unresponsive_store, a_stalled_node_does_not_report_the_store_unresponsive)
 {
     c.share = 0.25;
     auto& slow = c.add_node();
@@ -140,11 +141,12 @@
     LONGS_EQUAL(0, lines_of(slow, "store_silent").size());
 }
 
-// The owner can't renew its lease while the store is silent, so nothing starts. Nobody else can
-// take the lead meanwhile either. At the store's first answer the owner goes on with all it knows:
-// what was accepted before starts within half a second, not after its key has lapsed and another
-// node has read every job. Past its own lease it orders nothing, whatever comes.
-TEST(store_silence, an_owner_goes_on_when_the_store_is_back)
+// The coordinator cannot renew its lease while the store is unresponsive, so nothing starts, and no
+// other node can become leader meanwhile. At the store's first answer the coordinator resumes with
+// its complete state: jobs accepted before start within half a second, and not only after its key
+// has expired and another node has read every job. Past its own lease the coordinator gives no
+// orders under any circumstances.
+TEST(unresponsive_store, a_coordinator_resumes_when_the_store_recovers)
 {
     c.store.leases_pause = true;
     c.hosts.add("p");
@@ -155,21 +157,22 @@
     const auto token = n->lead->token();
     c.store.down = true;
     c.time.run_for(2s);
-    CHECK_FALSE(n->lead->holds());
+    CHECK_FALSE(n->lead->holds_lease());
     const auto starts = c.hosts.starts;
     c.time.run_for(3s);
     LONGS_EQUAL(starts, c.hosts.starts);
     c.store.down = false;
-    CHECK(c.time.run_until([&] { return n->lead->holds(); }, 500ms));
+    CHECK(c.time.run_until([&] { return n->lead->holds_lease(); }, 500ms));
     LONGS_EQUAL(token, n->lead->token());
     c.put_job(c.make_job("a", 2));
     CHECK(c.ends("a", workflow::job_state::completed, 500ms + c.hosts.behaviour.run_time));
     STRCMP_EQUAL("", c.breaches().c_str());
 }
 
-// As before, and the owner's lease ran on at the store: it has lapsed there, and the store's first
-// answer to a renewal says so. The owner gives up at once, whoever leads next.
-TEST(store_silence, an_owner_whose_lease_ran_on_in_the_silence_gives_up_at_the_first_answer)
+// As before, but the coordinator's lease has expired at the store, and the store's first answer to
+// a renewal says so. The coordinator steps down immediately, whichever node leads next.
+TEST(unresponsive_store,
+    a_coordinator_whose_lease_expired_in_the_outage_steps_down_at_the_first_answer)
 {
     c.hosts.add("p");
     CHECK(c.has_leader());
@@ -180,14 +183,16 @@
     c.time.run_for(5s);
     c.store.down = false;
     CHECK(c.time.run_until([&] { return lines_of(*n, "leadership_lost").size() == 1; }, 500ms));
-    CHECK(c.time.run_until([&] { return n->lead->holds() || other.lead->holds(); }, 1s));
+    CHECK(
+        c.time.run_until([&] { return n->lead->holds_lease() || other.lead->holds_lease(); }, 1s));
     CHECK(std::max(n->lead->token(), other.lead->token()) > token);
     STRCMP_EQUAL("", c.breaches().c_str());
 }
 
-// Work has come in steadily when the store falls silent. Nothing is decided for five seconds; taken
-// for quiet, that time would send the hosts off that callers need as soon as the store is back.
-TEST(store_silence, hosts_stay_through_a_silence)
+// Work has arrived steadily when the store becomes unresponsive, and nothing is decided for five
+// seconds. If that time counted as idle, the hosts that callers need as soon as the store recovers
+// would be sent to standby.
+TEST(unresponsive_store, hosts_stay_in_use_through_an_outage)
 {
     c.store.leases_pause = true;
     for (int i = 0; i < 6; ++i)
@@ -215,6 +220,6 @@
     c.time.run_for(5s);
     c.store.down = false;
     c.time.run_for(1s);
-    CHECK(n->lead->holds());
+    CHECK(n->lead->holds_lease());
     LONGS_EQUAL(before, serving());
 }
--- a/programs/camphorhitchd/src/hosted_clients.cpp
+++ b/programs/camphorhitchd/src/hosted_clients.cpp
@@ -115,7 +115,7 @@
     ctx.tel = log;
     ctx.boot_now = boot_now;
     ctx.processor_time = processor_time;
-    ctx.processor_trial = try_processor;
+    ctx.measure_processor_share = try_processor;
     ctx.post_behind_descriptors = [&loop](std::function<void()> fn)
     {
         loop.post_behind_descriptors(std::move(fn));
--- a/programs/camphorhitchd/src/hosted_node.cpp
+++ b/programs/camphorhitchd/src/hosted_node.cpp
@@ -3,11 +3,11 @@
 #include "company/front.hpp"
 #include "company/spelling.hpp"
 #include "hosted/config_follower.hpp"
-#include "hosted/entry_desk.hpp"
 #include "hosted/fleet_driver.hpp"
+#include "hosted/job_request_handler.hpp"
 #include "hosted/leadership.hpp"
 #include "hosted/relay_registry.hpp"
-#include "hosted/store_pulse.hpp"
+#include "hosted/store_health_monitor.hpp"
 #include "hosted_clients.hpp"
 #include "hosted_operators.hpp"
 #include "hosted_policy.hpp"
@@ -66,14 +66,14 @@
     std::unique_ptr<hosted_clients> clients;
     hosted::formats formats;
     hosted::context ctx;
-    std::unique_ptr<hosted::store_pulse> pulse;
+    std::unique_ptr<hosted::store_health_monitor> pulse;
     std::unique_ptr<relay::pool> relays;
     std::unique_ptr<relay::server> relay_server;
     std::unique_ptr<hosted::relay_registry> registry;
     double best_other_share = 0; ///< as the registry showed last
     std::unique_ptr<hosted::leadership> lead;
     std::unique_ptr<hosted::fleet_driver> driver;
-    std::unique_ptr<hosted::entry_desk> desk;
+    std::unique_ptr<hosted::job_request_handler> desk;
     std::unique_ptr<hosted::config_follower> config;
     std::unique_ptr<company::front> front;
     std::unique_ptr<hosted_operators> people;
@@ -120,12 +120,12 @@
     };
     if (settings.policy.watches_store)
     {
-        pulse = std::make_unique<hosted::store_pulse>(
-            ctx.store, ctx.time, log, hosted::pulse_settings{});
+        pulse = std::make_unique<hosted::store_health_monitor>(
+            ctx.store, ctx.time, log, hosted::store_health_settings{});
         ctx.store = pulse->port();
-        ctx.store_silent = [this]
+        ctx.store_unresponsive = [this]
         {
-            return pulse->is_silent();
+            return pulse->is_unresponsive();
         };
     }
 }
@@ -142,7 +142,7 @@
                                                log,
                                                [this]
                                                {
-                                                   return lead->holds();
+                                                   return lead->holds_lease();
                                                }},
         relay_settings(settings.processor_share));
     ctx.runners = relays->port();
@@ -204,7 +204,7 @@
     apply_policy(settings.policy, drive);
     drive.keep_finished = settings.timing.keep_finished;
     driver = std::make_unique<hosted::fleet_driver>(ctx, formats, drive, *lead);
-    desk = std::make_unique<hosted::entry_desk>(ctx, hosted::entry_settings{});
+    desk = std::make_unique<hosted::job_request_handler>(ctx, hosted::job_request_settings{});
     follow_config();
     company::front_sources sources;
     sources.config = [this]
@@ -229,7 +229,7 @@
                                                     sources.config,
                                                     [this]
                                                     {
-                                                        return config->last_answer();
+                                                        return config->last_answer_at();
                                                     }},
         settings.operators_token);
 }
@@ -251,8 +251,8 @@
 
 bool hosted_node::parts::is_ready()
 {
-    const bool heard =
-        ctx.time.now() - std::max(config->last_answer(), lead->last_answer()) < ready_after_answer;
+    const bool heard = ctx.time.now() - std::max(config->last_answer_at(), lead->last_answer_at()) <
+                       ready_after_answer;
     const auto* const in_force = config->config();
     const bool ready = in_force != nullptr && heard && !stopping;
     if (ready != was_ready)
--- a/programs/camphorhitchd/src/hosted_operators.cpp
+++ b/programs/camphorhitchd/src/hosted_operators.cpp
@@ -285,7 +285,7 @@
     j.payload = std::move(request.payload);
     j.steps = std::move(request.steps);
     j.timing = request.timing;
-    hosted::put_into_queue(j, *q, unix_ms());
+    hosted::apply_queue_settings(j, *q, unix_ms());
     from.desk.submit(
         j, deadline(), [done, id = j.id](hosted::submit_outcome it) { done(submitted(id, it)); });
 }
--- a/programs/camphorhitchd/src/hosted_operators.hpp
+++ b/programs/camphorhitchd/src/hosted_operators.hpp
@@ -3,9 +3,9 @@
 /// as elsewhere. What the platform's own operators change, such as pools, is only shown.
 #pragma once
 
-#include "hosted/entry_desk.hpp"
 #include "hosted/fleet_driver.hpp"
 #include "hosted/formats.hpp"
+#include "hosted/job_request_handler.hpp"
 #include "hosted/leadership.hpp"
 #include "language/parse.hpp"
 #include "operator_parts.hpp"
@@ -25,7 +25,7 @@
 {
     hosted::context ctx;
     const hosted::formats& formats;
-    hosted::entry_desk& desk;
+    hosted::job_request_handler& desk;
     const hosted::leadership& lead;
     const hosted::fleet_driver& driver;
     std::function<const hosted::fleet_config*()> config; ///< nullptr: none is known yet
--- a/programs/camphorhitchd/src/hosted_tables.cpp
+++ b/programs/camphorhitchd/src/hosted_tables.cpp
@@ -37,7 +37,7 @@
 
 language::row job_row(const hosted::stored_job& it, std::int64_t unix_ms)
 {
-    const auto state = core::name_of(workflow::job_state_names, hosted::shown_state(it));
+    const auto state = core::name_of(workflow::job_state_names, hosted::effective_state(it));
     language::row out{it.id, std::string{state}};
     if (!it.spec)
     {
@@ -158,7 +158,7 @@
     t.rows = {{std::string{"version"}, std::to_string(config.version)},
         {std::string{"queues"}, std::to_string(config.queues.size())},
         {std::string{"pools"}, std::to_string(config.pools.size())},
-        {std::string{"largest_body"}, std::to_string(config.largest_body)},
+        {std::string{"largest_body"}, std::to_string(config.max_body_bytes)},
         {std::string{"store_answered"}, std::to_string(age_ms) + " ms ago"}};
     return t;
 }
@@ -169,7 +169,7 @@
     const std::string& own,
     std::int64_t unix_ms)
 {
-    const auto state = hosted::shown_state(j);
+    const auto state = hosted::effective_state(j);
     auto out =
         "job " + j.id + " is " + std::string{core::name_of(workflow::job_state_names, state)};
     if (!j.spec)
--- a/testing/hosted_fakes/include/hosted_fakes/cluster.hpp
+++ b/testing/hosted_fakes/include/hosted_fakes/cluster.hpp
@@ -3,11 +3,11 @@
 #pragma once
 
 #include "daemon_fakes/recorders.hpp"
-#include "hosted/entry_desk.hpp"
 #include "hosted/fleet_driver.hpp"
+#include "hosted/job_request_handler.hpp"
 #include "hosted/keys.hpp"
 #include "hosted/leadership.hpp"
-#include "hosted/store_pulse.hpp"
+#include "hosted/store_health_monitor.hpp"
 #include "hosted_fakes/hosts.hpp"
 #include "hosted_fakes/processor.hpp"
 #include "hosted_fakes/store.hpp"
@@ -30,10 +30,10 @@
     hosted::formats formats;
     hosted::context ctx;
     std::unique_ptr<processor> cpu; ///< none: what the node does takes no time
-    std::unique_ptr<hosted::store_pulse> pulse;
+    std::unique_ptr<hosted::store_health_monitor> pulse;
     std::unique_ptr<hosted::leadership> lead;
     std::unique_ptr<hosted::fleet_driver> driver;
-    std::unique_ptr<hosted::entry_desk> desk;
+    std::unique_ptr<hosted::job_request_handler> desk;
 };
 
 struct cluster
@@ -72,12 +72,12 @@
             n.cpu = std::make_unique<processor>(time, n.process, share);
             n.ctx = n.cpu->wrap(n.ctx);
         }
-        n.pulse = std::make_unique<hosted::store_pulse>(
-            n.ctx.store, n.ctx.time, n.ctx.tel, hosted::pulse_settings{});
+        n.pulse = std::make_unique<hosted::store_health_monitor>(
+            n.ctx.store, n.ctx.time, n.ctx.tel, hosted::store_health_settings{});
         n.ctx.store = n.pulse->port();
-        n.ctx.store_silent = [&n]
+        n.ctx.store_unresponsive = [&n]
         {
-            return n.pulse->is_silent();
+            return n.pulse->is_unresponsive();
         };
         n.ctx.best_other_share = [this, &n]
         {
@@ -103,7 +103,8 @@
         n.lead = std::make_unique<hosted::leadership>(n.ctx, leadership, events);
         settings.processor_share = share;
         n.driver = std::make_unique<hosted::fleet_driver>(n.ctx, n.formats, settings, *n.lead);
-        n.desk = std::make_unique<hosted::entry_desk>(n.ctx, hosted::entry_settings{});
+        n.desk =
+            std::make_unique<hosted::job_request_handler>(n.ctx, hosted::job_request_settings{});
         n.lead->start();
         return n;
     }
@@ -113,7 +114,7 @@
     {
         for (auto& it : nodes)
         {
-            if (!it.process.dead && !it.process.paused && it.lead->holds())
+            if (!it.process.dead && !it.process.paused && it.lead->holds_lease())
             {
                 return &it;
             }
--- a/testing/hosted_fakes/src/processor.cpp
+++ b/testing/hosted_fakes/src/processor.cpp
@@ -224,7 +224,7 @@
     {
         return used_;
     };
-    c.processor_trial = [this]
+    c.measure_processor_share = [this]
     {
         return share;
     };
