--- a/libs/hosted/src/fleet_driver.cpp
+++ b/libs/hosted/src/fleet_driver.cpp
@@ -4,19 +4,19 @@
 #include "coordinator/explain.hpp"
 #include "coordinator/intake.hpp"
 #include "coordinator/placement.hpp"
+#include "finished_job_cleaner.hpp"
+#include "handover_policy.hpp"
 #include "host_reader.hpp"
 #include "hosted/keys.hpp"
 #include "job_reader.hpp"
 #include "load_monitor.hpp"
 #include "machine_controller.hpp"
-#include "owner_pace.hpp"
+#include "pending_count_logger.hpp"
 #include "pending_record.hpp"
-#include "pending_watch.hpp"
 #include "progress_writer.hpp"
 #include "runner_controller.hpp"
 #include "takeover_lease_renewer.hpp"
 #include "term.hpp"
-#include "tidier.hpp"
 #include "wave_controller.hpp"
 
 #include <map>
@@ -36,9 +36,9 @@
     std::unique_ptr<progress_writer> writer;
     std::unique_ptr<machine_controller> machines;
     std::unique_ptr<wave_controller> waves;
-    std::unique_ptr<tidier> cleaner;
+    std::unique_ptr<finished_job_cleaner> cleaner;
     std::unique_ptr<load_monitor> monitor;
-    std::unique_ptr<pending_watch> pending_logger;
+    std::unique_ptr<pending_count_logger> pending_logger;
     bool plan_scheduled = false;
     bool jobs_loaded = false;
     bool runner_record_loaded = false;
@@ -70,7 +70,7 @@
 {
     plan_scheduled = false;
     auto& t = *active_term;
-    if (!jobs_loaded || !runner_record_loaded || !t.lead->holds())
+    if (!jobs_loaded || !runner_record_loaded || !t.lead->holds_lease())
     {
         return;
     }
@@ -169,7 +169,7 @@
             {"unread_ms", std::to_string(unread.count())},
             {"pages", std::to_string(jobs->pages_read())},
             {"runners_read", runner_record_loaded ? "1" : "0"},
-            {"hand_overs", std::to_string(t.lead->hand_overs())},
+            {"hand_overs", std::to_string(t.lead->recent_handovers())},
             {"token", std::to_string(t.token)}});
     t.lead->hand_over("the jobs could not be read in time");
 }
@@ -177,11 +177,11 @@
 void driver_parts::store_pending()
 {
     auto& t = *active_term;
-    if (!t.lead->holds())
+    if (!t.lead->holds_lease())
     {
         return;
     }
-    auto basis = pending_logger->basis_of(coordinator::pending_jobs(t.fleet));
+    auto basis = pending_logger->current_basis(coordinator::pending_jobs(t.fleet));
     const bool idle = t.fleet.open_jobs.empty() && basis.by_queue == last_stored_pending;
     if (idle && t.now() < pending_stored_at + t.settings.idle_pending_record_interval)
     {
@@ -193,7 +193,7 @@
     // were dropped. The mark and the leader key changed in one write, so this condition keeps such
     // a record from being stored.
     change.conditions = {{leader_key, t.token}};
-    change.puts = {{pending_key, write_pending({basis.read_through, basis.by_queue}), 0},
+    change.puts = {{pending_key, write_pending({basis.intake_revision, basis.by_queue}), 0},
         {demand_key, machines->demand_record(), 0}};
     t.ctx.store.commit(std::move(change),
         t.guarded(
@@ -201,8 +201,8 @@
             {
                 const bool ok = result.status == ports::kv_status::ok;
                 last_stored_pending = ok ? std::optional{basis.by_queue} : std::nullopt;
-                pending_stored_at = basis.made_at;
-                pending_logger->see_answer(basis, result);
+                pending_stored_at = basis.counted_at;
+                pending_logger->log_write_result(basis, result);
                 active_term->lost_leadership(result);
             }));
 }
@@ -239,21 +239,21 @@
     };
     t.last_job_answer_at = [&p]
     {
-        return p.jobs->last_heard();
+        return p.jobs->last_job_answer_at();
     };
     t.update_runner_record = [&p]
     {
         p.hosts->update_record();
     };
     p.jobs = std::make_unique<job_reader>(t);
-    p.pending_logger = std::make_unique<pending_watch>(t, *p.jobs);
+    p.pending_logger = std::make_unique<pending_count_logger>(t, *p.jobs);
     p.hosts = std::make_unique<host_reader>(t);
     p.takeover_renewer = std::make_unique<takeover_lease_renewer>(t);
     p.runners = std::make_unique<runner_controller>(t);
     p.writer = std::make_unique<progress_writer>(t);
     p.machines = std::make_unique<machine_controller>(t);
     p.waves = std::make_unique<wave_controller>(t, p.machines->table());
-    p.cleaner = std::make_unique<tidier>(t);
+    p.cleaner = std::make_unique<finished_job_cleaner>(t);
     p.monitor = std::make_unique<load_monitor>(
         t, [&p](core::micros late_by) { p.runners->record_loop_delay(late_by); });
     t.on_job_accepted = [&p](const workflow::job& j, core::mono_time at)
@@ -300,7 +300,7 @@
     p.machines->start(
         [&p] { p.waves->apply_machine_list(); }, [&p] { return p.waves->has_open_wave(); });
     p.waves->set_waves(waves_);
-    t.ctx.time.after(time_to_read(lead_.hand_overs()),
+    t.ctx.time.after(max_job_read_time(lead_.recent_handovers()),
         t.guarded([&p, term_started = t.now()] { p.hand_over_if_unread(term_started); }));
     p.tick();
     p.tick_pending();
@@ -337,7 +337,7 @@
 /// state then.
 std::vector<std::string> fleet_driver::explain_job(const std::string& id) const
 {
-    if (parts_ == nullptr || !lead_.holds())
+    if (parts_ == nullptr || !lead_.holds_lease())
     {
         return {};
     }
--- a/libs/hosted/src/load_monitor.cpp
+++ b/libs/hosted/src/load_monitor.cpp
@@ -70,7 +70,7 @@
     const auto now = term_.now();
     term_.load.timer_delays.add(now, now - probe_due_);
     overdue_ += now - probe_due_;
-    lag_monitor_.see_timer(now, now - probe_due_);
+    lag_monitor_.record_timer_delay(now, now - probe_due_);
     probe_sockets(now);
     on_delay_(std::max(
         now - probe_due_, socket_probe_sent_at_ ? now - *socket_probe_sent_at_ : core::micros{0}));
@@ -118,7 +118,7 @@
     m.max_timer_delay = max_delay(term_.load.timer_delays);
     m.max_socket_delay = max_delay(term_.load.socket_delays);
     m.overdue = std::chrono::round<core::millis>(std::exchange(overdue_, core::micros{0}));
-    m.lease_age = term_.lead->take_lease_age();
+    m.lease_age = term_.lead->take_max_lease_age();
     m.intake_age = std::chrono::duration_cast<core::millis>(now - term_.last_job_answer_at());
     if (term_.ctx.processor_time)
     {
--- a/libs/hosted/src/load_monitor.hpp
+++ b/libs/hosted/src/load_monitor.hpp
@@ -3,7 +3,7 @@
 /// second.
 #pragma once
 
-#include "pace_watch.hpp"
+#include "lag_monitor.hpp"
 #include "term.hpp"
 
 #include <optional>
@@ -39,7 +39,7 @@
     core::mono_time reported_at_;
     core::micros processor_at_report_{0}; ///< processor time used until the latest report
     core::micros overdue_{0};             ///< sum of the timers' delays since the latest report
-    pace_watch lag_monitor_;
+    lag_monitor lag_monitor_;
 };
 
 } // namespace camphorhitch::hosted
--- a/libs/hosted/src/machine_controller.cpp
+++ b/libs/hosted/src/machine_controller.cpp
@@ -189,7 +189,7 @@
 
 void machine_controller::send_move(const coordinator::move_action& a)
 {
-    if (!term_.lead->holds())
+    if (!term_.lead->holds_lease())
     {
         // The order is not sent; the move is ordered again once a renewal of the lease is answered.
         coordinator::task_events out;
--- a/libs/hosted/src/relay_registry.cpp
+++ b/libs/hosted/src/relay_registry.cpp
@@ -205,7 +205,7 @@
 {
     follower_settings s;
     s.prefix = relay_prefix;
-    s.pause = settings.min_follow_interval;
+    s.watch_delay = settings.min_follow_interval;
     follower_events events;
     events.on_all = [this](const std::vector<ports::stored_item>& all)
     {
--- a/libs/hosted/src/repeated_order.cpp
+++ b/libs/hosted/src/repeated_order.cpp
@@ -60,7 +60,7 @@
         t->guarded(
             [self = shared_from_this(), &t = *t, due]
             {
-                if (self->reported || !t.lead->holds())
+                if (self->reported || !t.lead->holds_lease())
                 {
                     return;
                 }
--- a/libs/hosted/src/runner_controller.cpp
+++ b/libs/hosted/src/runner_controller.cpp
@@ -109,7 +109,7 @@
 
 void runner_controller::start(const coordinator::start_action& a)
 {
-    if (!term_.lead->holds())
+    if (!term_.lead->holds_lease())
     {
         // Checked for each order: sending the orders before it may have outlasted the lease.
         handle_start_answer(a, {runner_verdict::not_sent, -1});
@@ -193,7 +193,7 @@
 
 void runner_controller::stop(const coordinator::stop_action& a)
 {
-    if (!term_.lead->holds())
+    if (!term_.lead->holds_lease())
     {
         handle_stop_answer(a, {runner_verdict::not_sent, -1});
         return;
@@ -214,7 +214,7 @@
 
 void runner_controller::stop_orphaned_runs()
 {
-    if (!term_.lead->holds())
+    if (!term_.lead->holds_lease())
     {
         return; // the orphaned runs stay listed
     }
--- a/libs/hosted/src/runner_controller_polls.cpp
+++ b/libs/hosted/src/runner_controller_polls.cpp
@@ -98,7 +98,8 @@
 void runner_controller::poll(const std::string& host)
 {
     const auto found = term_.fleet.hosts.find(host);
-    if (found == term_.fleet.hosts.end() || !term_.lead->holds() || !needs_polls(found->second))
+    if (found == term_.fleet.hosts.end() || !term_.lead->holds_lease() ||
+        !needs_polls(found->second))
     {
         polling_.erase(host);
         return;
@@ -159,7 +160,7 @@
 void runner_controller::renew(const std::string& host, core::mono_time sent_at, core::mono_time due)
 {
     const auto found = term_.fleet.hosts.find(host);
-    if (!is_open(host, sent_at) || found == term_.fleet.hosts.end() || !term_.lead->holds())
+    if (!is_open(host, sent_at) || found == term_.fleet.hosts.end() || !term_.lead->holds_lease())
     {
         return;
     }
--- a/libs/hosted/src/takeover_lease_renewer.cpp
+++ b/libs/hosted/src/takeover_lease_renewer.cpp
@@ -40,7 +40,7 @@
 void takeover_lease_renewer::renew(const std::string& host)
 {
     const auto found = term_.fleet.hosts.find(host);
-    if (stopped_ || found == term_.fleet.hosts.end() || !term_.lead->holds())
+    if (stopped_ || found == term_.fleet.hosts.end() || !term_.lead->holds_lease())
     {
         return;
     }
--- a/libs/hosted/src/wave_controller.cpp
+++ b/libs/hosted/src/wave_controller.cpp
@@ -105,7 +105,7 @@
         auto& w = position->second.wave;
         w.number = it.number;
         w.machines = it.machines;
-        w.max_at_once = it.most_at_once;
+        w.max_at_once = it.max_at_once;
         w.request_read_at = term_.now();
         w.due = w.request_read_at + it.duration;
         position->second.due_unix_ms =
@@ -114,7 +114,7 @@
             "wave_taken",
             {{"wave", std::to_string(it.number)},
                 {"machines", std::to_string(it.machines.size())},
-                {"at_once", std::to_string(it.most_at_once)},
+                {"at_once", std::to_string(it.max_at_once)},
                 {"duration_ms", std::to_string(it.duration.count())}});
         load_record(it.number);
     }
@@ -209,7 +209,7 @@
 
 void wave_controller::order_maintenance(std::int64_t number, const std::string& machine)
 {
-    if (!term_.lead->holds())
+    if (!term_.lead->holds_lease())
     {
         // The term may continue once a renewal of the lease is answered. If the order were dropped,
         // it would never be sent for this machine.
--- a/libs/hosted/tests/lagging_coordinator_tests.cpp
+++ b/libs/hosted/tests/lagging_coordinator_tests.cpp
@@ -242,7 +242,7 @@
     stall = true;
     c.time.run_for(5s);
     CHECK(!stall);
-    CHECK(coordinator_node.lead->holds());
+    CHECK(coordinator_node.lead->holds_lease());
     CHECK(token == coordinator_node.lead->token());
 }
 
@@ -260,7 +260,7 @@
     const auto token = coordinator_node.lead->token();
     coordinator_node.cpu->stall_for(1500ms);
     c.time.run_for(1600ms);
-    CHECK(!coordinator_node.lead->holds());
+    CHECK(!coordinator_node.lead->holds_lease());
     CHECK(c.has_leader());
     CHECK(token != c.leader()->lead->token());
 }
