--- a/libs/http/include/http/client.hpp
+++ b/libs/http/include/http/client.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// HTTP/1.1 client on the event loop, over curl's multi-socket interface. Fills ports::http_client.
+/// HTTP/1.1 client on the event loop, based on curl's multi-socket interface. Implements
+/// ports::http_client.
 #pragma once
 
 #include "ports/http.hpp"
@@ -13,35 +14,40 @@
 namespace camphorhitch::http
 {
 
+/// Limits of one client.
 struct client_limits
 {
-    /// More calls to one address wait, within their timeouts; 0: no bound.
-    std::size_t most_connections_per_host = 64;
-    std::size_t most_idle_connections = 1024;
-    /// A connection idle for longer is not used again, because something in between may have
-    /// forgotten it. Rounded up to seconds.
-    core::millis longest_idle{10000};
-    /// A connection whose bytes stay without acknowledgement for longer is given up.
-    core::millis longest_unacknowledged{3000};
-    reactor::urgency urgency = reactor::urgency::usual; ///< of what comes in
+    /// Further calls to the same address wait for a connection, within their timeouts; 0: no limit.
+    std::size_t max_connections_per_host = 64;
+    /// Connections that are kept open for reuse, for all addresses together.
+    std::size_t max_idle_connections = 1024;
+    /// A connection that has been idle for longer is not reused, because a device on the network
+    /// path may have dropped it. Rounded up to seconds.
+    core::millis max_idle_time{10000};
+    /// A connection is closed when sent data stays unacknowledged for longer.
+    core::millis max_unacknowledged_time{3000};
+    /// Priority with which the event loop handles the sockets of the client.
+    reactor::urgency urgency = reactor::urgency::normal;
 };
 
-/// A call whose answer comes in parts, for as long as it takes.
+/// A call whose answer is delivered in parts and may last indefinitely.
 struct stream_call
 {
-    ports::http_call call; ///< total_timeout and largest_answer don't count
-    /// The call ends when no byte came for so long.
-    core::millis longest_silence{30000};
+    ports::http_call call; ///< total_timeout and largest_answer are ignored
+    /// The call ends when no byte has been received for this long.
+    core::millis idle_timeout{30000};
+    /// Called with each received part of the answer's body.
     std::function<void(std::string_view chunk)> on_chunk;
-    /// Called once unless cancelled; the answer's body is empty.
+    /// Called once, unless the call is cancelled. The body of the answer in the outcome is empty.
     std::function<void(ports::http_outcome)> on_end;
 };
 
 class client_builder;
 struct client_state;
 
-/// Holds a pool of connections. The loop must outlive it; it must not be destroyed inside a
-/// callback of its own. Pending calls are dropped without a callback when it is destroyed.
+/// An HTTP client with a pool of connections. The event loop must outlive the client. The client
+/// must not be destroyed inside one of its callbacks. When the client is destroyed, open calls end
+/// without a callback.
 class client
 {
 public:
@@ -51,11 +57,12 @@
     client& operator=(client&&) noexcept;
     ~client();
 
-    /// The port struct; its functions are good while the client lives. No callback runs inside
-    /// send. A request is never sent twice for one call.
+    /// \return the port, whose functions are valid while the client exists. send() never calls a
+    /// callback itself. The request of a call is never sent twice.
     ports::http_client port() const;
 
-    /// \return an id that port().cancel takes.
+    /// Starts a call with a streamed answer.
+    /// \return an id that port().cancel() accepts
     ports::call_id stream(stream_call call);
 
 private:
@@ -65,6 +72,7 @@
     std::unique_ptr<client_state> state_;
 };
 
+/// Creates a client. The loop is required.
 class client_builder
 {
 public:
--- a/libs/http/include/http/server.hpp
+++ b/libs/http/include/http/server.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// HTTP/1.1 server on the event loop, over libmicrohttpd. Fills ports::http_server.
+/// HTTP/1.1 server on the event loop, based on libmicrohttpd. Implements ports::http_server.
 #pragma once
 
 #include "core/result.hpp"
@@ -13,26 +13,28 @@
 namespace camphorhitch::http
 {
 
-/// Tells a caller what became of its request; every refusal of the server itself carries it.
+/// Header field that states the outcome of a request. Every refusal that the server itself makes
+/// has this field.
 inline constexpr const char* outcome_field = "Camphorhitch-Outcome";
 inline constexpr const char* outcome_not_run = "not-run";
 
-/// Bounds of one server. What is over them is refused before the owner hears of it.
+/// Limits of one server. A request beyond a limit is refused without a call of on_request.
 struct server_limits
 {
-    std::size_t largest_body = std::size_t{1} << 20;    ///< bytes; 413 above
-    std::size_t largest_header = std::size_t{16} << 10; ///< bytes; 431 above
-    std::size_t most_connections = 1024;                ///< 503 above
-    std::size_t most_exchanges = 512;                   ///< open at once; 503 above
-    core::millis idle_timeout{60000};    ///< without a request the connection is closed
-    core::millis request_timeout{10000}; ///< from request line to end of body; 408 after
-    core::millis retry_after{1000};      ///< sent with 503, rounded up to seconds
+    std::size_t max_body_size = std::size_t{1} << 20;    ///< bytes; a larger body gets 413
+    std::size_t max_header_size = std::size_t{16} << 10; ///< bytes; a larger header gets 431
+    std::size_t max_connections = 1024;  ///< requests on further connections get 503
+    std::size_t max_exchanges = 512;     ///< open exchanges; further requests get 503
+    core::millis idle_timeout{60000};    ///< a connection without a request is closed after this
+    core::millis request_timeout{10000}; ///< from the request line to the end of the body; then 408
+    core::millis retry_after{1000};      ///< Retry-After of a 503, rounded up to seconds
 };
 
 class server_builder;
 struct server_state;
 
-/// Listens until destroyed. The loop and the owner of the events must outlive it.
+/// An HTTP server that listens until it is destroyed. The event loop and the objects that the event
+/// callbacks use must outlive the server.
 class server
 {
 public:
@@ -42,7 +44,7 @@
     server& operator=(server&&) noexcept;
     ~server();
 
-    /// The port struct; its functions are good while the server lives.
+    /// \return the port, whose functions are valid while the server exists.
     ports::http_server port() const;
 
 private:
@@ -52,17 +54,19 @@
     std::unique_ptr<server_state> state_;
 };
 
+/// Creates a server. The loop, the address and both event callbacks are required.
 class server_builder
 {
 public:
     server_builder& loop(reactor::event_loop& it);
-    /// \param text "ip:port"; port 0 takes a free one
+    /// \param text "ip:port"; port 0 selects a free port
     server_builder& address(std::string text);
     server_builder& events(ports::http_events it);
     server_builder& limits(server_limits it);
-    /// Fields that every answer carries, refusals included.
+    /// Header fields that are added to every answer, including refusals.
     server_builder& extra_fields(ports::http_fields it);
-    /// Starts to listen.
+    /// Starts listening. No callback is called before the event loop runs.
+    /// \return an error when the address is invalid or can't be listened on
     core::result<server> build() const;
 
 private:
--- a/libs/http/src/client.cpp
+++ b/libs/http/src/client.cpp
@@ -36,9 +36,9 @@
 ports::call_id client::stream(stream_call call)
 {
     auto it = std::make_unique<transfer>();
-    it->streams = true;
+    it->is_stream = true;
     it->call = std::move(call.call);
-    it->longest_silence = call.longest_silence;
+    it->idle_timeout = call.idle_timeout;
     it->on_chunk = std::move(call.on_chunk);
     it->on_end = std::move(call.on_end);
     return state_->start(std::move(it));
--- a/libs/http/src/client_state.cpp
+++ b/libs/http/src/client_state.cpp
@@ -13,9 +13,10 @@
 namespace
 {
 
-constexpr std::size_t most_spare_handles = 128;
-/// Of one answer at its timeout, 16 KB each at least: 1 MB, the most that a service sends.
-constexpr int most_readings = 64;
+constexpr std::size_t max_idle_handles = 128;
+/// Maximum number of reads for one answer at its timeout. Each read takes at least 16 KB, which
+/// gives 1 MB, the largest answer of any service.
+constexpr int max_reads = 64;
 
 void start_curl_once()
 {
@@ -23,26 +24,27 @@
     std::call_once(once, [] { curl_global_init(CURL_GLOBAL_DEFAULT); });
 }
 
-/// \param fd CURL_SOCKET_BAD: the transfer waits for none any more
-void note_socket(CURL* easy, curl_socket_t fd, core::mono_time now)
+/// Records the socket that curl waits for.
+/// \param fd CURL_SOCKET_BAD: the transfer no longer waits for a socket
+void record_socket(CURL* easy, curl_socket_t fd, core::mono_time now)
 {
     transfer* it = nullptr;
     curl_easy_getinfo(easy, CURLINFO_PRIVATE, &it);
     if (it != nullptr && it->socket != fd)
     {
         it->socket = fd;
-        it->socket_since = now;
+        it->waiting_on_socket_since = now;
     }
 }
 
-/// \return curl's mask of what the transfer's socket is ready for now; 0: nothing.
+/// \return curl's mask of the operations that the transfer's socket is ready for; 0: none.
 int readiness(const transfer& it)
 {
     if (it.socket == CURL_SOCKET_BAD)
     {
         return 0;
     }
-    const short wanted = it.began ? POLLIN : POLLIN | POLLOUT;
+    const short wanted = it.request_started ? POLLIN : POLLIN | POLLOUT;
     pollfd fd{it.socket, wanted, 0};
     if (::poll(&fd, 1, 0) <= 0)
     {
@@ -68,9 +70,8 @@
     curl_multi_setopt(multi_, CURLMOPT_TIMERDATA, this);
     curl_multi_setopt(multi_, CURLMOPT_PIPELINING, static_cast<long>(CURLPIPE_NOTHING));
     curl_multi_setopt(
-        multi_, CURLMOPT_MAX_HOST_CONNECTIONS, static_cast<long>(limits.most_connections_per_host));
-    curl_multi_setopt(
-        multi_, CURLMOPT_MAXCONNECTS, static_cast<long>(limits.most_idle_connections));
+        multi_, CURLMOPT_MAX_HOST_CONNECTIONS, static_cast<long>(limits.max_connections_per_host));
+    curl_multi_setopt(multi_, CURLMOPT_MAXCONNECTS, static_cast<long>(limits.max_idle_connections));
 }
 
 client_state::~client_state()
@@ -79,7 +80,7 @@
     {
         cancel(transfers_.begin()->first);
     }
-    for (auto* it : spare_)
+    for (auto* it : idle_handles_)
     {
         curl_easy_cleanup(it);
     }
@@ -90,7 +91,7 @@
 int client_state::on_socket(CURL* easy, curl_socket_t fd, int what, void* cls, void*)
 {
     auto& self = *static_cast<client_state*>(cls);
-    note_socket(easy, what == CURL_POLL_REMOVE ? CURL_SOCKET_BAD : fd, self.time.now());
+    record_socket(easy, what == CURL_POLL_REMOVE ? CURL_SOCKET_BAD : fd, self.time.now());
     const bool read = what == CURL_POLL_IN || what == CURL_POLL_INOUT;
     const bool write = what == CURL_POLL_OUT || what == CURL_POLL_INOUT;
     self.loop.watch_fd(
@@ -102,7 +103,7 @@
             int mask = it.readable ? CURL_CSELECT_IN : 0;
             mask |= it.writable ? CURL_CSELECT_OUT : 0;
             mask |= it.failed ? CURL_CSELECT_ERR : 0;
-            self.act(fd, mask);
+            self.run_socket_action(fd, mask);
         },
         self.limits.urgency);
     return 0;
@@ -118,22 +119,22 @@
         const auto fn = [&self]
         {
             self.timer_ = 0;
-            self.act(CURL_SOCKET_TIMEOUT, 0);
+            self.run_socket_action(CURL_SOCKET_TIMEOUT, 0);
         };
         self.timer_ = self.time.after(core::millis{wait}, fn);
     }
     return 0;
 }
 
-void client_state::act(curl_socket_t fd, int mask)
+void client_state::run_socket_action(curl_socket_t fd, int mask)
 {
     int running = 0;
     curl_multi_socket_action(multi_, fd, mask, &running);
-    give_chunks();
-    finish();
+    deliver_chunks();
+    handle_finished_transfers();
 }
 
-void client_state::finish()
+void client_state::handle_finished_transfers()
 {
     int left = 0;
     while (const auto* message = curl_multi_info_read(multi_, &left))
@@ -142,32 +143,32 @@
         {
             transfer* it = nullptr;
             curl_easy_getinfo(message->easy_handle, CURLINFO_PRIVATE, &it);
-            end(it->id, message->data.result);
+            end_transfer(it->id, message->data.result);
         }
     }
 }
 
-void client_state::end(ports::call_id id, CURLcode code)
+void client_state::end_transfer(ports::call_id id, CURLcode code)
 {
-    give_chunk(*transfers_.at(id));
+    deliver_chunk(*transfers_.at(id));
     const auto found = transfers_.find(id);
     if (found == transfers_.end())
     {
-        return; // cancelled by its own last chunk
+        return; // cancelled by the callback for its last chunk
     }
-    // Out of the table first: the callback may start and cancel calls.
+    // The transfer is removed first because the callback may start and cancel calls.
     const auto it = std::move(found->second);
     transfers_.erase(found);
-    auto outcome = judge(*it, code, time.now());
+    auto outcome = make_outcome(*it, code, time.now());
     curl_multi_remove_handle(multi_, it->easy);
-    put_handle(it->easy);
+    release_handle(it->easy);
     cancel_timers(*it);
     it->on_end(std::move(outcome));
 }
 
-void client_state::give_chunks()
+void client_state::deliver_chunks()
 {
-    // A copy: a callback may cancel this stream or start another.
+    // A copy, since a callback may cancel the stream or start another.
     const auto ids = streams_;
     for (const auto id : ids)
     {
@@ -178,74 +179,76 @@
         }
         else
         {
-            give_chunk(*it->second);
+            deliver_chunk(*it->second);
         }
     }
 }
 
-void client_state::give_chunk(transfer& it)
+void client_state::deliver_chunk(transfer& it)
 {
-    if (!it.pending.empty())
+    if (!it.undelivered.empty())
     {
-        const auto chunk = std::exchange(it.pending, {});
-        const auto fn = it.on_chunk; // the transfer may be cancelled inside
+        const auto chunk = std::exchange(it.undelivered, {});
+        const auto fn = it.on_chunk; // a copy, since the callback may cancel the transfer
         it.last_byte = time.now();
         fn(chunk);
     }
 }
 
-void client_state::watch_silence(transfer& it)
+void client_state::schedule_idle_check(transfer& it)
 {
     const auto since = std::chrono::duration_cast<core::millis>(time.now() - it.last_byte);
-    const auto wait = it.longest_silence - since + core::millis{1};
-    it.silence_timer = time.after(wait, [this, id = it.id] { check_silence(id); });
+    const auto wait = it.idle_timeout - since + core::millis{1};
+    it.idle_timer = time.after(wait, [this, id = it.id] { check_idle(id); });
 }
 
-void client_state::check_silence(ports::call_id id)
+void client_state::check_idle(ports::call_id id)
 {
-    auto* const it = read_what_came(id);
+    auto* const it = read_received_data(id);
     if (it == nullptr)
     {
         return;
     }
-    if (time.now() - it->last_byte < it->longest_silence)
+    if (time.now() - it->last_byte < it->idle_timeout)
     {
-        watch_silence(*it);
+        schedule_idle_check(*it);
         return;
     }
-    it->silent = true;
-    end(id, CURLE_OPERATION_TIMEDOUT);
+    it->idle_timed_out = true;
+    end_transfer(id, CURLE_OPERATION_TIMEDOUT);
 }
 
-/// Timeouts are kept here and not by curl, which gives a call up at its timeout without looking
-/// whether the answer has come: a process that is late itself would take its own delay for the
-/// other's silence. Each is judged only after the socket was read, which is enough, as what came in
-/// time lies there.
-/// One timer serves both, as nearly every call has ended before the first of them.
-void client_state::watch_deadline(transfer& it)
+/// Schedules the check of the connect timeout and the total timeout. curl's own timeouts are not
+/// used: curl aborts a call at its timeout without checking whether the answer has arrived, so a
+/// process that is itself delayed would mistake its own delay for a target that does not answer.
+/// Here a timeout is evaluated only after the socket has been read. That is sufficient, since data
+/// that arrived in time is in the socket's buffer.
+/// One timer serves both timeouts, as nearly every call has ended before the first of them.
+void client_state::schedule_deadline_check(transfer& it)
 {
-    if (it.streams && it.began)
+    if (it.is_stream && it.request_started)
     {
         return;
     }
-    auto wait = it.streams ? core::micros::max() : total_left(it);
-    if (!it.began)
+    auto wait = it.is_stream ? core::micros::max() : total_time_left(it);
+    if (!it.request_started)
     {
-        wait = std::min(wait, connect_left(it));
+        wait = std::min(wait, connect_time_left(it));
     }
     it.deadline_timer = time.after(
         std::chrono::ceil<core::millis>(wait), [this, id = it.id] { check_deadline(id); });
 }
 
-core::micros client_state::total_left(const transfer& it) const
+core::micros client_state::total_time_left(const transfer& it) const
 {
     return it.call.total_timeout - (time.now() - it.started);
 }
 
-/// Without a socket it still waits for a connection of the pool, which is not connecting.
-core::micros client_state::connect_left(const transfer& it) const
+/// A transfer without a socket still waits for a pooled connection. That time does not count
+/// towards the connect timeout.
+core::micros client_state::connect_time_left(const transfer& it) const
 {
-    const auto since = it.socket == CURL_SOCKET_BAD ? time.now() : it.socket_since;
+    const auto since = it.socket == CURL_SOCKET_BAD ? time.now() : it.waiting_on_socket_since;
     return it.call.connect_timeout - (time.now() - since);
 }
 
@@ -253,25 +256,25 @@
 {
     auto& it = *transfers_.at(id);
     it.deadline_timer = 0;
-    const bool call_over = !it.streams && total_left(it).count() <= 0;
-    const bool connect_over = !it.began && connect_left(it).count() <= 0;
-    auto* const still = call_over || connect_over ? read_what_came(id) : &it;
+    const bool call_over = !it.is_stream && total_time_left(it).count() <= 0;
+    const bool connect_over = !it.request_started && connect_time_left(it).count() <= 0;
+    auto* const still = call_over || connect_over ? read_received_data(id) : &it;
     if (still == nullptr)
     {
         return;
     }
-    if (call_over || (connect_over && !still->began))
+    if (call_over || (connect_over && !still->request_started))
     {
-        end(id, CURLE_OPERATION_TIMEDOUT);
+        end_transfer(id, CURLE_OPERATION_TIMEDOUT);
         return;
     }
-    watch_deadline(*still);
+    schedule_deadline_check(*still);
 }
 
-transfer* client_state::read_what_came(ports::call_id id)
+transfer* client_state::read_received_data(ports::call_id id)
 {
-    // curl takes a part at a time; a long answer lies there in several.
-    for (int i = 0; i < most_readings; ++i)
+    // curl reads a limited amount at a time, so a long answer needs several reads.
+    for (int i = 0; i < max_reads; ++i)
     {
         const auto found = transfers_.find(id);
         const int ready = found == transfers_.end() ? 0 : readiness(*found->second);
@@ -279,7 +282,7 @@
         {
             break;
         }
-        act(found->second->socket, ready);
+        run_socket_action(found->second->socket, ready);
     }
     const auto found = transfers_.find(id);
     return found == transfers_.end() ? nullptr : found->second.get();
@@ -287,7 +290,7 @@
 
 void client_state::cancel_timers(const transfer& it)
 {
-    for (const auto id : {it.silence_timer, it.deadline_timer})
+    for (const auto id : {it.idle_timer, it.deadline_timer})
     {
         time.cancel(id);
     }
@@ -301,47 +304,48 @@
     it.started = time.now();
     it.last_byte = it.started;
     transfers_.emplace(it.id, std::move(made));
-    const auto fault = request_fault(it.call);
-    it.easy = take_handle();
+    const auto fault = find_request_fault(it.call);
+    it.easy = acquire_handle();
     if (!fault.empty())
     {
-        refuse_later(it, fault);
+        fail_later(it, fault);
         return it.id;
     }
-    prepare(it, limits.longest_unacknowledged);
-    const auto idle = std::chrono::ceil<std::chrono::seconds>(limits.longest_idle).count();
+    configure_handle(it, limits.max_unacknowledged_time);
+    const auto idle = std::chrono::ceil<std::chrono::seconds>(limits.max_idle_time).count();
     curl_easy_setopt(it.easy, CURLOPT_MAXAGE_CONN, std::max(1L, static_cast<long>(idle)));
-    if (it.streams)
+    if (it.is_stream)
     {
         streams_.push_back(it.id);
-        watch_silence(it);
+        schedule_idle_check(it);
     }
-    watch_deadline(it);
+    schedule_deadline_check(it);
     const auto id = it.id;
     curl_multi_add_handle(multi_, it.easy);
     if (limits.urgency == reactor::urgency::urgent)
     {
-        // Sent by the timer that curl asks for, it would wait until a loop that is behind has gone
-        // through all that is ready. The end is told by that timer, as of any call.
+        // The request is sent now. If it were sent by the timer that curl requests, an overloaded
+        // loop would first handle all descriptors that are ready. The end of the call is still
+        // reported by that timer, as for every call.
         int running = 0;
         curl_multi_socket_action(multi_, CURL_SOCKET_TIMEOUT, 0, &running);
     }
     return id;
 }
 
-void client_state::refuse_later(transfer& it, const std::string& fault)
+void client_state::fail_later(transfer& it, const std::string& fault)
 {
     const auto fn = [this, id = it.id, fault]
     {
         const auto made = std::move(transfers_.at(id));
         transfers_.erase(id);
-        put_handle(made->easy);
+        release_handle(made->easy);
         ports::http_outcome out;
         out.end = ports::call_end::not_sent;
         out.detail = fault;
         made->on_end(std::move(out));
     };
-    it.silence_timer = time.after(core::millis{0}, fn);
+    it.idle_timer = time.after(core::millis{0}, fn);
 }
 
 void client_state::cancel(ports::call_id id)
@@ -354,29 +358,29 @@
     const auto it = std::move(found->second);
     transfers_.erase(found);
     cancel_timers(*it);
-    // Taking a handle out amid its transfer closes the connection. That is the safeguard: were it
-    // kept, the late answer would be read as the answer to the next call.
+    // Removing a handle during its transfer closes the connection. This is essential: on a reused
+    // connection, the late answer would be read as the answer to the next call.
     curl_multi_remove_handle(multi_, it->easy);
-    put_handle(it->easy);
+    release_handle(it->easy);
 }
 
-CURL* client_state::take_handle()
+CURL* client_state::acquire_handle()
 {
-    if (spare_.empty())
+    if (idle_handles_.empty())
     {
         return curl_easy_init();
     }
-    auto* const out = spare_.back();
-    spare_.pop_back();
+    auto* const out = idle_handles_.back();
+    idle_handles_.pop_back();
     return out;
 }
 
-void client_state::put_handle(CURL* easy)
+void client_state::release_handle(CURL* easy)
 {
-    if (spare_.size() < most_spare_handles)
+    if (idle_handles_.size() < max_idle_handles)
     {
         curl_easy_reset(easy);
-        spare_.push_back(easy);
+        idle_handles_.push_back(easy);
     }
     else
     {
--- a/libs/http/src/endpoint.hpp
+++ b/libs/http/src/endpoint.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Addresses of the form "ip:port".
+/// Parsing of addresses of the form "ip:port".
 #pragma once
 
 #include <cstdint>
@@ -10,16 +10,17 @@
 namespace camphorhitch::http
 {
 
+/// A socket address.
 struct endpoint
 {
     sockaddr_storage address{};
     socklen_t length = 0;
 };
 
-/// \return nothing when \p text is no address; see http/address.hpp.
+/// \return the address, or nothing when \p text is invalid; see http/address.hpp.
 std::optional<endpoint> parse_endpoint(const std::string& text);
 
-/// \return the local port of a bound socket, or 0.
+/// \return the local port of a bound socket; 0 on failure.
 std::uint16_t local_port(int fd);
 
 } // namespace camphorhitch::http
--- a/libs/http/src/fields.hpp
+++ b/libs/http/src/fields.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Rules about header fields that server and client share.
+/// Rules for header fields, used by the server and the client.
 #pragma once
 
 #include "ports/http.hpp"
@@ -11,19 +11,20 @@
 namespace camphorhitch::http
 {
 
-/// \return whether the field frames one hop's message, so that each hop must make its own:
-/// a length copied from one message to another is how requests are smuggled.
+/// \return whether the field describes the framing of a message on one connection, so that each hop
+/// must generate its own. Copying a length from one message to another enables request smuggling.
 bool is_hop_field(std::string_view name);
 
+/// \return whether two field names are equal, ignoring case.
 bool same_name(std::string_view a, std::string_view b);
 
-/// \return whether a field can be written without breaking out of its line.
+/// \return whether the field consists of valid characters, so that it can't end its line early.
 bool is_safe_field(std::string_view name, std::string_view text);
 
-/// \return whether the text is a token of the HTTP grammar: a method or a field's name.
+/// \return whether \p text is a token of the HTTP grammar, as methods and field names must be.
 bool is_token(std::string_view text);
 
-/// \return the value of Content-Length when there is a well-formed one.
+/// \return the value of Content-Length; nothing when the field is missing or malformed.
 std::optional<std::uint64_t> content_length(const ports::http_fields& fields);
 
 } // namespace camphorhitch::http
--- a/libs/http/src/refusal.cpp
+++ b/libs/http/src/refusal.cpp
@@ -41,7 +41,7 @@
     }
     text += "Connection: close\r\nContent-Length: " + std::to_string(refusal.body.size()) +
             "\r\n\r\n" + refusal.body;
-    // A caller that has no room for one small answer loses it: waiting would stall the loop.
+    // The answer is lost when the socket's send buffer is full, since waiting would block the loop.
     ::send(fd, text.data(), text.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
     ::shutdown(fd, SHUT_RDWR);
 }
--- a/libs/http/src/answer.cpp
+++ b/libs/http/src/response.cpp
@@ -1,4 +1,4 @@
-// Reading a target's answer, and judging what became of the call.
+// Parses the answer of a target and determines the outcome of the call.
 #include "fields.hpp"
 #include "transfer.hpp"
 
@@ -10,22 +10,22 @@
 namespace
 {
 
-constexpr std::size_t largest_reserve = std::size_t{1} << 20; // bytes
-constexpr int lowest_final = 200;
-constexpr int highest_final = 599;
+constexpr std::size_t max_reserved_size = std::size_t{1} << 20; // bytes
+constexpr int min_final_status = 200;
+constexpr int max_final_status = 599;
 
-std::size_t refuse_more(transfer& it)
+std::size_t abort_answer(transfer& it)
 {
-    it.deaf = true;
+    it.answer_too_large = true;
     return 0;
 }
 
-bool is_too_much(const transfer& it, std::size_t n)
+bool exceeds_limit(const transfer& it, std::size_t n)
 {
-    return !it.streams && it.received + n > it.call.largest_answer;
+    return !it.is_stream && it.received + n > it.call.largest_answer;
 }
 
-/// Starts the answer anew at each status line: interim answers (1xx) come before the final one.
+/// Resets the answer at each status line, since interim answers (1xx) precede the final one.
 void read_status_line(transfer& it)
 {
     it.response = {};
@@ -42,19 +42,19 @@
     it.response.fields.emplace_back(line.substr(0, colon), text);
 }
 
-/// \return whether the body that the header announces is within the bound.
+/// \return whether the length that the header announces is within the limit.
 bool expect_body(transfer& it)
 {
     const auto length = content_length(it.response.fields).value_or(0);
-    if (it.streams || it.call.request.method == "HEAD")
+    if (it.is_stream || it.call.request.method == "HEAD")
     {
         return true;
     }
-    it.response.body.reserve(std::min<std::uint64_t>(length, largest_reserve));
+    it.response.body.reserve(std::min<std::uint64_t>(length, max_reserved_size));
     return length <= it.call.largest_answer;
 }
 
-bool is_malformed(CURLcode code)
+bool is_protocol_error(CURLcode code)
 {
     switch (code)
     {
@@ -69,8 +69,8 @@
     }
 }
 
-/// \return whether the end of the answer's body was marked. A body that ends when the connection
-/// does can't be told from one that was cut off, so it counts as broken.
+/// \return whether the answer defines the end of its body. A body that ends with the connection
+/// can't be distinguished from a truncated one, so it counts as broken.
 bool has_marked_end(const transfer& it)
 {
     const auto& answer = it.response;
@@ -82,42 +82,43 @@
            ports::find_field(answer.fields, "Transfer-Encoding") != nullptr;
 }
 
-ports::call_end judge_whole(const transfer& it, std::string& detail)
+ports::call_end classify_complete(const transfer& it, std::string& detail)
 {
-    if (it.response.status < lowest_final || it.response.status > highest_final)
+    if (it.response.status < min_final_status || it.response.status > max_final_status)
     {
         detail = "not a final status: " + std::to_string(it.response.status);
         return ports::call_end::answer_broken;
     }
-    if (!it.streams && !has_marked_end(it))
+    if (!it.is_stream && !has_marked_end(it))
     {
-        detail = "the answer has neither a length nor chunks, so its end can't be told";
+        detail = "the answer has neither a length nor chunks, so its end is undefined";
         return ports::call_end::answer_broken;
     }
     return ports::call_end::answered;
 }
 
-ports::call_end judge_failure(const transfer& it, CURLcode code, std::string& detail)
+ports::call_end classify_failure(const transfer& it, CURLcode code, std::string& detail)
 {
-    const bool timed_out = code == CURLE_OPERATION_TIMEDOUT || it.silent;
-    detail = it.too_late ? "the time to send it has passed" : curl_easy_strerror(code);
-    if (!it.began || (bytes_sent(it.easy) == 0 && !it.resend_refused))
+    const bool timed_out = code == CURLE_OPERATION_TIMEDOUT || it.idle_timed_out;
+    detail = it.past_latest_start ? "the latest time to send the request has passed"
+                                  : curl_easy_strerror(code);
+    if (!it.request_started || (bytes_sent(it.easy) == 0 && !it.resend_blocked))
     {
         return ports::call_end::not_sent;
     }
-    if (it.resend_refused)
+    if (it.resend_blocked)
     {
         detail = "the connection was closed before the answer";
         return ports::call_end::interrupted;
     }
-    if (it.deaf)
+    if (it.answer_too_large)
     {
         detail = "the answer is too large";
         return ports::call_end::answer_broken;
     }
-    const bool began_answer = it.response.status >= lowest_final && !timed_out;
-    return began_answer || is_malformed(code) ? ports::call_end::answer_broken
-                                              : ports::call_end::interrupted;
+    const bool answer_started = it.response.status >= min_final_status && !timed_out;
+    return answer_started || is_protocol_error(code) ? ports::call_end::answer_broken
+                                                     : ports::call_end::interrupted;
 }
 
 } // namespace
@@ -133,9 +134,9 @@
 {
     auto& it = *static_cast<transfer*>(cls);
     const std::string_view line(data, size * count);
-    if (is_too_much(it, line.size()))
+    if (exceeds_limit(it, line.size()))
     {
-        return refuse_more(it);
+        return abort_answer(it);
     }
     it.received += line.size();
     const auto colon = line.find(':');
@@ -146,7 +147,7 @@
     else if (line == "\r\n" || line == "\n")
     {
         it.in_body = true;
-        return expect_body(it) ? line.size() : refuse_more(it);
+        return expect_body(it) ? line.size() : abort_answer(it);
     }
     else if (!it.in_body && colon != std::string_view::npos)
     {
@@ -159,22 +160,23 @@
 {
     auto& it = *static_cast<transfer*>(cls);
     const std::size_t n = size * count;
-    if (is_too_much(it, n))
+    if (exceeds_limit(it, n))
     {
-        return refuse_more(it);
+        return abort_answer(it);
     }
     it.received += n;
-    (it.streams ? it.pending : it.response.body).append(data, n);
+    (it.is_stream ? it.undelivered : it.response.body).append(data, n);
     return n;
 }
 
-ports::http_outcome judge(transfer& it, CURLcode code, core::mono_time now)
+ports::http_outcome make_outcome(transfer& it, CURLcode code, core::mono_time now)
 {
     ports::http_outcome out;
     long status = 0;
     curl_easy_getinfo(it.easy, CURLINFO_RESPONSE_CODE, &status);
     it.response.status = static_cast<int>(status);
-    out.end = code == CURLE_OK ? judge_whole(it, out.detail) : judge_failure(it, code, out.detail);
+    out.end = code == CURLE_OK ? classify_complete(it, out.detail)
+                               : classify_failure(it, code, out.detail);
     out.response = std::move(it.response);
     out.new_connection = it.new_connection;
     out.elapsed = now - it.started;
--- a/libs/http/src/server.cpp
+++ b/libs/http/src/server.cpp
@@ -29,7 +29,7 @@
     };
     out.open_exchanges = [it]
     {
-        return it->with_owner;
+        return it->exchanges_in_progress;
     };
     out.port = it->port;
     return out;
--- a/libs/http/src/server_state.cpp
+++ b/libs/http/src/server_state.cpp
@@ -18,22 +18,24 @@
 namespace
 {
 
-/// The library accepts some connections a round; a full queue of the kernel takes a few hundred.
-constexpr int most_accept_rounds = 1000;
+/// libmicrohttpd accepts several connections per round. A full listen queue needs a few hundred
+/// rounds.
+constexpr int max_accept_rounds = 1000;
 
-/// Beyond the limit so many connections are still accepted, to be told 503; more wait in the
-/// listen queue until one closes.
-constexpr std::size_t spare_connections = 64;
+/// Number of connections beyond the limit that are accepted and answered with 503. Further
+/// connections wait in the listen queue until one closes.
+constexpr std::size_t extra_connections = 64;
 
-/// libmicrohttpd keeps a connection's header, and half of it the body's next part, in one block.
-/// A header that fills it is refused by the library itself, in its own words.
-constexpr std::size_t pool_per_header = 4;
-constexpr std::size_t smallest_pool = std::size_t{32} << 10; // bytes
+/// libmicrohttpd keeps a connection's header, and in half of the block the next part of the body,
+/// in one memory block. A header that fills the block is refused by libmicrohttpd with its own
+/// text.
+constexpr std::size_t pool_size_per_header = 4;
+constexpr std::size_t min_pool_size = std::size_t{32} << 10; // bytes
 
 constexpr int listen_backlog = 1024;
-constexpr core::millis shortest_sweep{10};
-constexpr core::millis longest_sweep{1000};
-constexpr int closures_at_once = 64;
+constexpr core::millis min_check_interval{10};
+constexpr core::millis max_check_interval{1000};
+constexpr int max_closure_events = 64;
 
 // ---- libmicrohttpd's callbacks ----
 
@@ -79,7 +81,7 @@
     }
 }
 
-/// Paths go to the targets as they came; the library would decode them.
+/// Replaces libmicrohttpd's decoding of paths, which are passed to the targets unchanged.
 std::size_t keep_escapes(void*, MHD_Connection*, char* text)
 {
     return std::strlen(text);
@@ -108,9 +110,9 @@
 
 unsigned write_timeout_seconds(const server_limits& limits)
 {
-    // Longer than the sweep's own limits, so that those come first and can be answered.
-    const auto longest = std::max(limits.idle_timeout, limits.request_timeout) + longest_sweep;
-    return static_cast<unsigned>(std::chrono::ceil<std::chrono::seconds>(longest).count() + 1);
+    // Longer than the limits of check_timeouts(), so that those apply first and can be answered.
+    const auto limit = std::max(limits.idle_timeout, limits.request_timeout) + max_check_interval;
+    return static_cast<unsigned>(std::chrono::ceil<std::chrono::seconds>(limit).count() + 1);
 }
 
 } // namespace
@@ -127,32 +129,33 @@
     events = {[](auto, const auto&) {},
         [](auto) {
         }};
-    time.cancel(sweep_timer_);
+    time.cancel(timeout_check_timer_);
     if (daemon_ != nullptr)
     {
         loop.watch_fd(daemon_fd_, false, false, {});
-        drop_exchanges();
+        end_open_exchanges();
         MHD_stop_daemon(daemon_);
     }
-    if (closures_ >= 0)
+    if (closure_epoll_ >= 0)
     {
-        loop.watch_fd(closures_, false, false, {});
-        ::close(closures_);
+        loop.watch_fd(closure_epoll_, false, false, {});
+        ::close(closure_epoll_);
     }
 }
 
-void server_state::drop_exchanges()
+void server_state::end_open_exchanges()
 {
-    // The library aborts the process when it is stopped with suspended connections. Its last round
-    // may also read requests that have just come: hand_over() refuses those, so none suspends anew.
-    ending_ = true;
+    // libmicrohttpd aborts the process when it is stopped with suspended connections. Its last
+    // round may read requests that have just arrived. hand_over() refuses these, so that no
+    // connection is suspended again.
+    shutting_down_ = true;
     for (auto& [id, it] : exchanges_)
     {
-        it->at = phase::over;
+        it->current_phase = phase::over;
         resume(*it);
     }
     MHD_run(daemon_);
-    time.cancel(work_timer_);
+    time.cancel(daemon_timer_);
 }
 
 std::string server_state::start(const std::string& address)
@@ -168,8 +171,8 @@
         return "can't listen on " + address + ": " + std::strerror(errno);
     }
     port = local_port(fd);
-    closures_ = ::epoll_create1(EPOLL_CLOEXEC);
-    const auto pool = std::max(limits.largest_header * pool_per_header, smallest_pool);
+    closure_epoll_ = ::epoll_create1(EPOLL_CLOEXEC);
+    const auto pool = std::max(limits.max_header_size * pool_size_per_header, min_pool_size);
     daemon_ = MHD_start_daemon(MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME,
         0,
         nullptr,
@@ -181,7 +184,7 @@
         MHD_OPTION_CONNECTION_MEMORY_LIMIT,
         pool,
         MHD_OPTION_CONNECTION_LIMIT,
-        static_cast<unsigned>(limits.most_connections + spare_connections),
+        static_cast<unsigned>(limits.max_connections + extra_connections),
         MHD_OPTION_CONNECTION_TIMEOUT,
         write_timeout_seconds(limits),
         MHD_OPTION_URI_LOG_CALLBACK,
@@ -199,55 +202,58 @@
         MHD_OPTION_STRICT_FOR_CLIENT,
         1,
         MHD_OPTION_END);
-    if (daemon_ == nullptr || closures_ < 0)
+    if (daemon_ == nullptr || closure_epoll_ < 0)
     {
         ::close(fd);
         return "can't start the server on " + address;
     }
     daemon_fd_ = MHD_get_daemon_info(daemon_, MHD_DAEMON_INFO_EPOLL_FD)->epoll_fd;
-    loop.watch_fd(daemon_fd_, true, false, [this](reactor::fd_events) { work(); });
-    loop.watch_fd(closures_, true, false, [this](reactor::fd_events) { watch_closures(); });
-    // On the loop, not here: a caller's request that lies in the listen queue already would come to
-    // the owner before it has this server, and there would be nothing to answer it with.
-    sweep_timer_ = time.after(core::millis{0}, [this] { sweep(); });
+    loop.watch_fd(daemon_fd_, true, false, [this](reactor::fd_events) { run_daemon(); });
+    loop.watch_fd(
+        closure_epoll_, true, false, [this](reactor::fd_events) { read_closure_events(); });
+    // The first run is scheduled on the loop. If it happened here, a request that is already in the
+    // listen queue would reach the handler before build() has returned the server with which the
+    // handler answers.
+    timeout_check_timer_ = time.after(core::millis{0}, [this] { check_timeouts(); });
     return {};
 }
 
-void server_state::work()
+void server_state::run_daemon()
 {
     MHD_run(daemon_);
-    arm();
+    schedule_daemon_run();
 }
 
-void server_state::arm()
+void server_state::schedule_daemon_run()
 {
-    // The library may hold read data, or a connection that has waited too long, that its epoll
-    // descriptor does not show: without the timer such a request would hang.
+    // libmicrohttpd may hold data that it has read, or a connection whose timeout has passed,
+    // without a sign on its epoll descriptor. Without this timer such a request would hang.
     MHD_UNSIGNED_LONG_LONG wait = 0;
-    time.cancel(work_timer_);
-    work_timer_ = 0;
-    if (MHD_get_timeout(daemon_, &wait) == MHD_YES && wait < std::uint64_t(longest_sweep.count()))
+    time.cancel(daemon_timer_);
+    daemon_timer_ = 0;
+    if (MHD_get_timeout(daemon_, &wait) == MHD_YES &&
+        wait < std::uint64_t(max_check_interval.count()))
     {
-        work_timer_ = time.after(core::millis{wait}, [this] { work(); });
+        daemon_timer_ = time.after(core::millis{wait}, [this] { run_daemon(); });
     }
 }
 
-void server_state::sweep()
+void server_state::check_timeouts()
 {
-    // First what lies in the buffers: a process that was paused wakes here, and would close
-    // connections whose requests have come meanwhile.
-    work();
+    // Received data is processed first. A process that was paused resumes here, and would otherwise
+    // close connections whose requests have arrived in the meantime.
+    run_daemon();
     for (auto& it : connections_)
     {
-        sweep_connection(*it.second);
+        check_connection_timeout(*it.second);
     }
-    work();
-    const auto shortest = std::min(limits.idle_timeout, limits.request_timeout) / 4;
-    sweep_timer_ =
-        time.after(std::clamp(shortest, shortest_sweep, longest_sweep), [this] { sweep(); });
+    run_daemon();
+    const auto interval = std::min(limits.idle_timeout, limits.request_timeout) / 4;
+    timeout_check_timer_ = time.after(
+        std::clamp(interval, min_check_interval, max_check_interval), [this] { check_timeouts(); });
 }
 
-void server_state::sweep_connection(connection& it)
+void server_state::check_connection_timeout(connection& it)
 {
     const auto now = time.now();
     auto* const current = it.current;
@@ -259,11 +265,12 @@
         }
         return;
     }
-    const bool reading = current->at == phase::request_line || current->at == phase::body;
-    if (reading && now - current->begun > limits.request_timeout)
+    const bool reading =
+        current->current_phase == phase::request_line || current->current_phase == phase::body;
+    if (reading && now - current->started > limits.request_timeout)
     {
-        // What is still in the library's buffers must not be handed over after the refusal.
-        current->at = phase::over;
+        // A request in libmicrohttpd's buffers must not reach the handler after the refusal.
+        current->current_phase = phase::over;
         refuse_on_socket(it.fd,
             make_refusal(status_request_timeout, "the request did not come whole in time"),
             extra_fields);
@@ -276,14 +283,14 @@
     it->mhd = mhd;
     it->fd = MHD_get_connection_info(mhd, MHD_CONNECTION_INFO_CONNECTION_FD)->connect_fd;
     it->idle_since = time.now();
-    it->over_limit = connections_.size() >= limits.most_connections;
+    it->over_limit = connections_.size() >= limits.max_connections;
     it->id = ++last_connection_;
-    // The library does not look at the socket of a suspended connection, so a caller that
-    // closes while its request is with the owner would not be noticed.
+    // libmicrohttpd does not monitor the socket of a suspended connection, so it would not detect
+    // that a caller disconnects while the handler works on its request.
     epoll_event wanted{};
     wanted.events = EPOLLRDHUP | EPOLLET;
     wanted.data.u64 = it->id;
-    ::epoll_ctl(closures_, EPOLL_CTL_ADD, it->fd, &wanted);
+    ::epoll_ctl(closure_epoll_, EPOLL_CTL_ADD, it->fd, &wanted);
     auto* const out = it.get();
     connections_.emplace(out->id, std::move(it));
     return out;
@@ -291,28 +298,28 @@
 
 void server_state::close_connection(connection& it)
 {
-    ::epoll_ctl(closures_, EPOLL_CTL_DEL, it.fd, nullptr);
+    ::epoll_ctl(closure_epoll_, EPOLL_CTL_DEL, it.fd, nullptr);
     connections_.erase(it.id);
 }
 
-void server_state::watch_closures()
+void server_state::read_closure_events()
 {
-    std::array<epoll_event, closures_at_once> buf{};
-    const int n = ::epoll_wait(closures_, buf.data(), closures_at_once, 0);
+    std::array<epoll_event, max_closure_events> buf{};
+    const int n = ::epoll_wait(closure_epoll_, buf.data(), max_closure_events, 0);
     for (int i = 0; i < n; ++i)
     {
         const auto it = connections_.find(buf[static_cast<std::size_t>(i)].data.u64);
         if (it != connections_.end())
         {
-            on_closed(*it->second);
+            on_peer_closed(*it->second);
         }
     }
 }
 
-/// The kernel has completed connections that the library hasn't accepted yet. Closing the listening
-/// socket resets them, and their callers see a broken call during a planned stop. Taken in first,
-/// they are answered like all others; who connects after the last look is refused by the kernel.
-void server_state::accept_waiting()
+/// Accepts all connections that are waiting in the listen queue. Closing the listening socket would
+/// reset them, and their callers would see a broken call during a planned stop. Once accepted, they
+/// are answered like all others. The kernel refuses callers that connect after the last check.
+void server_state::accept_pending_connections()
 {
     const auto* info = MHD_get_daemon_info(daemon_, MHD_DAEMON_INFO_LISTEN_FD);
     if (info == nullptr)
@@ -320,7 +327,7 @@
         return;
     }
     pollfd listening{info->listen_fd, POLLIN, 0};
-    for (int i = 0; i<most_accept_rounds&& ::poll(&listening, 1, 0)> 0; ++i)
+    for (int i = 0; i<max_accept_rounds&& ::poll(&listening, 1, 0)> 0; ++i)
     {
         MHD_run(daemon_);
     }
@@ -328,10 +335,10 @@
 
 void server_state::stop_accepting()
 {
-    if (!quiesced_)
+    if (!stopped_accepting_)
     {
-        accept_waiting();
-        quiesced_ = true;
+        accept_pending_connections();
+        stopped_accepting_ = true;
         const int fd = MHD_quiesce_daemon(daemon_);
         if (fd >= 0)
         {
--- a/libs/http/src/server_state.hpp
+++ b/libs/http/src/server_state.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Inside of the server: its connections and exchanges, and libmicrohttpd's callbacks.
+/// Implementation of the server: its connections and exchanges, and libmicrohttpd's callbacks. The
+/// handler is the code behind ports::http_events.
 #pragma once
 
 #include "http/server.hpp"
@@ -14,33 +15,35 @@
 struct server_state;
 struct connection;
 
-/// Names a connection; descriptors are reused, these never.
+/// Identifies a connection. Never reused, unlike file descriptors.
 using connection_id = std::uint64_t;
 
-/// Where an exchange stands.
+/// State of an exchange.
 enum class phase
 {
-    request_line, ///< libmicrohttpd is still reading the header
-    body,         ///< the header is whole, the body is being read
-    with_owner,   ///< handed over; no answer yet
-    answered,     ///< the owner has answered; the answer is being written
-    over          ///< the caller has gone, or was refused outside of libmicrohttpd
+    request_line, ///< libmicrohttpd is reading the header
+    body,         ///< the header is complete, the body is being read
+    with_handler, ///< passed to the handler, which has not answered yet
+    answered,     ///< the handler has answered; the answer is being written
+    over          ///< the caller has disconnected, or was refused outside of libmicrohttpd
 };
 
+/// One request and its answer.
 struct exchange
 {
     server_state* server = nullptr;
-    connection* on = nullptr;
+    connection* conn = nullptr;
     ports::exchange_id id = 0;
-    phase at = phase::request_line;
-    core::mono_time begun;
+    phase current_phase = phase::request_line;
+    core::mono_time started;
     ports::http_request request;
     ports::http_response answer;
-    std::size_t discarded = 0; ///< bytes of a body that is read only to be thrown away
-    bool refused = false;      ///< answer is a refusal of ours, due once the body has passed
-    bool suspended = false;
+    std::size_t discarded = 0; ///< bytes that were read of the body of a refused request
+    bool refused = false;      ///< answer holds the server's refusal, which is sent after the body
+    bool suspended = false;    ///< libmicrohttpd's processing of the connection is suspended
 };
 
+/// A connection of a caller.
 struct connection
 {
     connection_id id = 0;
@@ -49,9 +52,10 @@
     exchange* current = nullptr;
     core::mono_time idle_since;
     bool peer_closed = false;
-    bool over_limit = false;
+    bool over_limit = false; ///< beyond max_connections; its requests are refused
 };
 
+/// State of a server.
 struct server_state
 {
     server_state(reactor::event_loop& loop,
@@ -62,11 +66,15 @@
     server_state(const server_state&) = delete;
     server_state& operator=(const server_state&) = delete;
 
-    /// \return an error's text, or an empty string.
+    /// Starts listening.
+    /// \return the text of an error; empty: none
     std::string start(const std::string& address);
+    /// Passes the handler's answer on. Ignored when the exchange is over.
     void respond(ports::exchange_id id, ports::http_response response);
+    /// Closes the listening socket. Open exchanges continue.
     void stop_accepting();
-    void accept_waiting();
+    /// Accepts the connections that wait in the listen queue.
+    void accept_pending_connections();
 
     // ---- called by libmicrohttpd ----
     exchange* begin_exchange(MHD_Connection* mhd, const char* uri);
@@ -82,32 +90,41 @@
     const server_limits limits;
     const ports::http_fields extra_fields;
     std::uint16_t port = 0;
-    std::size_t with_owner = 0; ///< handed over and not yet written out
+    /// Exchanges that were passed to the handler and whose answers are not completely written.
+    std::size_t exchanges_in_progress = 0;
 
 private:
-    void drop_exchanges();
-    void work();
-    void arm();
-    void sweep();
-    void sweep_connection(connection& it);
-    void watch_closures();
-    void on_closed(connection& it);
+    void end_open_exchanges();
+    /// Lets libmicrohttpd process all pending events.
+    void run_daemon();
+    /// Sets the timer for libmicrohttpd's next timeout.
+    void schedule_daemon_run();
+    /// Applies idle_timeout and request_timeout to all connections, periodically.
+    void check_timeouts();
+    void check_connection_timeout(connection& it);
+    void read_closure_events();
+    void on_peer_closed(connection& it);
 
     void read_header(exchange& it, const char* method);
     MHD_Result read_body(exchange& it, const char* upload, std::size_t* upload_size);
+    /// Passes a complete request to the handler.
     MHD_Result hand_over(exchange& it);
+    /// Refuses a request after its header, at once or after its body.
     MHD_Result refuse_early(exchange& it);
+    /// Resumes a suspended connection.
     void resume(exchange& it);
+    /// Passes the answer of an exchange to libmicrohttpd.
     MHD_Result queue_answer(exchange& it);
-    ports::http_response first_fault(const exchange& it) const;
+    /// \return the refusal of a request after its header; status 0: the request is accepted.
+    ports::http_response find_refusal(const exchange& it) const;
 
     MHD_Daemon* daemon_ = nullptr;
     int daemon_fd_ = -1;
-    int closures_ = -1; ///< epoll of all connections, for callers that close
-    bool quiesced_ = false;
-    bool ending_ = false; ///< the owner is gone
-    ports::timer_id work_timer_ = 0;
-    ports::timer_id sweep_timer_ = 0;
+    int closure_epoll_ = -1; ///< epoll descriptor that reports connections closed by the caller
+    bool stopped_accepting_ = false;
+    bool shutting_down_ = false; ///< the handler is no longer available
+    ports::timer_id daemon_timer_ = 0;
+    ports::timer_id timeout_check_timer_ = 0;
     ports::exchange_id last_exchange_ = 0;
     connection_id last_connection_ = 0;
     std::unordered_map<ports::exchange_id, std::unique_ptr<exchange>> exchanges_;
--- a/libs/http/tests/client_tests.cpp
+++ b/libs/http/tests/client_tests.cpp
@@ -48,7 +48,7 @@
     }
 };
 
-TEST(http_client, a_request_goes_out_as_it_was_given)
+TEST(http_client, a_request_is_sent_unchanged)
 {
     target.on_request = [&](int id, int)
     {
@@ -69,9 +69,9 @@
     CHECK(target.last == head + binary);
 }
 
-// Guards against a call that waits in its own node: a slowed node's loop goes through all that is
-// ready before it comes to a timer again.
-TEST(http_client, an_urgent_call_over_an_open_connection_leaves_at_once)
+// The loop of an overloaded node handles all descriptors that are ready before it runs the next
+// timer. An urgent call that is sent by a timer would wait for that in its own node.
+TEST(http_client, an_urgent_call_over_an_open_connection_is_sent_at_once)
 {
     reactor::event_loop far_loop = reactor::event_loop::builder().build();
     scripted_target far{far_loop};
@@ -108,7 +108,7 @@
     CHECK(both([&] { return ended; }));
 }
 
-TEST(http_client, each_end_of_an_answer_is_told_truthfully)
+TEST(http_client, each_end_of_an_answer_has_the_outcome_that_it_proves)
 {
     struct row
     {
@@ -164,7 +164,7 @@
     }
 }
 
-TEST(http_client, what_certainly_was_not_sent_is_told_so)
+TEST(http_client, calls_that_were_certainly_not_sent_are_reported_as_such)
 {
     scripted_target closed{loop};
     const auto refusing = closed.port();
@@ -222,8 +222,8 @@
     LONGS_EQUAL(0, target.requests);
 }
 
-// The target's listen queue is full, so a connection never stands. The caller may be told that
-// its request was not run: curl has had no socket to write to.
+// The target's listen queue is full, so no connection is established. The caller may be told that
+// its request was not run, because curl had no socket to write to.
 TEST(http_client, a_connect_timeout_is_not_sent)
 {
     const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
@@ -232,7 +232,7 @@
     std::ignore = ::bind(fd, reinterpret_cast<sockaddr*>(&at), n);
     ::listen(fd, 0);
     ::getsockname(fd, reinterpret_cast<sockaddr*>(&at), &n);
-    raw_caller first(ntohs(at.sin_port)); // takes the only place
+    raw_caller first(ntohs(at.sin_port)); // fills the listen queue
     auto it = make_call(ntohs(at.sin_port));
     it.connect_timeout = 100ms;
     CHECK(call(it).end == call_end::not_sent);
@@ -242,10 +242,10 @@
     ::close(fd);
 }
 
-// A connection of the pool was closed by the target just after it had read the next request, as a
-// target does that runs it and then dies. curl would write the request again on a new connection
-// and the deposit would be charged twice. The target must have seen the request once only, and
-// the call must end as interrupted, with or without fresh_connection.
+// The target closes a pooled connection just after it has read the next request, as a target does
+// that runs the request and then crashes. curl would send the request again on a new connection,
+// and a payment would be charged twice. The target must receive the request only once, and the call
+// must end as interrupted, with or without fresh_connection.
 TEST(http_client, a_request_is_never_sent_twice_when_a_pooled_connection_closes)
 {
     for (const char* method : {"POST", "GET", "HEAD"})
@@ -273,7 +273,7 @@
     }
 }
 
-// The same, with more idle connections in the pool: curl would take the next of them.
+// As above with further idle connections in the pool, on which curl would send the request again.
 TEST(http_client, a_request_is_not_repeated_on_another_pooled_connection)
 {
     target.on_request = [&](int id, int)
@@ -296,8 +296,8 @@
     LONGS_EQUAL(5, target.requests);
 }
 
-// The call times out, or is cancelled, and the target answers afterwards. The late answer must not
-// be read as the answer to the next caller's request: its connection has been closed.
+// A call times out or is cancelled, and the target answers afterwards. The late answer must not be
+// read as the answer to the next caller's request, so the connection must have been closed.
 TEST(http_client, a_late_answer_never_reaches_another_call)
 {
     const std::string late = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate";
@@ -336,11 +336,12 @@
     }
 }
 
-// A call waits for a connection, or its process is paused, until its right to send has lapsed. The
-// target may be drained by then: it must not see the request, and the caller hears "not sent".
+// A call waits for a connection, or its process is paused, until its latest start time has passed.
+// The target may be drained by then, so it must not receive the request, and the call must end as
+// not sent.
 TEST(http_client, a_call_is_not_sent_after_its_latest_start)
 {
-    made = client::builder().loop(loop).limits({.most_connections_per_host = 1}).build();
+    made = client::builder().loop(loop).limits({.max_connections_per_host = 1}).build();
     port = made.port();
     target.on_request = [&](int id, int)
     {
@@ -358,11 +359,11 @@
     CHECK(call(it).end == call_end::answered);
 }
 
-// The target answers at once, and its answer lies in the socket while this process is busy with
-// other work until after the timeout. Timers run before sockets are read, so the call would end as
-// unanswered: the process would take its own delay for the target's silence, end leases of targets
-// that are well, and start their work again. What came in time must be read first.
-TEST(http_client, an_answer_that_came_in_time_is_read_by_a_process_that_is_late)
+// The target answers at once, and the answer is in the socket's buffer while this process is busy
+// until after the timeout. Timers run before sockets are read, so the call would end as unanswered.
+// The process would mistake its own delay for an unresponsive target, end the leases of healthy
+// targets and start their work again. Data that arrived in time must be read first.
+TEST(http_client, an_answer_that_arrived_in_time_is_read_by_a_delayed_process)
 {
     target.on_request = [&](int id, int)
     {
@@ -376,10 +377,10 @@
     STRCMP_EQUAL("ok", out.response.body.c_str());
 }
 
-// As above with an answer of more bytes than curl takes at one reading: a poll of a runner with
-// hundreds of ends, a page of jobs. All of it lies in the socket in time, so all of it must be read
-// before the call is judged.
-TEST(http_client, a_long_answer_that_came_in_time_is_read_by_a_process_that_is_late)
+// As above with an answer that is larger than one read of curl, such as a poll of a runner with
+// hundreds of ends, or a page of jobs. All of it is in the socket's buffer in time, so all of it
+// must be read before the timeout is evaluated.
+TEST(http_client, a_long_answer_that_arrived_in_time_is_read_by_a_delayed_process)
 {
     const std::string body(50000, 'x');
     const auto length = std::to_string(body.size());
@@ -395,9 +396,9 @@
     CHECK(out.response.body == body);
 }
 
-// The same before the request: the connection stood within a millisecond, and the process was busy
-// until after the timeout of connecting.
-TEST(http_client, a_connection_that_stood_in_time_is_used_by_a_process_that_is_late)
+// As above for the connect timeout: the connection is established within a millisecond, and the
+// process is busy until after the timeout.
+TEST(http_client, a_connection_established_in_time_is_used_by_a_delayed_process)
 {
     target.on_request = [&](int id, int)
     {
@@ -407,7 +408,7 @@
     it.connect_timeout = 100ms;
     std::optional<ports::http_outcome> out;
     port.send(std::move(it), [&](ports::http_outcome o) { out = std::move(o); });
-    loop.run_once(0ms); // begins to connect
+    loop.run_once(0ms); // starts to connect
     std::this_thread::sleep_for(150ms);
     CHECK(run_until(loop, [&] { return out.has_value(); }));
     CHECK(out->end == call_end::answered);
@@ -426,7 +427,7 @@
 
 TEST(http_client, connections_are_reused_bounded_and_not_used_when_fresh_is_asked_for)
 {
-    made = client::builder().loop(loop).limits({.most_connections_per_host = 2}).build();
+    made = client::builder().loop(loop).limits({.max_connections_per_host = 2}).build();
     port = made.port();
     int at_once = 0;
     int most = 0;
@@ -455,11 +456,12 @@
     LONGS_EQUAL(3, target.connections);
 }
 
-// Something between the two ends has lost track of an idle connection. Its bytes would vanish, so
-// an old one isn't used again, and one with unacknowledged bytes is given up early.
+// A device on the network path has dropped an idle connection, so data that is sent on it would be
+// lost. A connection that was idle for long must not be reused, and one with unacknowledged data
+// must be closed early.
 TEST(http_client, old_connections_are_not_used_and_sockets_have_a_user_timeout)
 {
-    const client_limits limits{.longest_idle = 1s, .longest_unacknowledged = 1234ms};
+    const client_limits limits{.max_idle_time = 1s, .max_unacknowledged_time = 1234ms};
     made = client::builder().loop(loop).limits(limits).build();
     port = made.port();
     target.on_request = [&](int id, int)
@@ -488,11 +490,11 @@
         target.say(id, good);
     };
     int ended = 0;
-    ports::call_id doomed = 0;
+    ports::call_id cancelled_call = 0;
     port.send(make_call(target.port()),
         [&](const ports::http_outcome&)
         {
-            port.cancel(doomed);
+            port.cancel(cancelled_call);
             port.send(make_call(target.port()), [&](const ports::http_outcome&) { ++ended; });
         });
     auto slow = make_call(target.port());
@@ -501,13 +503,14 @@
     {
         target.say(id, good);
     };
-    doomed = port.send(make_call(target.port()), [&](const ports::http_outcome&) { ended += 100; });
+    cancelled_call =
+        port.send(make_call(target.port()), [&](const ports::http_outcome&) { ended += 100; });
     CHECK(run_until(loop, [&] { return ended > 0; }));
     run_for(loop, 30ms);
     LONGS_EQUAL(1, ended % 100);
 }
 
-TEST(http_client, a_stream_gives_its_parts_and_ends_when_it_falls_silent_or_is_cut)
+TEST(http_client, a_stream_delivers_its_parts_and_ends_when_it_is_idle_or_cut)
 {
     struct row
     {
@@ -534,8 +537,8 @@
         std::optional<ports::http_outcome> out;
         stream_call stream;
         stream.call = make_call(target.port());
-        stream.call.total_timeout = 1ms; // does not count
-        stream.longest_silence = 400ms;
+        stream.call.total_timeout = 1ms; // ignored for streams
+        stream.idle_timeout = 400ms;
         stream.on_chunk = [&](std::string_view part)
         {
             seen += std::string(part) + ",";
--- a/libs/http/tests/server_tests.cpp
+++ b/libs/http/tests/server_tests.cpp
@@ -21,12 +21,13 @@
 namespace
 {
 
-/// Called with a socket that has just begun to listen; lets a caller be there before anything else.
+/// Called with a socket that has just started to listen, so that a caller can connect before any
+/// other code runs.
 std::function<void(int fd)> after_listen;
 
 } // namespace
 
-/// Stands in for the C library's call in this program.
+/// Replaces the C library's function in this program.
 extern "C" int listen(int fd, int backlog) noexcept
 {
     const auto done = static_cast<int>(::syscall(SYS_listen, fd, backlog));
@@ -57,7 +58,7 @@
     ports::http_server port;
     std::vector<std::pair<ports::exchange_id, ports::http_request>> requests;
     std::vector<ports::exchange_id> gone;
-    std::function<void(ports::exchange_id)> then; ///< after a request has come
+    std::function<void(ports::exchange_id)> then; ///< called after a request was received
 
     void start(server_limits limits = {})
     {
@@ -101,7 +102,7 @@
         LONGS_EQUAL_TEXT(0, port.open_exchanges(), about);
     }
 
-    bool came(std::size_t n)
+    bool received(std::size_t n)
     {
         return run_until(loop, [&] { return requests.size() == n; });
     }
@@ -112,11 +113,10 @@
     }
 };
 
-// A process starts while its callers already send. The caller's bytes lie in the listen queue
-// before build() returns; were they handled inside it, the owner would be asked for an answer
-// before it has the server to answer with, and the process would abort at every start of a busy
-// day.
-TEST(http_server, no_request_comes_before_build_has_returned)
+// A process starts while callers are already sending, so a request is in the listen queue before
+// build() returns. If build() processed it, the handler would have to answer before it has the
+// server, and the process would abort at every start under load.
+TEST(http_server, no_request_is_handled_before_build_has_returned)
 {
     int caller = -1;
     after_listen = [&caller](int fd)
@@ -132,11 +132,11 @@
     start();
     after_listen = {};
     LONGS_EQUAL(0, requests.size());
-    CHECK(came(1)); // it is served once the loop runs
+    CHECK(received(1)); // the request is handled once the loop runs
     ::close(caller);
 }
 
-TEST(http_server, a_request_comes_whole_and_its_answer_goes_back)
+TEST(http_server, a_request_is_passed_on_completely_and_answered)
 {
     for (const bool later : {false, true})
     {
@@ -166,13 +166,13 @@
         CHECK(it.body == std::string("\0\1\2\3", 4));
         STRCMP_EQUAL("2", it.fields.at(2).second.c_str());
         caller.write(loop, "GET /again HTTP/1.1\r\nHost: h\r\n\r\n"); // the same connection
-        CHECK(came(2));
+        CHECK(received(2));
         CHECK(run_until(loop, [&] { return port.open_exchanges() == 0; }));
         LONGS_EQUAL(0, gone.size());
     }
 }
 
-TEST(http_server, an_answer_cannot_break_its_framing)
+TEST(http_server, an_answer_cannot_change_its_framing)
 {
     start();
     then = [&](ports::exchange_id id)
@@ -206,9 +206,9 @@
     CHECK(caller.saw("Content-Length: 77\r\n"));
 }
 
-// Whatever is wrong with a request, its caller gets an answer that says "not run", at once or when
-// its time is up, and the owner never hears of the request.
-TEST(http_server, early_refusals_say_not_run_and_never_reach_the_owner)
+// A request exceeds a limit or is ambiguous. The caller must get an answer with the outcome
+// "not-run", and the handler must not be called.
+TEST(http_server, early_refusals_say_not_run_and_never_reach_the_handler)
 {
     struct row
     {
@@ -236,15 +236,15 @@
             post + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
             "400"},
     };
-    start({.largest_body = 1000, .largest_header = 2000});
+    start({.max_body_size = 1000, .max_header_size = 2000});
     for (const auto& it : rows)
     {
         expect_refusal(it.bytes, it.status, it.about);
     }
 }
 
-// A caller stalls halfway through its request. It is told that its time is up, and what it sends
-// afterwards must not make the request run after all.
+// A caller stalls halfway through its request. It must get a 408, and data that it sends afterwards
+// must not cause the request to run.
 TEST(http_server, a_request_that_stalls_is_refused)
 {
     start({.request_timeout = 150ms});
@@ -253,9 +253,9 @@
     expect_refusal(post + "A: b", "408", "header");
 }
 
-// These are refused inside libmicrohttpd, in its own words and without our field. They are listed
-// here so that the callers' page stays true: none of them reaches the owner.
-TEST(http_server, what_the_library_refuses_never_reaches_the_owner)
+// libmicrohttpd itself refuses these requests, with its own text and without the outcome field. The
+// documentation for callers states that none of them reaches the handler, which this test checks.
+TEST(http_server, requests_refused_by_libmicrohttpd_never_reach_the_handler)
 {
     struct row
     {
@@ -282,14 +282,14 @@
 
 TEST(http_server, open_exchanges_and_connections_are_bounded)
 {
-    start({.most_connections = 3, .most_exchanges = 2, .retry_after = 1500ms});
+    start({.max_connections = 3, .max_exchanges = 2, .retry_after = 1500ms});
     const std::string get = "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
     raw_caller first(port.port);
     raw_caller second(port.port);
     raw_caller third(port.port);
     first.write(loop, get);
     second.write(loop, get);
-    CHECK(came(2));
+    CHECK(received(2));
     LONGS_EQUAL(2, port.open_exchanges());
     third.write(loop, get);
     CHECK(saw(third, "HTTP/1.1 503"));
@@ -303,12 +303,12 @@
     port.respond(requests.at(0).first, text("a"));
     CHECK(saw(first, "\r\n\r\na"));
     third.write(loop, get);
-    CHECK(came(3));
+    CHECK(received(3));
 }
 
-// The caller closes, or resets, while the owner still works on its request. libmicrohttpd does not
-// look at a suspended connection, so it would be noticed only when the answer is written.
-TEST(http_server, a_caller_that_leaves_is_reported_once_and_its_answer_dropped)
+// The caller closes or resets the connection while the handler works on its request. libmicrohttpd
+// does not monitor a suspended connection, so it would detect this only when the answer is written.
+TEST(http_server, a_disconnected_caller_is_reported_once_and_its_answer_dropped)
 {
     start();
     for (const bool resets : {false, true})
@@ -318,7 +318,7 @@
         {
             raw_caller caller(port.port);
             caller.write(loop, post + "Content-Length: 1\r\n\r\nx");
-            CHECK(came(1));
+            CHECK(received(1));
             if (resets)
             {
                 caller.reset_on_close();
@@ -333,9 +333,9 @@
     }
 }
 
-// A caller sends its request and leaves before the server has read it. Nobody waits for the
-// answer any more, so the request is not begun.
-TEST(http_server, a_request_whose_caller_left_already_is_not_handed_over)
+// A caller sends its request and disconnects before the server has read it. No one waits for the
+// answer any more, so the request must not be started.
+TEST(http_server, a_request_of_a_disconnected_caller_is_not_passed_to_the_handler)
 {
     start();
     {
@@ -350,7 +350,7 @@
     LONGS_EQUAL(0, port.open_exchanges());
 }
 
-TEST(http_server, idle_connections_are_closed_and_those_with_the_owner_are_not)
+TEST(http_server, idle_connections_are_closed_and_those_with_the_handler_are_not)
 {
     start({.idle_timeout = 100ms, .request_timeout = 100ms});
     raw_caller idle(port.port);
@@ -365,14 +365,14 @@
     CHECK(saw(busy, "late but whole"));
 }
 
-// Graceful stop: new connections are refused, the request in flight is answered whole, and its
-// connection closes after it.
+// In a graceful stop, new connections are refused, the request in progress is answered completely,
+// and its connection is closed after the answer.
 TEST(http_server, stop_accepting_lets_open_exchanges_finish)
 {
     start();
     raw_caller caller(port.port);
     caller.write(loop, "GET / HTTP/1.1\r\nHost: h\r\n\r\n");
-    CHECK(came(1));
+    CHECK(received(1));
     port.stop_accepting();
     port.stop_accepting();
     raw_caller late(port.port);
@@ -384,9 +384,10 @@
     CHECK(run_until(loop, [&] { return port.open_exchanges() == 0; }));
 }
 
-// Callers whose connections stand in the kernel's queue have sent their requests, and the program
-// hasn't seen them yet when it stops accepting. A reset there is a broken call that may have run.
-TEST(http_server, stop_accepting_takes_in_those_who_are_connected_already)
+// Callers have sent requests on connections that are still in the kernel's listen queue when the
+// server stops accepting. If the connections were reset, the callers would see broken calls that
+// may have run.
+TEST(http_server, stop_accepting_accepts_connections_in_the_listen_queue)
 {
     start();
     constexpr std::size_t waiting = 40;
@@ -407,26 +408,27 @@
     }
 }
 
-TEST(http_server, destroying_it_with_open_exchanges_is_quiet)
+TEST(http_server, destroying_the_server_with_open_exchanges_calls_no_callback)
 {
     start();
     raw_caller caller(port.port);
     caller.write(loop, "GET / HTTP/1.1\r\nHost: h\r\n\r\n");
-    CHECK(came(1));
+    CHECK(received(1));
     made.reset();
     LONGS_EQUAL(0, gone.size());
     CHECK(run_until(loop, [&] { return caller.closed(); }));
 }
 
-// A process ends while a caller's next request lies unread on an open connection. Reading it now
-// and waiting for an owner that is gone would make the library abort the process, and the caller
-// see a broken call that may have run. It is told that nothing was run, and to come back.
-TEST(http_server, a_request_that_comes_as_the_server_ends_is_refused)
+// The server is destroyed while a caller's next request is unread on an open connection. If the
+// request were read and suspended without a handler, libmicrohttpd would abort the process, and the
+// caller would see a broken call that may have run. The caller must get a 503 with Retry-After and
+// the outcome "not-run".
+TEST(http_server, a_request_that_arrives_while_the_server_is_destroyed_is_refused)
 {
     start();
-    raw_caller with_owner(port.port);
-    with_owner.write(loop, post + "Content-Length: 0\r\n\r\n");
-    CHECK(came(1));
+    raw_caller in_progress(port.port);
+    in_progress.write(loop, post + "Content-Length: 0\r\n\r\n");
+    CHECK(received(1));
     raw_caller late(port.port);
     run_for(loop, 10ms);
     late.send_now("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -461,12 +463,13 @@
     CHECK(!core::is_ok(taken));
 }
 
-// Client and server together under many calls at once: each answer is that of its own request.
+// Many calls run at once between client and server. Each call must get the answer to its own
+// request.
 TEST(http_server, each_caller_gets_its_own_answer)
 {
     constexpr int calls = 2000;
     start();
-    auto caller = client::builder().loop(loop).limits({.most_connections_per_host = 32}).build();
+    auto caller = client::builder().loop(loop).limits({.max_connections_per_host = 32}).build();
     then = [&](ports::exchange_id id)
     {
         const auto answer = text("re " + requests.back().second.body);
--- a/libs/reactor/src/turn_pipe.cpp
+++ b/libs/reactor/src/descriptor_queue.cpp
@@ -8,20 +8,21 @@
 namespace camphorhitch::reactor
 {
 
-turn_pipe::turn_pipe(watch_handler& watches) : watches_(watches)
+descriptor_queue::descriptor_queue(watch_handler& watches) : watches_(watches)
 {
-    core::require(::pipe2(pipe_, O_NONBLOCK | O_CLOEXEC) == 0, "a pipe for turns can be opened");
+    core::require(::pipe2(pipe_, O_NONBLOCK | O_CLOEXEC) == 0,
+        "a pipe for the descriptor queue can be opened");
     watches_.watch(pipe_[0], true, false, [this](fd_events) { run(); });
 }
 
-turn_pipe::~turn_pipe()
+descriptor_queue::~descriptor_queue()
 {
-    watches_.forget(pipe_[0]);
+    watches_.unwatch(pipe_[0]);
     ::close(pipe_[0]);
     ::close(pipe_[1]);
 }
 
-void turn_pipe::post(std::function<void()> fn)
+void descriptor_queue::post(std::function<void()> fn)
 {
     waiting_.push_back(std::move(fn));
     if (waiting_.size() == 1)
@@ -31,10 +32,10 @@
     }
 }
 
-void turn_pipe::run()
+void descriptor_queue::run()
 {
     char byte = 0;
-    core::require(::read(pipe_[0], &byte, 1) == 1, "a turn has its byte");
+    core::require(::read(pipe_[0], &byte, 1) == 1, "waiting functions have a byte in the pipe");
     const auto batch = std::exchange(waiting_, {});
     for (const auto& it : batch)
     {
--- a/libs/reactor/src/event_loop.cpp
+++ b/libs/reactor/src/event_loop.cpp
@@ -18,54 +18,56 @@
 namespace
 {
 
-/// Usual descriptors served in one turn. Each may take half a millisecond of a small host's
-/// processor, so that a turn takes tens of milliseconds at most, whatever crowd is ready; the
-/// kernel hands the others out next. What is urgent waited seconds behind such crowds.
-constexpr int usual_at_once = 32;
-/// More than a process has of them.
-constexpr int urgent_at_once = watch_handler::most_at_once;
-
-/// ACE's default queue follows the wall clock: a step of it would fire or starve every timer.
+/// Maximum number of normal descriptors handled in one iteration. Each may take half a millisecond
+/// of processor time on a small host, so that an iteration takes tens of milliseconds at most,
+/// regardless of how many are ready. The kernel returns the others in the next iterations. Without
+/// this limit, urgent descriptors wait for seconds.
+constexpr int max_normal_events = 32;
+/// More than the number of urgent descriptors of a process.
+constexpr int max_urgent_events = watch_handler::max_events_per_call;
+
+/// A timer queue on the monotonic clock. ACE's default queue uses the wall clock, so that a clock
+/// step would fire all timers or delay them.
 using monotonic_timers = ACE_Timer_Heap_T<ACE_Event_Handler*,
     ACE_Event_Handler_Handle_Timeout_Upcall,
     ACE_SYNCH_RECURSIVE_MUTEX,
     ACE_Monotonic_Time_Policy>;
 
-/// Rounds each wait up to whole milliseconds. ACE's epoll reactor cuts off the part of a
-/// millisecond, so before each timer it asked epoll again and again without waiting: 20,000 calls a
-/// second, a fifth of a core, in an idle daemon. A timer is late by less than a millisecond for it,
-/// and never early.
-class whole_wait_timers : public monotonic_timers
+/// Rounds each wait up to whole milliseconds. ACE's epoll reactor truncates the fraction of a
+/// millisecond, and therefore calls epoll repeatedly without waiting before each timer: 20,000
+/// calls per second, a fifth of a core, in an idle daemon. With rounding, a timer is late by less
+/// than a millisecond, and never early.
+class whole_millisecond_timers : public monotonic_timers
 {
 public:
     using monotonic_timers::calculate_timeout;
 
-    ACE_Time_Value* calculate_timeout(ACE_Time_Value* longest) override
+    ACE_Time_Value* calculate_timeout(ACE_Time_Value* max_wait) override
     {
-        return rounded(monotonic_timers::calculate_timeout(longest));
+        return round_up(monotonic_timers::calculate_timeout(max_wait));
     }
 
-    ACE_Time_Value* calculate_timeout(ACE_Time_Value* longest, ACE_Time_Value* found) override
+    ACE_Time_Value* calculate_timeout(ACE_Time_Value* max_wait, ACE_Time_Value* found) override
     {
-        return rounded(monotonic_timers::calculate_timeout(longest, found));
+        return round_up(monotonic_timers::calculate_timeout(max_wait, found));
     }
 
 private:
-    static ACE_Time_Value* rounded(ACE_Time_Value* wait)
+    static ACE_Time_Value* round_up(ACE_Time_Value* wait)
     {
         constexpr suseconds_t step = 1000; // microseconds
-        const auto rest = wait == nullptr ? 0 : wait->usec() % step;
-        if (rest > 0)
+        const auto fraction = wait == nullptr ? 0 : wait->usec() % step;
+        if (fraction > 0)
         {
-            *wait += ACE_Time_Value(0, step - rest);
+            *wait += ACE_Time_Value(0, step - fraction);
         }
         return wait;
     }
 };
 
-std::unique_ptr<ACE_Reactor_Impl> open_epoll(std::size_t most, ACE_Timer_Queue* timers)
+std::unique_ptr<ACE_Reactor_Impl> open_epoll(std::size_t max_descriptors, ACE_Timer_Queue* timers)
 {
-    auto impl = std::make_unique<ACE_Dev_Poll_Reactor>(most, true, nullptr, timers);
+    auto impl = std::make_unique<ACE_Dev_Poll_Reactor>(max_descriptors, true, nullptr, timers);
     return impl->initialized() ? std::move(impl) : nullptr;
 }
 
@@ -93,7 +95,8 @@
     std::unique_ptr<ACE_Timer_Queue> queue, std::unique_ptr<ACE_Reactor_Impl> implementation)
     : timer_queue(std::move(queue)),
       ace(std::make_unique<ACE_Reactor>(implementation.release(), true)), timers(*ace), posts(*ace),
-      watches(*ace, usual_at_once), urgent_watches(*ace, urgent_at_once), turns(watches)
+      watches(*ace, max_normal_events), urgent_watches(*ace, max_urgent_events),
+      behind_descriptors(watches)
 {
 }
 
@@ -143,35 +146,35 @@
     }
 }
 
-void event_loop::run_once(core::millis longest_wait)
+void event_loop::run_once(core::millis max_wait)
 {
     ACE_Time_Value wait;
-    wait.set(std::chrono::duration_cast<core::micros>(longest_wait));
+    wait.set(std::chrono::duration_cast<core::micros>(max_wait));
     state_->ace->handle_events(&wait);
 }
 
 void event_loop::stop()
 {
     state_->stopping = true;
-    state_->posts.post([] {}); // wakes a loop that waits
+    state_->posts.post([] {}); // wakes the loop when it is waiting
 }
 
-void event_loop::watch_fd(int fd, bool read, bool write, fd_callback callback, urgency how)
+void event_loop::watch_fd(int fd, bool read, bool write, fd_callback callback, urgency priority)
 {
-    auto& watches = how == urgency::urgent ? state_->urgent_watches : state_->watches;
+    auto& watches = priority == urgency::urgent ? state_->urgent_watches : state_->watches;
     if (read || write)
     {
         watches.watch(fd, read, write, std::move(callback));
     }
     else
     {
-        watches.forget(fd);
+        watches.unwatch(fd);
     }
 }
 
 void event_loop::post_behind_descriptors(std::function<void()> fn)
 {
-    state_->turns.post(std::move(fn));
+    state_->behind_descriptors.post(std::move(fn));
 }
 
 void event_loop::on_signals(
@@ -196,9 +199,9 @@
         });
 }
 
-event_loop_builder& event_loop_builder::most_descriptors(std::size_t n)
+event_loop_builder& event_loop_builder::max_descriptors(std::size_t n)
 {
-    most_descriptors_ = n;
+    max_descriptors_ = n;
     return *this;
 }
 
@@ -210,13 +213,13 @@
 
 event_loop event_loop_builder::build() const
 {
-    // A peer that closes first must be an error of one write, not the end of the process.
+    // A write to a connection that the peer has closed must fail without terminating the process.
     std::signal(SIGPIPE, SIG_IGN);
-    std::unique_ptr<ACE_Timer_Queue> timers = std::make_unique<whole_wait_timers>();
+    std::unique_ptr<ACE_Timer_Queue> timers = std::make_unique<whole_millisecond_timers>();
     std::unique_ptr<ACE_Reactor_Impl> impl;
     if (!use_select_)
     {
-        impl = open_epoll(most_descriptors_, timers.get());
+        impl = open_epoll(max_descriptors_, timers.get());
     }
     if (!impl)
     {
--- a/libs/reactor/src/handlers.cpp
+++ b/libs/reactor/src/handlers.cpp
@@ -38,7 +38,7 @@
 
 int timer_handler::handle_timeout(const ACE_Time_Value&, const void* argument)
 {
-    // ACE has no timer left that cancel() took out, so the pointer is good.
+    // cancel() removes a timer from ACE before it frees it, so the pointer is valid.
     const auto it = timers_.find(static_cast<const timer*>(argument)->id);
     const auto fn = std::move(it->second->fn);
     timers_.erase(it);
@@ -91,8 +91,8 @@
 
 int signal_handler::handle_signal(int number, siginfo_t*, ucontext_t*)
 {
-    // Runs in the signal's context, where little else than write(2) is allowed. A full pipe
-    // holds thousands of signals already, so a lost byte loses nothing.
+    // Runs in the signal context, where little else than write(2) is allowed. A full pipe already
+    // holds thousands of signals, so a lost byte does no harm.
     const int saved = errno;
     const auto byte = static_cast<unsigned char>(number);
     [[maybe_unused]] const auto n = ::write(pipe_[1], &byte, 1);
--- a/libs/reactor/src/loop_state.hpp
+++ b/libs/reactor/src/loop_state.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Inside of event_loop: the ACE reactor and the handlers that it calls.
+/// Implementation of event_loop: the ACE reactor and the handlers that it calls.
 #pragma once
 
 #include "core/time.hpp"
@@ -20,41 +20,44 @@
 namespace camphorhitch::reactor
 {
 
-/// Watched descriptors of one urgency, in an epoll set of their own that ACE sees as one readable
+/// The watched descriptors of one urgency, in a separate epoll set that ACE sees as one readable
 /// descriptor.
 ///
-/// Not one ACE handler each: curl 7.88 closes a socket that has not connected before it says so,
-/// and ACE can't forget a closed descriptor: it would call a freed handler when the number comes
-/// back. The kernel forgets it by itself.
+/// Descriptors are not registered with ACE individually. curl 7.88 closes a socket that has not
+/// connected before it reports that, and ACE can't unregister a closed descriptor, so that it would
+/// call a freed handler when the descriptor number is reused. The kernel removes a closed
+/// descriptor from an epoll set by itself.
 class watch_handler : public ACE_Event_Handler
 {
 public:
-    static constexpr int most_at_once = 64;
+    static constexpr int max_events_per_call = 64;
 
-    /// \param most events handled in one turn; at most most_at_once
-    watch_handler(ACE_Reactor& reactor, int most);
+    /// \param max_events maximum number of events handled in one iteration; at most
+    /// max_events_per_call
+    watch_handler(ACE_Reactor& reactor, int max_events);
     ~watch_handler() override;
     watch_handler(const watch_handler&) = delete;
     watch_handler& operator=(const watch_handler&) = delete;
 
+    /// Watches a descriptor, or changes what it is watched for.
     void watch(int fd, bool read, bool write, fd_callback callback);
-    void forget(int fd);
+    void unwatch(int fd);
     int handle_input(ACE_HANDLE fd) override;
 
 private:
     struct watched
     {
-        std::uint32_t generation = 0; ///< tells a reused number from what it was before
-        std::uint32_t wanted = 0;     ///< epoll's bits
+        std::uint32_t generation = 0; ///< distinguishes the uses of a reused descriptor number
+        std::uint32_t wanted = 0;     ///< epoll event bits
         std::shared_ptr<const fd_callback> callback;
     };
 
-    void put(int operation, int fd, const watched& it) const;
+    void update_epoll(int operation, int fd, const watched& it) const;
     void dispatch(std::uint64_t tag, std::uint32_t events);
 
     ACE_Reactor& ace_;
     int epoll_;
-    int most_;
+    int max_events_; ///< per call of handle_input
     std::uint32_t last_generation_ = 0;
     std::unordered_map<int, watched> watched_;
 };
@@ -81,7 +84,7 @@
     std::unordered_map<ports::timer_id, std::unique_ptr<timer>> timers_;
 };
 
-/// Functions that other threads handed over.
+/// Functions that were posted to the loop, also from other threads.
 class post_handler : public ACE_Event_Handler
 {
 public:
@@ -96,7 +99,7 @@
     std::vector<std::function<void()>> waiting_;
 };
 
-/// Turns signals into bytes of a pipe that the loop reads.
+/// Writes received signals as bytes into a pipe that the loop reads.
 class signal_handler : public ACE_Event_Handler
 {
 public:
@@ -106,7 +109,7 @@
     signal_handler& operator=(const signal_handler&) = delete;
 
     int handle_signal(int number, siginfo_t* info, ucontext_t* context) override;
-    /// \return the next signal that came, or 0.
+    /// \return the number of the next received signal; 0: none.
     int next() const;
     int read_end() const;
 
@@ -117,14 +120,15 @@
     int pipe_[2] = {-1, -1};
 };
 
-/// Functions that wait for their turn among the descriptors: a byte in a pipe stands for them.
-class turn_pipe
+/// Functions that run in the order in which the loop handles ready descriptors. While functions are
+/// waiting, a byte in a pipe makes the read end of the pipe one of these descriptors.
+class descriptor_queue
 {
 public:
-    explicit turn_pipe(watch_handler& watches);
-    ~turn_pipe();
-    turn_pipe(const turn_pipe&) = delete;
-    turn_pipe& operator=(const turn_pipe&) = delete;
+    explicit descriptor_queue(watch_handler& watches);
+    ~descriptor_queue();
+    descriptor_queue(const descriptor_queue&) = delete;
+    descriptor_queue& operator=(const descriptor_queue&) = delete;
 
     void post(std::function<void()> fn);
 
@@ -136,6 +140,7 @@
     std::vector<std::function<void()>> waiting_;
 };
 
+/// State of an event loop.
 struct loop_state
 {
     loop_state(
@@ -144,13 +149,13 @@
     loop_state(const loop_state&) = delete;
     loop_state& operator=(const loop_state&) = delete;
 
-    std::unique_ptr<ACE_Timer_Queue> timer_queue; ///< outlives the reactor, which borrows it
+    std::unique_ptr<ACE_Timer_Queue> timer_queue; ///< used by the reactor, which it must outlive
     std::unique_ptr<ACE_Reactor> ace;
     timer_handler timers;
     post_handler posts;
     watch_handler watches;
     watch_handler urgent_watches;
-    turn_pipe turns;
+    descriptor_queue behind_descriptors;
     signal_handler signals;
     std::atomic<bool> stopping{false};
 };
--- a/libs/reactor/tests/event_loop_tests.cpp
+++ b/libs/reactor/tests/event_loop_tests.cpp
@@ -17,13 +17,13 @@
 namespace
 {
 
-constexpr auto give_up = 10s;
+constexpr auto time_limit = 10s;
 
-/// \return whether \p holds came true before the test gives up.
+/// \return whether \p holds became true within the time limit.
 bool run_until(reactor::event_loop& loop, const std::function<bool()>& holds)
 {
     const auto time = loop.scheduler();
-    const auto end = time.now() + give_up;
+    const auto end = time.now() + time_limit;
     while (!holds() && time.now() < end)
     {
         loop.run_once(50ms);
@@ -31,7 +31,7 @@
     return holds();
 }
 
-/// Both reactors that a process may end up with.
+/// Values of use_select() for both kinds of reactor that a process may use.
 constexpr std::array both_kinds = {false, true};
 
 struct socket_pair
@@ -86,7 +86,7 @@
         const auto time = loop.scheduler();
         const auto own = std::this_thread::get_id();
         int ran = 0;
-        int elsewhere = 0;
+        int ran_on_other_threads = 0;
         const auto body = [&]
         {
             for (int i = 0; i < each; ++i)
@@ -95,7 +95,7 @@
                     [&]
                     {
                         ++ran;
-                        elsewhere += std::this_thread::get_id() == own ? 0 : 1;
+                        ran_on_other_threads += std::this_thread::get_id() == own ? 0 : 1;
                     });
             }
         };
@@ -110,7 +110,7 @@
         {
             it.join();
         }
-        LONGS_EQUAL(0, elsewhere);
+        LONGS_EQUAL(0, ran_on_other_threads);
     }
 }
 
@@ -153,8 +153,8 @@
     }
 }
 
-// A descriptor is closed and its number comes back for another connection inside one callback, as
-// curl does when it reconnects. Events of the new one must reach the new callback.
+// Inside one callback, a descriptor is closed and its number is reused for another connection, as
+// curl does when it reconnects. Events of the new connection must reach the new callback.
 TEST(event_loop, a_descriptor_number_can_be_reused_inside_its_own_callback)
 {
     for (const bool select : both_kinds)
@@ -186,8 +186,8 @@
     }
 }
 
-// The other end hangs up while nobody waits to read. The callback learns of it once, and the loop
-// must not spin on a descriptor that stays in error.
+// The other end hangs up. The callback must be called once, and the loop must not spin on a
+// descriptor that stays in an error state.
 TEST(event_loop, a_hang_up_is_reported)
 {
     int ends[2] = {-1, -1};
@@ -217,36 +217,37 @@
     }
 }
 
-// A crowd of descriptors is ready in each turn, more than a turn can serve, as when a coordinator
-// has hundreds of runners. A lease's renewal or a caller's cancel comes in beside them. The process
-// must see it in the next turn: behind the crowd it waited for seconds, and was too late.
-TEST(event_loop, an_urgent_descriptor_does_not_wait_behind_a_crowd)
+// In each iteration more descriptors are ready than one iteration handles, as when a coordinator
+// has hundreds of runners. The answer to a lease renewal or a caller's cancel arrives among them.
+// The process must handle it in the next iteration. If it had to wait for all other descriptors, it
+// would be handled seconds later, and too late.
+TEST(event_loop, an_urgent_descriptor_does_not_wait_for_many_normal_ones)
 {
-    constexpr int crowd = 200;
-    constexpr int few = crowd / 2;
+    constexpr int ready_descriptors = 200;
+    constexpr int max_handled_before = ready_descriptors / 2;
     for (const bool select : both_kinds)
     {
         auto loop = reactor::event_loop::builder().use_select(select).build();
-        std::array<socket_pair, crowd> pairs;
-        int served = 0;
+        std::array<socket_pair, ready_descriptors> pairs;
+        int handled = 0;
         for (auto& it : pairs)
         {
-            std::ignore = ::write(it.ends[1], "x", 1); // nobody reads it: ready in each turn
-            loop.watch_fd(it.ends[0], true, false, [&](reactor::fd_events) { ++served; });
+            std::ignore = ::write(it.ends[1], "x", 1); // never read: ready in each iteration
+            loop.watch_fd(it.ends[0], true, false, [&](reactor::fd_events) { ++handled; });
         }
         socket_pair lease;
-        int served_before = -1;
+        int handled_before = -1;
         loop.watch_fd(
             lease.ends[0],
             true,
             false,
-            [&](reactor::fd_events) { served_before = served; },
+            [&](reactor::fd_events) { handled_before = handled; },
             reactor::urgency::urgent);
         loop.run_once(10ms);
-        const int served_until_sent = served;
+        const int handled_until_sent = handled;
         std::ignore = ::write(lease.ends[1], "x", 1);
-        CHECK(run_until(loop, [&] { return served_before >= 0; }));
-        CHECK(served_before - served_until_sent < few);
+        CHECK(run_until(loop, [&] { return handled_before >= 0; }));
+        CHECK(handled_before - handled_until_sent < max_handled_before);
         loop.watch_fd(lease.ends[0], false, false, {}, reactor::urgency::urgent);
         for (auto& it : pairs)
         {
@@ -255,9 +256,9 @@
     }
 }
 
-// More descriptors are ready than the loop takes at once: who asks for a turn behind them gets it
-// after the last of them, and a second one in the same turn.
-TEST(event_loop, a_turn_behind_descriptors_comes_after_those_that_are_ready)
+// More descriptors are ready than the loop handles in one iteration. A function that is posted
+// behind them must run after the last of them, and a second such function in the same iteration.
+TEST(event_loop, functions_posted_behind_descriptors_run_after_those_that_are_ready)
 {
     constexpr std::size_t many = 150;
     for (const bool select : both_kinds)
@@ -277,17 +278,17 @@
                 });
             LONGS_EQUAL(1, ::write(it.ends[1], "x", 1));
         }
-        int turns = 0;
+        int calls = 0;
         loop.post_behind_descriptors(
             [&]
             {
                 LONGS_EQUAL(many, read);
-                ++turns;
+                ++calls;
             });
-        loop.post_behind_descriptors([&] { ++turns; });
-        CHECK(run_until(loop, [&] { return turns == 2; }));
-        loop.post_behind_descriptors([&] { ++turns; });
-        CHECK(run_until(loop, [&] { return turns == 3; }));
+        loop.post_behind_descriptors([&] { ++calls; });
+        CHECK(run_until(loop, [&] { return calls == 2; }));
+        loop.post_behind_descriptors([&] { ++calls; });
+        CHECK(run_until(loop, [&] { return calls == 3; }));
         for (auto& it : pairs)
         {
             loop.watch_fd(it.ends[0], false, false, {});
--- a/libs/store/include/store/etcd_store.hpp
+++ b/libs/store/include/store/etcd_store.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The platform's key-value service over the JSON gateway of etcd's v3 interface. Fills
+/// Client of the platform's key-value service over the JSON gateway of etcd's v3 API. Implements
 /// ports::key_value.
 #pragma once
 
@@ -16,6 +16,7 @@
 namespace camphorhitch::store
 {
 
+/// Kinds of calls, for the counters.
 enum class call_kind : std::uint8_t
 {
     range,
@@ -39,20 +40,20 @@
     {call_kind::watch, "watch"},
 }};
 
-/// What calls of one kind have cost since the start.
+/// Counters of the calls of one kind since the start of the process.
 struct call_counts
 {
     std::uint64_t calls = 0;
-    std::uint64_t failures = 0;       ///< ended without an answer that could be read
-    std::uint64_t rejections = 0;     ///< the service refused
-    std::uint64_t bytes_sent = 0;     ///< of HTTP, headers included
-    std::uint64_t bytes_received = 0; ///< likewise; a watch's are counted as they come
+    std::uint64_t failures = 0;       ///< calls without a valid answer
+    std::uint64_t rejections = 0;     ///< calls that the service refused
+    std::uint64_t bytes_sent = 0;     ///< HTTP bytes, including headers
+    std::uint64_t bytes_received = 0; ///< HTTP bytes, including headers; for a watch, while it runs
 };
 
 class etcd_store_builder;
 struct store_state;
 
-/// Calls one key-value service through an http::client, which must outlive it.
+/// A client of one key-value service. The http::client that it uses must outlive it.
 class etcd_store
 {
 public:
@@ -62,10 +63,11 @@
     etcd_store& operator=(etcd_store&&) noexcept;
     ~etcd_store();
 
-    /// The port struct; its functions are good while the store lives. Callbacks never run inside
-    /// the function that starts their call.
+    /// \return the port, whose functions are valid while the store exists. A callback is never
+    /// called inside the function that starts its call.
     ports::key_value port() const;
 
+    /// \return the counters of one kind of call.
     const call_counts& counts(call_kind kind) const;
 
 private:
@@ -75,20 +77,22 @@
     std::unique_ptr<store_state> state_;
 };
 
+/// Creates a store. The client and the address are required.
 class etcd_store_builder
 {
 public:
     etcd_store_builder& client(http::client& it);
     /// \param text "ip:port"
     etcd_store_builder& address(std::string text);
-    /// Sent as the field Authorization; empty: none.
+    /// Token that is sent in the header field Authorization; empty: none.
     etcd_store_builder& token(std::string text);
-    /// Fields that every call carries.
+    /// Header fields that are added to every call.
     etcd_store_builder& extra_fields(ports::http_fields it);
-    /// \param limit milliseconds for each call but a watch
+    /// \param limit timeout of every call except a watch
     etcd_store_builder& timeout(core::millis limit);
-    /// \param limit milliseconds after which a watch without a byte counts as lost
-    etcd_store_builder& longest_watch_silence(core::millis limit);
+    /// \param limit a watch ends when no byte has been received for this long
+    etcd_store_builder& watch_idle_timeout(core::millis limit);
+    /// \return an error when the address is invalid
     core::result<etcd_store> build() const;
 
 private:
@@ -97,7 +101,7 @@
     std::string token_;
     ports::http_fields extra_fields_;
     core::millis timeout_{1000};
-    core::millis longest_watch_silence_{30000};
+    core::millis watch_idle_timeout_{30000};
 };
 
 } // namespace camphorhitch::store
--- a/libs/store/src/etcd_store.cpp
+++ b/libs/store/src/etcd_store.cpp
@@ -13,8 +13,8 @@
 namespace
 {
 
-/// Reads the answer of a call that went well, and reports the call's end.
-/// \param read makes a result of the answer's text, or nothing
+/// \return a callback that parses the answer of a successful call and passes the result to \p to.
+/// \param read parses the answer's text; returns nothing when the text is invalid
 template <class Result, class Read>
 store_state::answer_fn deliver(std::function<void(Result)> to, effect what, Read read)
 {
@@ -25,7 +25,7 @@
         if (status == ports::kv_status::ok)
         {
             result = read(outcome.response.body);
-            status = unreadable(what); // unless it could be read
+            status = invalid_answer_status(what); // used only when there is no result
         }
         if (!result)
         {
@@ -91,9 +91,9 @@
     const auto then = [finish, to = std::move(to), id](
                           ports::kv_status status, const ports::http_outcome& outcome)
     {
-        if (is_no_lease(outcome))
+        if (is_lease_not_found(outcome))
         {
-            to({ports::kv_status::ok, id, core::millis{0}}); // it has lapsed
+            to({ports::kv_status::ok, id, core::millis{0}}); // the lease has expired
             return;
         }
         finish(status, outcome);
@@ -217,9 +217,9 @@
     return *this;
 }
 
-etcd_store_builder& etcd_store_builder::longest_watch_silence(core::millis limit)
+etcd_store_builder& etcd_store_builder::watch_idle_timeout(core::millis limit)
 {
-    longest_watch_silence_ = limit;
+    watch_idle_timeout_ = limit;
     return *this;
 }
 
@@ -231,7 +231,7 @@
         return core::error{
             core::error_code::invalid, "'" + address_ + "' is not an address of the form ip:port"};
     }
-    settings s{address_, extra_fields_, timeout_, longest_watch_silence_};
+    settings s{address_, extra_fields_, timeout_, watch_idle_timeout_};
     s.fields.emplace_back("Content-Type", "application/json");
     if (!token_.empty())
     {
--- a/libs/store/src/store_state.cpp
+++ b/libs/store/src/store_state.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-constexpr std::size_t largest_answer = std::size_t{64} << 20; // bytes
-constexpr std::size_t longest_line = std::size_t{64} << 20;   // bytes, of a watch's stream
+constexpr std::size_t max_answer_size = std::size_t{64} << 20; // bytes
+constexpr std::size_t max_line_size = std::size_t{64} << 20;   // bytes, of a watch's stream
 
 } // namespace
 
@@ -46,7 +46,7 @@
     out.request.body = std::move(body);
     out.connect_timeout = settings_.timeout;
     out.total_timeout = settings_.timeout;
-    out.largest_answer = largest_answer;
+    out.largest_answer = max_answer_size;
     return out;
 }
 
@@ -89,7 +89,7 @@
     counts.bytes_sent += body.size();
     http::stream_call stream;
     stream.call = make_call("/v3/watch", std::move(body));
-    stream.longest_silence = settings_.longest_watch_silence;
+    stream.idle_timeout = settings_.watch_idle_timeout;
     stream.on_chunk = [this, id](std::string_view chunk)
     {
         on_chunk(id, chunk);
@@ -117,23 +117,23 @@
 {
     counts_of(call_kind::watch).bytes_received += chunk.size();
     auto& it = watches_.at(id);
-    it.counted += chunk.size();
+    it.counted_bytes += chunk.size();
     it.line.append(chunk);
-    // The line is looked up anew each time: the holder may cancel the watch inside on_events.
+    // The watch is looked up in each iteration, since on_events may cancel it.
     for (auto found = watches_.find(id); found != watches_.end(); found = watches_.find(id))
     {
-        auto& rest = found->second.line;
-        const auto end = rest.find('\n');
+        auto& buffer = found->second.line;
+        const auto end = buffer.find('\n');
         if (end == std::string::npos)
         {
-            if (rest.size() > longest_line)
+            if (buffer.size() > max_line_size)
             {
                 end_watch(id);
             }
             return;
         }
-        const auto line = rest.substr(0, end);
-        rest.erase(0, end + 1);
+        const auto line = buffer.substr(0, end);
+        buffer.erase(0, end + 1);
         on_line(id, line);
     }
 }
@@ -141,12 +141,12 @@
 void store_state::on_line(ports::watch_id id, const std::string& line)
 {
     auto part = read_watch_line(line);
-    if (!part.events.empty() && !part.over)
+    if (!part.events.empty() && !part.ended)
     {
         const auto fn = watches_.at(id).on_events;
         fn(std::move(part.events));
     }
-    else if (part.over)
+    else if (part.ended)
     {
         end_watch(id);
     }
@@ -164,7 +164,7 @@
     const auto& it = watches_.at(id);
     auto& counts = counts_of(call_kind::watch);
     counts.bytes_sent += outcome.bytes_sent - std::min(outcome.bytes_sent, it.body_size);
-    counts.bytes_received += outcome.bytes_received - it.counted;
+    counts.bytes_received += outcome.bytes_received - it.counted_bytes;
     counts.failures += outcome.end == ports::call_end::answered ? 0 : 1;
     end_watch(id);
 }
--- a/libs/store/src/store_state.hpp
+++ b/libs/store/src/store_state.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Inside of etcd_store: open calls, open watches, and what they cost.
+/// Implementation of etcd_store: open calls, open watches and the counters.
 #pragma once
 
 #include "store/etcd_store.hpp"
@@ -11,24 +11,27 @@
 namespace camphorhitch::store
 {
 
+/// Settings of a store; see etcd_store_builder.
 struct settings
 {
     std::string address;
     ports::http_fields fields;
     core::millis timeout{0};
-    core::millis longest_watch_silence{0};
+    core::millis watch_idle_timeout{0};
 };
 
+/// An open watch.
 struct watch_state
 {
     ports::call_id call = 0;
-    std::string line;          ///< what came of the line that is not whole yet
-    std::size_t body_size = 0; ///< of the request
-    std::uint64_t counted = 0; ///< bytes of the stream that stand in the counts
+    std::string line;                ///< received part of an incomplete line
+    std::size_t body_size = 0;       ///< bytes of the request's body
+    std::uint64_t counted_bytes = 0; ///< received bytes that are already included in the counters
     std::function<void(std::vector<ports::kv_event>)> on_events;
     std::function<void()> on_end;
 };
 
+/// State of a store.
 struct store_state
 {
     using answer_fn = std::function<void(ports::kv_status, const ports::http_outcome&)>;
@@ -38,7 +41,7 @@
     store_state(const store_state&) = delete;
     store_state& operator=(const store_state&) = delete;
 
-    /// Calls \p then with what the call's end means for a read or a write.
+    /// Sends a call. Passes its status, which depends on its effect, and its outcome to \p then.
     void call(call_kind kind, const char* path, std::string body, effect what, answer_fn then);
     ports::watch_id watch(const std::string& prefix, ports::revision from, watch_state made);
     void cancel_watch(ports::watch_id id);
--- a/libs/store/src/wire.cpp
+++ b/libs/store/src/wire.cpp
@@ -19,8 +19,8 @@
 constexpr int http_unauthorized = 401;
 constexpr int http_too_many = 429;
 
-/// Codes of gRPC that etcd gives before it has proposed a write. The others, Unavailable (14)
-/// among them, also stand for "request timed out", after which the write may still happen.
+/// gRPC codes that etcd returns before it proposes a write. All other codes, including
+/// Unavailable (14), can also mean "request timed out", after which the write may still happen.
 enum grpc_code : int
 {
     grpc_invalid_argument = 3,
@@ -34,7 +34,7 @@
     grpc_unauthenticated = 16
 };
 
-constexpr std::array certain_refusals = {grpc_invalid_argument,
+constexpr std::array refusal_codes = {grpc_invalid_argument,
     grpc_not_found,
     grpc_already_exists,
     grpc_permission_denied,
@@ -44,13 +44,13 @@
     grpc_unimplemented,
     grpc_unauthenticated};
 
-constexpr unsigned char highest_byte = 0xff;
-const std::string first_key(1, '\0'); ///< as range_end: no end
+constexpr unsigned char max_byte = 0xff;
+const std::string first_key(1, '\0'); ///< as a range_end: up to the last key
 
-/// \return the first key after all that start with \p prefix.
-std::string end_of(std::string prefix)
+/// \return the first key after all keys that start with \p prefix.
+std::string prefix_end(std::string prefix)
 {
-    while (!prefix.empty() && static_cast<unsigned char>(prefix.back()) == highest_byte)
+    while (!prefix.empty() && static_cast<unsigned char>(prefix.back()) == max_byte)
     {
         prefix.pop_back();
     }
@@ -62,13 +62,13 @@
     return prefix;
 }
 
-json range_of(const std::string& prefix)
+json range_json(const std::string& prefix)
 {
     return {{"key", core::to_base64(prefix.empty() ? first_key : prefix)},
-        {"range_end", core::to_base64(end_of(prefix))}};
+        {"range_end", core::to_base64(prefix_end(prefix))}};
 }
 
-json comparison(const std::string& key, ports::revision expected)
+json comparison_json(const std::string& key, ports::revision expected)
 {
     return {{"key", core::to_base64(key)},
         {"target", "MOD"},
@@ -76,11 +76,12 @@
         {"mod_revision", std::to_string(expected)}};
 }
 
-/// One comparison, one effect, and a read of what stands there when the comparison fails.
-json transaction(const std::string& key, ports::revision expected, json effect)
+/// \return a transaction with one comparison, one effect, and a read of the current entry when the
+/// comparison fails.
+json transaction_json(const std::string& key, ports::revision expected, json effect)
 {
     const json read = {{"request_range", {{"key", core::to_base64(key)}}}};
-    return {{"compare", json::array({comparison(key, expected)})},
+    return {{"compare", json::array({comparison_json(key, expected)})},
         {"success", json::array({std::move(effect)})},
         {"failure", json::array({read})}};
 }
@@ -90,8 +91,8 @@
     return json::parse(text, nullptr, false);
 }
 
-/// \return the member, or null.
-const json& at(const json& object, const char* name)
+/// \return the member; null when it does not exist.
+const json& member(const json& object, const char* name)
 {
     static const json none;
     if (!object.is_object())
@@ -102,10 +103,10 @@
     return it == object.end() ? none : *it;
 }
 
-/// \return the number, 0 when it is left out, or nothing when it is no number.
+/// \return the number; 0 when the member is omitted; nothing when it is not a number.
 std::optional<std::int64_t> number_at(const json& object, const char* name)
 {
-    const auto& it = at(object, name);
+    const auto& it = member(object, name);
     if (it.is_null())
     {
         return 0;
@@ -125,10 +126,10 @@
     return ec == std::errc{} && stop == end ? std::optional(n) : std::nullopt;
 }
 
-/// \return the bytes, empty when they are left out, or nothing when they are not base64.
+/// \return the bytes; empty when the member is omitted; nothing when it is not base64.
 std::optional<std::string> bytes_at(const json& object, const char* name)
 {
-    const auto& it = at(object, name);
+    const auto& it = member(object, name);
     if (it.is_null())
     {
         return std::string();
@@ -138,7 +139,7 @@
 
 bool is_true(const json& object, const char* name)
 {
-    const auto& it = at(object, name);
+    const auto& it = member(object, name);
     return it.is_boolean() && it.get<bool>();
 }
 
@@ -155,10 +156,10 @@
     return ports::kv_entry{*key, *value, *modified, *lease};
 }
 
-/// \return the store's revision, which every answer gives, or nothing.
+/// \return the store's revision, which every valid answer contains; nothing when it is missing.
 std::optional<ports::revision> revision_of(const json& answer)
 {
-    const auto n = number_at(at(answer, "header"), "revision");
+    const auto n = number_at(member(answer, "header"), "revision");
     return n.value_or(0) > 0 ? n : std::nullopt;
 }
 
@@ -179,13 +180,13 @@
 
 std::optional<ports::kv_write> read_conflict(const json& answer)
 {
-    const auto& responses = at(answer, "responses");
+    const auto& responses = member(answer, "responses");
     if (!responses.is_array() || responses.size() != 1)
     {
         return std::nullopt;
     }
-    const auto& range = at(responses[0], "response_range");
-    const auto found = read_entries(at(range, "kvs"));
+    const auto& range = member(responses[0], "response_range");
+    const auto found = read_entries(member(range, "kvs"));
     if (!range.is_object() || !found)
     {
         return std::nullopt;
@@ -217,8 +218,8 @@
 
 std::optional<ports::kv_event> read_event(const json& event)
 {
-    const auto& type = at(event, "type");
-    auto entry = read_entry(at(event, "kv"));
+    const auto& type = member(event, "type");
+    auto entry = read_entry(member(event, "kv"));
     if (!entry)
     {
         return std::nullopt;
@@ -240,7 +241,7 @@
     }
     const int code = grpc_code_of(outcome);
     return std::any_of(
-        certain_refusals.begin(), certain_refusals.end(), [&](int it) { return it == code; });
+        refusal_codes.begin(), refusal_codes.end(), [&](int it) { return it == code; });
 }
 
 } // namespace
@@ -252,7 +253,7 @@
 
 std::string prefix_body(const std::string& prefix)
 {
-    return range_of(prefix).dump();
+    return range_json(prefix).dump();
 }
 
 std::string put_body(const std::string& key,
@@ -265,18 +266,18 @@
     {
         put["lease"] = std::to_string(lease);
     }
-    return transaction(key, expected, {{"request_put", put}}).dump();
+    return transaction_json(key, expected, {{"request_put", put}}).dump();
 }
 
 std::string delete_body(const std::string& key, ports::revision expected)
 {
     const json remove = {{"request_delete_range", {{"key", core::to_base64(key)}}}};
-    return transaction(key, expected, remove).dump();
+    return transaction_json(key, expected, remove).dump();
 }
 
 std::string check_body(const std::string& key, ports::revision expected)
 {
-    return json{{"compare", json::array({comparison(key, expected)})}}.dump();
+    return json{{"compare", json::array({comparison_json(key, expected)})}}.dump();
 }
 
 std::string grant_body(core::millis ttl)
@@ -292,12 +293,12 @@
 
 std::string watch_body(const std::string& prefix, ports::revision from)
 {
-    json create = range_of(prefix);
+    json create = range_json(prefix);
     create["start_revision"] = std::to_string(from);
     return json{{"create_request", create}}.dump();
 }
 
-ports::kv_status unreadable(effect what)
+ports::kv_status invalid_answer_status(effect what)
 {
     return what == effect::write ? ports::kv_status::unknown : ports::kv_status::unavailable;
 }
@@ -310,16 +311,16 @@
     }
     if (outcome.end != ports::call_end::answered)
     {
-        return unreadable(what);
+        return invalid_answer_status(what);
     }
     if (outcome.response.status == http_ok)
     {
         return ports::kv_status::ok;
     }
-    return is_certain_refusal(outcome) ? ports::kv_status::rejected : unreadable(what);
+    return is_certain_refusal(outcome) ? ports::kv_status::rejected : invalid_answer_status(what);
 }
 
-bool is_no_lease(const ports::http_outcome& outcome)
+bool is_lease_not_found(const ports::http_outcome& outcome)
 {
     return outcome.end == ports::call_end::answered && outcome.response.status != http_ok &&
            grpc_code_of(outcome) == grpc_not_found;
@@ -329,7 +330,7 @@
 {
     const auto answer = parse(text);
     const auto revision = revision_of(answer);
-    auto entries = read_entries(at(answer, "kvs"));
+    auto entries = read_entries(member(answer, "kvs"));
     if (!revision || !entries)
     {
         return std::nullopt;
@@ -374,26 +375,26 @@
 
 std::optional<ports::kv_lease> read_keep_alive(const std::string& text)
 {
-    return read_lease(at(parse(text), "result"));
+    return read_lease(member(parse(text), "result"));
 }
 
-watch_part read_watch_line(const std::string& line)
+watch_message read_watch_line(const std::string& line)
 {
     const auto parsed = parse(line);
-    const auto& result = at(parsed, "result");
-    watch_part out;
+    const auto& result = member(parsed, "result");
+    watch_message out;
     if (!result.is_object() || is_true(result, "canceled") ||
         number_at(result, "compact_revision") != 0)
     {
-        out.over = true;
+        out.ended = true;
         return out;
     }
-    for (const auto& it : at(result, "events"))
+    for (const auto& it : member(result, "events"))
     {
         auto event = read_event(it);
         if (!event)
         {
-            out.over = true;
+            out.ended = true;
             return out;
         }
         out.events.push_back(std::move(*event));
--- a/libs/store/tests/store_tests.cpp
+++ b/libs/store/tests/store_tests.cpp
@@ -67,14 +67,14 @@
                          .token("secret")
                          .extra_fields({{"X-Member", "e1"}})
                          .timeout(1s)
-                         .longest_watch_silence(400ms)
+                         .watch_idle_timeout(400ms)
                          .build();
         CHECK(core::is_ok(built));
         made.emplace(std::move(core::value(built)));
         port = made->port();
     }
 
-    /// Waits for the next request and compares it.
+    /// Waits for the next request and checks its path, header fields and body.
     void expect_sent(const std::string& path, const std::string& body)
     {
         const int before = sent++;
@@ -121,7 +121,7 @@
     }
 };
 
-TEST(etcd_store, requests_follow_the_published_gateway)
+TEST(etcd_store, requests_have_the_format_of_the_public_gateway)
 {
     const auto ignore = [](const auto&) {
     };
@@ -145,7 +145,7 @@
     expect_sent("/v3/kv/txn", delete_body);
     port.grant_lease(2500ms, ignore);
     expect_sent("/v3/lease/grant", R"({"TTL":"3"})");
-    port.keep_alive(9007199254740993, ignore); // no double holds this number
+    port.keep_alive(9007199254740993, ignore); // not representable as a double
     expect_sent("/v3/lease/keepalive", R"({"ID":"9007199254740993"})");
     port.revoke_lease(5, ignore);
     expect_sent("/v3/lease/revoke", R"({"ID":"5"})");
@@ -154,7 +154,7 @@
         R"({"create_request":{"key":"YS8=","range_end":"YTA=","start_revision":"8"}})");
 }
 
-TEST(etcd_store, values_of_any_bytes_come_back_as_they_were)
+TEST(etcd_store, values_of_arbitrary_bytes_are_returned_unchanged)
 {
     std::string value;
     for (int i = 0; i < 256; ++i)
@@ -171,7 +171,7 @@
     LONGS_EQUAL(7, out.entries.at(0).modified);
 }
 
-TEST(etcd_store, a_conflict_tells_what_stands_there)
+TEST(etcd_store, a_conflict_returns_the_current_entry)
 {
     answer_with(answer(200, header + R"(,"succeeded":true,"responses":[{"response_put":{}}]})"));
     auto out = put();
@@ -190,10 +190,10 @@
     LONGS_EQUAL(0, out.modified);
 }
 
-// The service refuses, fails, or its answer is lost after the write may have taken effect. A write
-// is "unavailable" or "rejected" only when it certainly did not happen; else its holder must read
-// again before it decides.
-TEST(etcd_store, a_missing_or_bad_answer_has_a_truthful_status)
+// The service refuses a call, fails, or its answer is lost after the write may have taken effect. A
+// write must be "unavailable" or "rejected" only when it certainly did not take effect. Otherwise
+// its caller must read the key again before it decides.
+TEST(etcd_store, a_missing_or_invalid_answer_has_the_status_that_it_proves)
 {
     struct row
     {
@@ -244,7 +244,7 @@
     CHECK(get().status == kv_status::unavailable);
 }
 
-TEST(etcd_store, a_lease_lives_lapses_and_is_revoked)
+TEST(etcd_store, a_lease_is_granted_renewed_expired_and_revoked)
 {
     answer_with(answer(200, header + R"(,"ID":"77","TTL":"10"})"));
     auto lease = wait_for<ports::kv_lease>([&](auto then) { port.grant_lease(10s, then); });
@@ -273,7 +273,7 @@
     CHECK(wait_for<kv_status>([&](auto then) { port.revoke_lease(77, then); }) == kv_status::ok);
 }
 
-TEST(etcd_store, a_watch_gives_events_in_order_however_they_are_cut_into_parts)
+TEST(etcd_store, a_watch_delivers_events_in_order_for_any_chunk_size)
 {
     const auto put_line = event_line(R"({"kv":)" + entry + "}");
     const auto delete_line = event_line(
@@ -309,9 +309,9 @@
     }
 }
 
-// The stream ends for whatever reason, or falls silent because something between the two ends has
-// lost the connection. Its holder is told once, and reads again; without that it would go on with
-// an old configuration for ever.
+// The stream ends for some reason, or delivers no more data because the connection is lost on the
+// network path. on_end must be called once, so that the user of the watch reads the keys again.
+// Without the call it would keep an old configuration forever.
 TEST(etcd_store, a_watch_that_is_lost_ends_once)
 {
     struct row
@@ -393,7 +393,7 @@
     LONGS_EQUAL(0, made->counts(call_kind::watch).calls);
 }
 
-TEST(etcd_store, open_calls_are_dropped_with_the_store)
+TEST(etcd_store, open_calls_end_without_callback_with_the_store)
 {
     answer_with("");
     int ends = 0;
@@ -406,7 +406,7 @@
     LONGS_EQUAL(0, ends);
 }
 
-TEST(etcd_store, an_address_that_is_none_is_an_error)
+TEST(etcd_store, an_invalid_address_is_an_error)
 {
     auto built = store::etcd_store::builder().client(client).address("kv.example:2379").build();
     CHECK(!core::is_ok(built));
--- a/programs/camphorhitchd/src/hosted_clients.cpp
+++ b/programs/camphorhitchd/src/hosted_clients.cpp
@@ -42,9 +42,9 @@
 http::client open_client(reactor::event_loop& loop, const pool_bounds& it)
 {
     http::client_limits limits;
-    limits.longest_idle = longest_idle;
-    limits.most_connections_per_host = it.per_host;
-    limits.most_idle_connections = it.idle;
+    limits.max_idle_time = longest_idle;
+    limits.max_connections_per_host = it.per_host;
+    limits.max_idle_connections = it.idle;
     limits.urgency = it.urgency;
     return http::client::builder().loop(loop).limits(limits).build();
 }
@@ -55,9 +55,9 @@
 constexpr pool_bounds for_lease{
     connections_for_lease, connections_for_lease, reactor::urgency::urgent};
 constexpr pool_bounds for_orders{
-    connections_per_runner, most_idle_to_runners, reactor::urgency::usual};
+    connections_per_runner, most_idle_to_runners, reactor::urgency::normal};
 constexpr pool_bounds for_polls{
-    poll_connections_per_runner, most_idle_polls, reactor::urgency::usual};
+    poll_connections_per_runner, most_idle_polls, reactor::urgency::normal};
 
 core::micros processor_time()
 {
--- a/programs/camphorhitchd/src/node.cpp
+++ b/programs/camphorhitchd/src/node.cpp
@@ -88,8 +88,8 @@
 {
     client = http::client::builder().loop(loop).build();
     http::client_limits limits;
-    limits.most_connections_per_host = connections_per_target;
-    limits.longest_idle = longest_idle;
+    limits.max_connections_per_host = connections_per_target;
+    limits.max_idle_time = longest_idle;
     target_client = http::client::builder().loop(loop).limits(limits).build();
     auto made = store::etcd_store::builder()
                     .client(*client)
@@ -189,10 +189,10 @@
     const std::string& address, ports::http_events events)
 {
     http::server_limits limits;
-    limits.largest_body = settings.limits.body_bytes;
-    limits.largest_header = settings.limits.header_bytes;
-    limits.most_connections = settings.limits.connections;
-    limits.most_exchanges = settings.limits.open_requests;
+    limits.max_body_size = settings.limits.body_bytes;
+    limits.max_header_size = settings.limits.header_bytes;
+    limits.max_connections = settings.limits.connections;
+    limits.max_exchanges = settings.limits.open_requests;
     auto made = http::server::builder()
                     .loop(loop)
                     .address(address)
