--- a/libs/telemetry/include/telemetry/telemetry.hpp
+++ b/libs/telemetry/include/telemetry/telemetry.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Logs, metrics and traces behind ports::telemetry. docs/operators/metrics-and-logs.md tells what
-/// operators see of them.
+/// Logs, metrics and traces. Implements ports::telemetry. docs/operators/metrics-and-logs.md
+/// describes the output for operators.
 #pragma once
 
 #include "core/time.hpp"
@@ -17,19 +17,19 @@
 namespace camphorhitch::telemetry
 {
 
-/// Where the lines go.
+/// Destination of the log lines.
 enum class line_output
 {
     standard_output,
     standard_error
 };
 
-/// Logs, metrics and traces of one process. Copies share them.
-/// Only logs and spans may be used on other threads than the scheduler's.
+/// Logs, metrics and traces of one process. Copies of a hub share them.
+/// Logs and spans may be used on any thread, metrics only on the scheduler's thread.
 class hub
 {
 public:
-    /// \return functions that keep the hub's parts alive.
+    /// \return the port, whose functions remain valid after the hub is destroyed.
     ports::telemetry port() const;
 
     /// \return all metrics as Prometheus text.
@@ -44,39 +44,40 @@
     std::shared_ptr<parts> parts_;
 };
 
-/// Makes a hub. Each setter may be left out.
+/// Creates a hub. All setters are optional.
 class builder
 {
 public:
-    /// Less urgent lines are not written. Default: info.
-    builder& level(ports::log_level least);
+    /// Minimum level of the lines that are written. Default: info.
+    builder& level(ports::log_level min_level);
 
     /// Default: standard output.
     builder& output(line_output where);
 
-    /// Hands each line, without its end, to \p lines in place of an output.
+    /// Passes each line, without the line break, to \p lines instead of writing it to an output.
     builder& lines(std::function<void(std::string_view)> lines);
 
-    /// A field that each line carries, as the member's id.
+    /// Adds a field to every line, for example the member's id.
     builder& field(std::string key, std::string value);
 
     /// \param share of new traces that are recorded, 0 to 1. Default: 0.
     builder& sample(double share);
 
-    /// Makes the ids of traces and spans the same at each run. Default: random.
+    /// Seed of the ids of traces and spans, for reproducible ids. Default: random.
     builder& seed(std::uint64_t seed);
 
     /// Default: the system's clocks.
     builder& clocks(
         std::function<core::wall_time()> wall, std::function<core::mono_time()> monotonic);
 
-    /// Most label sets that one metric keeps apart. Default: 1000.
-    builder& most_series(std::size_t most);
+    /// Maximum number of label sets of one metric. The samples of further label sets are added to
+    /// one common series. Default: 1000.
+    builder& max_series(std::size_t max);
 
-    /// One sentence on a metric, for its HELP line.
+    /// Description of a metric, for its HELP line.
     builder& help(std::string metric, std::string text);
 
-    /// Asserts that the settings are in their ranges.
+    /// Creates the hub. Asserts that the settings are within their ranges.
     hub build() const;
 
 private:
@@ -88,7 +89,7 @@
     std::optional<std::uint64_t> seed_;
     std::function<core::wall_time()> wall_;
     std::function<core::mono_time()> monotonic_;
-    std::size_t most_series_ = 1000;
+    std::size_t max_series_ = 1000;
     std::map<std::string, std::string> help_;
 };
 
--- a/libs/telemetry/src/line.cpp
+++ b/libs/telemetry/src/line.cpp
@@ -10,16 +10,16 @@
 namespace
 {
 
-constexpr std::size_t most_value_bytes = 1024;
+constexpr std::size_t max_value_bytes = 1024;
 
-/// A line and its time stamp stay below what a pipe takes at once (4096 bytes), so that the lines
-/// of several processes on one pipe don't mix.
-constexpr std::size_t most_line_bytes = 3900;
+/// A line with its time stamp is shorter than the size of an atomic write to a pipe (4096 bytes),
+/// so that the lines of several processes on one pipe are not interleaved.
+constexpr std::size_t max_line_bytes = 3900;
 
 using utf8 = boost::locale::utf::utf_traits<char>;
 using boost::locale::utf::code_point;
 
-bool is_plain(char c)
+bool needs_no_quotes(char c)
 {
     return c > ' ' && c < 0x7f && c != '"' && c != '=' && c != '\\';
 }
@@ -30,7 +30,7 @@
            c == '.' || c == '-';
 }
 
-/// Characters that end a line or turn its direction in some viewer.
+/// \return whether some viewers treat the character as a line break or a change of text direction.
 bool is_unsafe(code_point c)
 {
     return (c >= 0x80 && c <= 0x9f) || (c >= 0x2028 && c <= 0x202e) || (c >= 0x2066 && c <= 0x2069);
@@ -60,9 +60,9 @@
     }
 }
 
-/// Names, paths and header fields come from callers. A line break in one would begin a line of its
-/// own, and whoever reads the log would take it for an event of ours. So everything that is not
-/// printable is escaped, and what is quoted can't end the quotes.
+/// Names, paths and header fields come from callers. A line break in one of them would start a new
+/// line, which a reader of the log would mistake for an event of this process. Therefore every
+/// character that is not printable is escaped, and a value can't end its quotes.
 void append_quoted(std::string& out, std::string_view value)
 {
     out += '"';
@@ -111,11 +111,11 @@
         line += ' ';
     }
     append_key(line, key);
-    if (value.size() > most_value_bytes)
+    if (value.size() > max_value_bytes)
     {
-        append_quoted(line, std::string{value.substr(0, most_value_bytes)} + "...");
+        append_quoted(line, std::string{value.substr(0, max_value_bytes)} + "...");
     }
-    else if (!value.empty() && std::all_of(value.begin(), value.end(), is_plain))
+    else if (!value.empty() && std::all_of(value.begin(), value.end(), needs_no_quotes))
     {
         line += value;
     }
@@ -136,7 +136,7 @@
         {
             const std::size_t before = line.size();
             append_field(line, key, value);
-            if (line.size() > most_line_bytes)
+            if (line.size() > max_line_bytes)
             {
                 line.resize(before);
                 line += " cut=true";
--- a/libs/telemetry/src/line_sinks.cpp
+++ b/libs/telemetry/src/line_sinks.cpp
@@ -28,7 +28,7 @@
 {
     if (dropped_ > 0 && is_writable(fd_))
     {
-        tell_dropped(msg);
+        write_dropped_notice(msg);
     }
     if (!write_line(msg))
     {
@@ -40,7 +40,7 @@
 {
 }
 
-void descriptor_sink::tell_dropped(const spdlog::details::log_msg& msg)
+void descriptor_sink::write_dropped_notice(const spdlog::details::log_msg& msg)
 {
     const std::string text = "event=log_lines_dropped count=" + std::to_string(dropped_);
     spdlog::details::log_msg notice = msg;
--- a/libs/telemetry/src/line_sinks.hpp
+++ b/libs/telemetry/src/line_sinks.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// spdlog sinks: a file descriptor that can't block us, and a function for tests.
+/// spdlog sinks: one writes to a file descriptor without blocking, one calls a function.
 #pragma once
 
 #include <spdlog/sinks/base_sink.h>
@@ -12,12 +12,12 @@
 namespace camphorhitch::telemetry
 {
 
-/// Writes lines to a file descriptor, unless its reader is stuck.
+/// Writes lines to a file descriptor, and drops them while its reader is stuck.
 ///
-/// Whoever reads our output may stop reading. A write to a full pipe then waits for ever: the
-/// daemon's loop stands still, its heartbeats stop and the others take its work over. A pipe that
-/// polls as writable takes a whole line at once, so it is asked first and the line is dropped and
-/// counted when it says no.
+/// The reader of the output may stop reading. A write to a full pipe would then block forever: the
+/// daemon's event loop would stop, its heartbeats would end, and other members would take over its
+/// work. A pipe that polls as writable accepts a whole line, so the descriptor is polled before
+/// each write. When it is not writable, the line is dropped and counted.
 class descriptor_sink : public spdlog::sinks::base_sink<std::mutex>
 {
 public:
@@ -29,13 +29,13 @@
 
 private:
     bool write_line(const spdlog::details::log_msg& msg);
-    void tell_dropped(const spdlog::details::log_msg& msg);
+    void write_dropped_notice(const spdlog::details::log_msg& msg);
 
     int fd_;
-    std::uint64_t dropped_ = 0; ///< since the last line that told of them
+    std::uint64_t dropped_ = 0; ///< lines dropped since the last notice
 };
 
-/// Hands each line to a function.
+/// Passes each line, without the line break, to a function.
 class function_sink : public spdlog::sinks::base_sink<std::mutex>
 {
 public:
--- a/libs/telemetry/src/line_span.cpp
+++ b/libs/telemetry/src/line_span.cpp
@@ -10,9 +10,9 @@
 namespace
 {
 
-constexpr std::size_t most_tags = 32;
+constexpr std::size_t max_tags = 32;
 
-/// Turns each kind of OpenTracing's values into text.
+/// Converts each type of OpenTracing values to text.
 struct value_printer
 {
     std::string operator()(bool v) const
@@ -75,10 +75,10 @@
 
 line_span::line_span(std::shared_ptr<const line_tracer> tracer,
     std::shared_ptr<tracer_core> core,
-    span_record begun,
+    span_record started,
     opentracing::SteadyTime start)
-    : tracer_(std::move(tracer)), core_(std::move(core)), record_(std::move(begun)), start_(start),
-      context_(record_.context)
+    : tracer_(std::move(tracer)), core_(std::move(core)), record_(std::move(started)),
+      start_(start), context_(record_.context)
 {
 }
 
@@ -106,13 +106,14 @@
 
 void line_span::SetTag(opentracing::string_view key, const opentracing::Value& v) noexcept
 {
-    if (record_.context.sampled && record_.tags.size() < most_tags)
+    if (record_.context.sampled && record_.tags.size() < max_tags)
     {
         record_.tags.emplace_back(key, value_text(v));
     }
 }
 
-/// The traceparent header carries no baggage, and one that ends at the first hop would mislead.
+/// Baggage is not supported. The traceparent header has no baggage, and baggage that is lost at the
+/// first hop would be misleading.
 void line_span::SetBaggageItem(opentracing::string_view, opentracing::string_view) noexcept
 {
 }
@@ -122,7 +123,7 @@
     return {};
 }
 
-/// A span is one line; what happens within it belongs into events of its own.
+/// Logs within a span are not supported. A span is one line; its events are logged separately.
 void line_span::Log(
     std::initializer_list<std::pair<opentracing::string_view, opentracing::Value>>) noexcept
 {
--- a/libs/telemetry/src/line_span.hpp
+++ b/libs/telemetry/src/line_span.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A span of line_tracer.
+/// The span type of line_tracer.
 #pragma once
 
 #include "tracer.hpp"
@@ -9,17 +9,18 @@
 namespace camphorhitch::telemetry
 {
 
+/// A span that is written as one record when it ends.
 class line_span : public opentracing::Span
 {
 public:
     line_span(std::shared_ptr<const line_tracer> tracer,
         std::shared_ptr<tracer_core> core,
-        span_record begun,
+        span_record started,
         opentracing::SteadyTime start);
     line_span(const line_span&) = delete;
     line_span& operator=(const line_span&) = delete;
 
-    /// Ends the span when nobody did.
+    /// Ends the span if it has not ended yet.
     ~line_span() override;
 
     void FinishWithOptions(const opentracing::FinishSpanOptions& options) noexcept override;
@@ -47,7 +48,7 @@
     bool ended_ = false;
 };
 
-/// \return \p v as text; lists and dictionaries as their size.
+/// \return \p v as text; for lists and dictionaries, their size.
 std::string value_text(const opentracing::Value& v);
 
 } // namespace camphorhitch::telemetry
--- a/libs/telemetry/src/metrics.cpp
+++ b/libs/telemetry/src/metrics.cpp
@@ -10,14 +10,14 @@
 namespace
 {
 
-constexpr std::size_t most_families = 1000;
+constexpr std::size_t max_families = 1000;
 const std::string dropped_name = "camphorhitch_metric_samples_dropped_total";
 const ports::metric_labels overflow_labels = {{"overflow", "true"}};
 
 } // namespace
 
-metrics::metrics(std::size_t most_series, std::map<std::string, std::string> help)
-    : most_series_(most_series), help_(std::move(help))
+metrics::metrics(std::size_t max_series, std::map<std::string, std::string> help)
+    : max_series_(max_series), help_(std::move(help))
 {
     help_.emplace(dropped_name,
         "Samples that had no series of their own: too many label sets (series), too many metrics "
@@ -28,7 +28,7 @@
 {
     if (!std::isfinite(by) || by < 0)
     {
-        drop(name, "value");
+        count_dropped(name, "value");
         return;
     }
     if (series* it = find(name, labels, metric_kind::counter))
@@ -41,7 +41,7 @@
 {
     if (!std::isfinite(v))
     {
-        drop(name, "value");
+        count_dropped(name, "value");
         return;
     }
     if (series* it = find(name, labels, metric_kind::gauge))
@@ -54,7 +54,7 @@
 {
     if (!std::isfinite(v))
     {
-        drop(name, "value");
+        count_dropped(name, "value");
         return;
     }
     if (series* it = find(name, labels, metric_kind::summary))
@@ -69,9 +69,9 @@
     auto found = families_.find(name);
     if (found == families_.end())
     {
-        if (families_.size() >= most_families)
+        if (families_.size() >= max_families)
         {
-            drop("other", "families");
+            count_dropped("other", "families");
             return nullptr;
         }
         found = families_.emplace(name, family{kind, {}}).first;
@@ -79,7 +79,7 @@
     family& f = found->second;
     if (f.kind != kind)
     {
-        drop(name, "kind");
+        count_dropped(name, "kind");
         return nullptr;
     }
     const auto it = f.all.find(labels);
@@ -87,20 +87,21 @@
     {
         return &it->second;
     }
-    if (f.all.size() >= most_series_ && labels != overflow_labels)
+    if (f.all.size() >= max_series_ && labels != overflow_labels)
     {
-        return find_overflow(f, name);
+        return find_overflow_series(f, name);
     }
     const series empty = kind == metric_kind::summary ? series{summary{}} : series{0.0};
     return &f.all.emplace(labels, empty).first->second;
 }
 
-/// A label that follows what callers send (a path, a key) makes a series for each value, until the
-/// memory is gone and each reading of the metrics takes seconds. Beyond the bound, counters and
-/// summaries add up in one series, so that sums over all label sets stay right; a gauge has no sum.
-metrics::series* metrics::find_overflow(family& f, const std::string& name)
+/// A label whose value comes from callers, such as a path or a key, creates a series for each
+/// value, until the memory is exhausted and each scrape takes seconds. Beyond the limit, the
+/// samples of counters and summaries are added to one series, so that sums over all label sets stay
+/// correct. Samples of gauges are dropped, since a sum of gauges has no meaning.
+metrics::series* metrics::find_overflow_series(family& f, const std::string& name)
 {
-    drop(name, "series");
+    count_dropped(name, "series");
     if (f.kind == metric_kind::gauge)
     {
         return nullptr;
@@ -109,7 +110,7 @@
     return &f.all.emplace(overflow_labels, empty).first->second;
 }
 
-void metrics::drop(const std::string& name, const char* reason)
+void metrics::count_dropped(const std::string& name, const char* reason)
 {
     family& f = families_[dropped_name];
     std::get<double>(f.all[{{"metric", name}, {"reason", reason}}]) += 1;
@@ -133,7 +134,7 @@
     {
     case metric_kind::counter:
     case metric_kind::gauge:
-        append_head(out, name, f.kind == metric_kind::counter ? "counter" : "gauge", help);
+        append_header(out, name, f.kind == metric_kind::counter ? "counter" : "gauge", help);
         for (const auto& [labels, it] : f.all)
         {
             append_sample(out, name, labels, std::get<double>(it));
@@ -142,7 +143,7 @@
     case metric_kind::summary:
         break;
     }
-    append_head(out, name, "summary", help);
+    append_header(out, name, "summary", help);
     for (const auto& [labels, it] : f.all)
     {
         const auto& s = std::get<summary>(it);
@@ -156,10 +157,10 @@
         append_sample(out, name + "_sum", labels, s.sum());
         append_sample(out, name + "_count", labels, static_cast<double>(s.count()));
     }
-    append_head(out, name + "_max", "gauge", {});
+    append_header(out, name + "_max", "gauge", {});
     for (const auto& [labels, it] : f.all)
     {
-        append_sample(out, name + "_max", labels, std::get<summary>(it).largest());
+        append_sample(out, name + "_max", labels, std::get<summary>(it).maximum());
     }
 }
 
--- a/libs/telemetry/src/metrics.hpp
+++ b/libs/telemetry/src/metrics.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Counters, gauges and summaries by name and labels, and their Prometheus text.
+/// Counters, gauges and summaries with names and labels, and their Prometheus text.
 #pragma once
 
 #include "ports/telemetry.hpp"
@@ -24,15 +24,18 @@
 class metrics
 {
 public:
-    /// \param most_series label sets that one metric keeps apart.
-    /// \param help sentences for the HELP lines, by metric.
-    metrics(std::size_t most_series, std::map<std::string, std::string> help);
+    /// \param max_series maximum number of label sets of one metric.
+    /// \param help texts of the HELP lines, by metric.
+    metrics(std::size_t max_series, std::map<std::string, std::string> help);
 
+    /// Adds \p by to a counter.
     void count(const std::string& name, const ports::metric_labels& labels, double by);
+    /// Sets a gauge.
     void gauge(const std::string& name, const ports::metric_labels& labels, double v);
+    /// Adds an observation to a summary.
     void observe(const std::string& name, const ports::metric_labels& labels, double v);
 
-    /// \return Prometheus text, in order of names and labels.
+    /// \return all metrics as Prometheus text, ordered by name and labels.
     std::string render() const;
 
 private:
@@ -44,15 +47,15 @@
         std::map<ports::metric_labels, series> all;
     };
 
-    /// \return where to add a sample, or null after it was counted as dropped.
+    /// \return the series for a sample; null when the sample is dropped, which is then counted.
     series* find(const std::string& name, const ports::metric_labels& labels, metric_kind kind);
-    series* find_overflow(family& f, const std::string& name);
-    void drop(const std::string& name, const char* reason);
+    series* find_overflow_series(family& f, const std::string& name);
+    void count_dropped(const std::string& name, const char* reason);
 
     static void render_family(
         std::string& out, const std::string& name, const family& f, const std::string& help);
 
-    std::size_t most_series_;
+    std::size_t max_series_;
     std::map<std::string, std::string> help_;
     std::map<std::string, family> families_;
 };
--- a/libs/telemetry/src/prometheus_text.cpp
+++ b/libs/telemetry/src/prometheus_text.cpp
@@ -44,7 +44,7 @@
     return fmt::format("{}", v);
 }
 
-void append_head(
+void append_header(
     std::string& out, const std::string& name, const char* type, const std::string& help)
 {
     if (!help.empty())
--- a/libs/telemetry/src/summary.cpp
+++ b/libs/telemetry/src/summary.cpp
@@ -11,8 +11,9 @@
 namespace
 {
 
-/// The P-square algorithm has two markers for each quantile and three more. Until it has seen as
-/// many samples, its markers are the samples in order of arrival, and no estimate of anything.
+/// The P-square algorithm has two markers for each quantile and three more. Until it has processed
+/// that number of samples, its markers are just the samples in order of arrival, and its estimates
+/// are meaningless.
 constexpr std::size_t marker_count = 2 * summary_quantiles.size() + 3;
 
 double exact_quantile(const std::vector<double>& sorted, double share)
@@ -32,11 +33,11 @@
     all_(v);
     if (count() <= marker_count)
     {
-        first_.push_back(v);
+        early_samples_.push_back(v);
     }
     else
     {
-        first_ = {};
+        early_samples_ = {};
     }
 }
 
@@ -50,7 +51,7 @@
     return acc::sum_kahan(all_);
 }
 
-double summary::largest() const
+double summary::maximum() const
 {
     return acc::max(all_);
 }
@@ -58,7 +59,7 @@
 std::array<double, summary_quantiles.size()> summary::quantiles() const
 {
     std::array<double, summary_quantiles.size()> out{};
-    std::vector<double> sorted = first_;
+    std::vector<double> sorted = early_samples_;
     std::sort(sorted.begin(), sorted.end());
     const auto estimates = acc::extended_p_square(all_);
     for (std::size_t i = 0; i < out.size(); ++i)
--- a/libs/telemetry/src/summary.hpp
+++ b/libs/telemetry/src/summary.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Count, sum, largest value and quantiles of observations, in constant memory.
+/// Count, sum, maximum and estimated quantiles of observations, in constant memory.
 #pragma once
 
 #include <boost/accumulators/accumulators.hpp>
@@ -16,8 +16,10 @@
 namespace camphorhitch::telemetry
 {
 
+/// The quantiles that every summary estimates.
 inline constexpr std::array<double, 4> summary_quantiles{0.5, 0.9, 0.99, 0.999};
 
+/// Statistics of a series of observations.
 class summary
 {
 public:
@@ -27,7 +29,7 @@
 
     std::size_t count() const;
     double sum() const;
-    double largest() const;
+    double maximum() const;
 
     /// \return the estimates of summary_quantiles, in order.
     std::array<double, summary_quantiles.size()> quantiles() const;
@@ -39,7 +41,7 @@
         boost::accumulators::tag::extended_p_square>;
 
     boost::accumulators::accumulator_set<double, statistics> all_;
-    std::vector<double> first_; ///< while too few for an estimate
+    std::vector<double> early_samples_; ///< all samples, while there are too few for an estimate
 };
 
 } // namespace camphorhitch::telemetry
--- a/libs/telemetry/src/telemetry.cpp
+++ b/libs/telemetry/src/telemetry.cpp
@@ -66,16 +66,17 @@
     return std::make_shared<descriptor_sink>(to_error ? STDERR_FILENO : STDOUT_FILENO);
 }
 
-spdlog::logger make_logger(const std::shared_ptr<spdlog::sinks::sink>& sink, ports::log_level least)
+spdlog::logger make_logger(
+    const std::shared_ptr<spdlog::sinks::sink>& sink, ports::log_level min_level)
 {
     sink->set_formatter(std::make_unique<spdlog::pattern_formatter>(
         line_pattern, spdlog::pattern_time_type::utc, "\n"));
     spdlog::logger logger{"camphorhitch", sink};
-    logger.set_level(spdlog_level(least));
+    logger.set_level(spdlog_level(min_level));
     return logger;
 }
 
-/// Writes events through spdlog, at the time of our own clock.
+/// Writes events through spdlog with the time of the configured clock.
 struct event_log
 {
     spdlog::logger logger;
@@ -160,10 +161,10 @@
 
 ports::span hub::start_span(parts& p, const std::string& name, const std::string& parent)
 {
-    const auto above = from_traceparent(parent);
-    const line_context context{above.value_or(trace_context{})};
+    const auto parent_context = from_traceparent(parent);
+    const line_context context{parent_context.value_or(trace_context{})};
     const std::shared_ptr<opentracing::Span> it =
-        p.tracer->StartSpan(name, {opentracing::ChildOf(above ? &context : nullptr)});
+        p.tracer->StartSpan(name, {opentracing::ChildOf(parent_context ? &context : nullptr)});
     ports::span out;
     out.traceparent = to_traceparent(dynamic_cast<const line_context&>(it->context()).value());
     out.tag = [it](const std::string& key, const std::string& value)
@@ -178,9 +179,9 @@
     return out;
 }
 
-builder& builder::level(ports::log_level least)
+builder& builder::level(ports::log_level min_level)
 {
-    level_ = least;
+    level_ = min_level;
     return *this;
 }
 
@@ -222,9 +223,9 @@
     return *this;
 }
 
-builder& builder::most_series(std::size_t most)
+builder& builder::max_series(std::size_t max)
 {
-    most_series_ = most;
+    max_series_ = max;
     return *this;
 }
 
@@ -237,7 +238,7 @@
 hub builder::build() const
 {
     core::require(sample_ >= 0 && sample_ <= 1, "the share of sampled traces is 0 to 1");
-    core::require(most_series_ > 0, "a metric keeps at least one label set");
+    core::require(max_series_ > 0, "a metric keeps at least one label set");
     const auto wall = wall_ ? wall_ : system_wall;
     const auto monotonic = monotonic_ ? monotonic_ : system_monotonic;
     const auto log = std::make_shared<event_log>(
@@ -248,7 +249,7 @@
         write_span(*log, it);
     };
     return hub{std::make_shared<hub::parts>(hub::parts{log,
-        metrics{most_series_, help_},
+        metrics{max_series_, help_},
         std::make_shared<line_tracer>(std::move(tracing)),
         monotonic})};
 }
--- a/libs/telemetry/src/trace_context.cpp
+++ b/libs/telemetry/src/trace_context.cpp
@@ -10,11 +10,12 @@
 namespace
 {
 
-constexpr std::size_t text_size = 55; ///< of version 00: 2 + 32 + 16 + 2 digits, three dashes
+/// Length of a version 00 text: 2 + 32 + 16 + 2 digits and three dashes.
+constexpr std::size_t text_size = 55;
 constexpr std::uint64_t sampled_flag = 1;
 constexpr std::uint64_t forbidden_version = 0xff;
 
-/// \return the number, or nothing unless all of \p digits are lower-case hexadecimal.
+/// \return the number; nothing unless all of \p digits are lower-case hexadecimal digits.
 std::optional<std::uint64_t> hex(std::string_view digits)
 {
     const auto is_hex = [](char c)
@@ -30,13 +31,13 @@
     return v;
 }
 
-bool has_shape(std::string_view text)
+bool has_valid_layout(std::string_view text)
 {
     return text.size() >= text_size && text[2] == '-' && text[35] == '-' && text[52] == '-';
 }
 
-/// Later versions may append fields after another dash; version 00 ends where it ends.
-bool has_end_of(std::uint64_t version, std::string_view text)
+/// Later versions may append further fields after a dash; version 00 has a fixed length.
+bool has_valid_end(std::uint64_t version, std::string_view text)
 {
     return text.size() == text_size || (version > 0 && text[text_size] == '-');
 }
@@ -63,7 +64,7 @@
 
 std::optional<trace_context> from_traceparent(std::string_view text)
 {
-    if (!has_shape(text))
+    if (!has_valid_layout(text))
     {
         return std::nullopt;
     }
@@ -77,7 +78,7 @@
         return std::nullopt;
     }
     const bool is_zero = (*high == 0 && *low == 0) || *span == 0;
-    if (*version == forbidden_version || !has_end_of(*version, text) || is_zero)
+    if (*version == forbidden_version || !has_valid_end(*version, text) || is_zero)
     {
         return std::nullopt;
     }
--- a/libs/telemetry/src/tracer.cpp
+++ b/libs/telemetry/src/tracer.cpp
@@ -17,12 +17,12 @@
 
 using extracted = opentracing::expected<std::unique_ptr<opentracing::SpanContext>>;
 
-const line_context* as_ours(const opentracing::SpanContext* sc)
+const line_context* as_line_context(const opentracing::SpanContext* sc)
 {
     return dynamic_cast<const line_context*>(sc);
 }
 
-/// Decided from the trace's id, so that all hops that decide alone decide alike.
+/// Derives the sampling decision from the trace id, so that hops which decide independently agree.
 bool is_sampled(std::uint64_t trace_low, double share)
 {
     return std::ldexp(static_cast<double>(trace_low), -64) < share;
@@ -50,15 +50,15 @@
 opentracing::expected<void> inject_into(
     const opentracing::SpanContext& sc, const opentracing::TextMapWriter& writer)
 {
-    const line_context* ours = as_ours(&sc);
-    if (ours == nullptr)
+    const line_context* context = as_line_context(&sc);
+    if (context == nullptr)
     {
         return opentracing::make_unexpected(opentracing::invalid_span_context_error);
     }
-    return writer.Set(field_name, to_traceparent(ours->value()));
+    return writer.Set(field_name, to_traceparent(context->value()));
 }
 
-/// \return no context when there is no such field.
+/// \return the context; a null pointer when there is no traceparent field.
 extracted extract_from(const opentracing::TextMapReader& reader)
 {
     std::string text;
@@ -95,7 +95,7 @@
     const auto next_id = [&]
     {
         const std::uint64_t id = ids();
-        return id == 0 ? 1 : id; // zero is no id
+        return id == 0 ? 1 : id; // 0 is not a valid id
     };
     trace_context c;
     if (parent != nullptr)
@@ -147,16 +147,16 @@
     const line_context* parent = nullptr;
     for (const auto& [kind, context] : options.references)
     {
-        parent = parent == nullptr ? as_ours(context) : parent;
+        parent = parent == nullptr ? as_line_context(context) : parent;
     }
-    span_record begun;
-    begun.context = core_->next_context(parent == nullptr ? nullptr : &parent->value());
-    begun.parent = parent == nullptr ? 0 : parent->value().span;
-    begun.name = name;
-    begun.start = core_->settings.wall();
+    span_record started;
+    started.context = core_->next_context(parent == nullptr ? nullptr : &parent->value());
+    started.parent = parent == nullptr ? 0 : parent->value().span;
+    started.name = name;
+    started.start = core_->settings.wall();
     if (options.start_system_timestamp != opentracing::SystemTime{})
     {
-        begun.start = core::wall_time{std::chrono::duration_cast<core::millis>(
+        started.start = core::wall_time{std::chrono::duration_cast<core::millis>(
             options.start_system_timestamp.time_since_epoch())};
     }
     opentracing::SteadyTime start = options.start_steady_timestamp;
@@ -164,7 +164,7 @@
     {
         start = opentracing::SteadyTime{core_->settings.monotonic().time_since_epoch()};
     }
-    auto span = std::make_unique<line_span>(shared_from_this(), core_, std::move(begun), start);
+    auto span = std::make_unique<line_span>(shared_from_this(), core_, std::move(started), start);
     for (const auto& [key, value] : options.tags)
     {
         span->SetTag(key, value);
@@ -175,12 +175,12 @@
 opentracing::expected<void> line_tracer::Inject(
     const opentracing::SpanContext& sc, std::ostream& writer) const
 {
-    const line_context* ours = as_ours(&sc);
-    if (ours == nullptr)
+    const line_context* context = as_line_context(&sc);
+    if (context == nullptr)
     {
         return opentracing::make_unexpected(opentracing::invalid_span_context_error);
     }
-    writer << to_traceparent(ours->value());
+    writer << to_traceparent(context->value());
     return {};
 }
 
--- a/libs/telemetry/src/tracer.hpp
+++ b/libs/telemetry/src/tracer.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Our implementation of the OpenTracing API: one record for each sampled span that ends.
+/// An implementation of the OpenTracing API that writes one record for each sampled span.
 #pragma once
 
 #include "core/time.hpp"
@@ -22,7 +22,7 @@
 struct span_record
 {
     trace_context context;
-    std::uint64_t parent = 0; ///< 0: the trace began here
+    std::uint64_t parent = 0; ///< id of the parent span; 0: the span is the root of the trace
     std::string name;
     core::wall_time start;
     core::micros duration{0};
@@ -35,23 +35,23 @@
     std::uint64_t seed = 0;
     std::function<core::wall_time()> wall;
     std::function<core::mono_time()> monotonic;
-    std::function<void(const span_record&)> record;
+    std::function<void(const span_record&)> record; ///< called for each sampled span that ends
 };
 
-/// What spans share with their tracer, and outlives it.
+/// State that a tracer shares with its spans, which may outlive the tracer.
 struct tracer_core
 {
     explicit tracer_core(tracer_settings s);
 
-    /// \return a context below \p parent, or of a new trace when that is null.
+    /// \return the context of a child of \p parent; the root of a new trace when \p parent is null.
     trace_context next_context(const trace_context* parent);
 
     tracer_settings settings;
-    std::mutex mutex; ///< of ids
+    std::mutex mutex; ///< protects ids
     std::mt19937_64 ids;
 };
 
-/// The context that OpenTracing hands around.
+/// A trace_context as OpenTracing's context type.
 class line_context : public opentracing::SpanContext
 {
 public:
@@ -72,6 +72,7 @@
     trace_context value_;
 };
 
+/// Creates the spans, and transfers their contexts to and from header fields.
 class line_tracer : public opentracing::Tracer, public std::enable_shared_from_this<line_tracer>
 {
 public:
--- a/libs/telemetry/tests/fixture.hpp
+++ b/libs/telemetry/tests/fixture.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A hub whose lines, time and ids are the test's own.
+/// A hub for tests, with recorded lines, a controlled clock and reproducible ids.
 #pragma once
 
 #include "telemetry/telemetry.hpp"
--- a/libs/telemetry/tests/log_tests.cpp
+++ b/libs/telemetry/tests/log_tests.cpp
@@ -25,7 +25,7 @@
     return line;
 }
 
-/// Reads a line as a log shipper does: pairs parted by blanks, quotes with escapes.
+/// Parses a line as a log shipper does: pairs separated by blanks, quoted values with escapes.
 ports::log_fields parse_line(const std::string& line)
 {
     ports::log_fields fields;
@@ -81,11 +81,11 @@
     STRCMP_EQUAL("a_b__=v", field_text("a b=\n", "v").c_str());
 }
 
-/// Callers choose paths, ids and header fields, and all of them end up in lines. Whatever bytes
-/// they send, a reader of the line finds our fields, in our order, and one line.
+/// Paths, ids and header fields of callers appear in log lines. Arbitrary bytes in them must not
+/// add a field or a line, and the fields must keep their order.
 TEST(log, no_value_adds_a_field_or_a_line)
 {
-    CHECK(rc::check("fields stay ours",
+    CHECK(rc::check("no value adds a field",
         [this]
         {
             at.lines.clear();
@@ -130,9 +130,9 @@
     STRCMP_EQUAL(" cut=true", at.lines[0].substr(at.lines[0].size() - 9).c_str());
 }
 
-/// The reader of our output stops reading and the pipe fills up. We go on without waiting, lines
-/// are lost, and the first line that can be written again tells how many.
-TEST(log, a_stuck_reader_stops_nobody)
+/// The reader of the output stops reading and the pipe fills up. Logging must not block; lines are
+/// dropped, and the first line that can be written again must report their number.
+TEST(log, a_stuck_reader_does_not_block_logging)
 {
     std::array<int, 2> ends{};
     CHECK_EQUAL(0, pipe(ends.data()));
@@ -140,18 +140,19 @@
     sink->set_pattern("%l %v");
     spdlog::logger logger{"stuck", sink};
     const std::string line(1000, 'x');
-    constexpr int more_than_a_pipe_holds = 2000; // of 1000 bytes; pipes hold 64 KiB, at most 1 MiB
-    for (int i = 0; i < more_than_a_pipe_holds; ++i)
+    constexpr int lines_beyond_pipe_capacity =
+        2000; // of 1000 bytes; pipes hold 64 KiB, at most 1 MiB
+    for (int i = 0; i < lines_beyond_pipe_capacity; ++i)
     {
         logger.info(line);
     }
     std::array<char, 1 << 16> buf{};
-    std::size_t held = 0;
-    while (held < buf.size() / 2)
+    std::size_t bytes_read = 0;
+    while (bytes_read < buf.size() / 2)
     {
         const auto n = read(ends[0], buf.data(), buf.size());
         CHECK(n > 0);
-        held += static_cast<std::size_t>(n);
+        bytes_read += static_cast<std::size_t>(n);
     }
     logger.info("again");
     std::string text;
--- a/libs/telemetry/tests/metrics_tests.cpp
+++ b/libs/telemetry/tests/metrics_tests.cpp
@@ -31,14 +31,15 @@
         }
         DOUBLES_EQUAL(it.p50, s.quantiles()[0], 0);
         DOUBLES_EQUAL(it.p99, s.quantiles()[2], 0);
-        DOUBLES_EQUAL(it.samples, s.largest(), 0);
+        DOUBLES_EQUAL(it.samples, s.maximum(), 0);
         DOUBLES_EQUAL(it.samples * (it.samples + 1) / 2.0, s.sum(), 0);
         LONGS_EQUAL(it.samples, s.count());
     }
 }
 
-/// Times of requests have a long tail. Each estimate's true rank is compared with the asked one.
-TEST(summaries, many_samples_give_quantiles_of_nearly_the_asked_rank)
+/// Request durations have a long tail. The true rank of each estimate must be close to the
+/// requested quantile.
+TEST(summaries, many_samples_give_quantiles_close_to_the_requested_rank)
 {
     std::mt19937_64 random{20261202};
     std::exponential_distribution<double> times{10};
@@ -93,11 +94,11 @@
         hub.render().c_str());
 }
 
-/// A label follows what callers send. Memory and the text's length stay bounded, the sum over all
-/// series stays right, and a counter tells of it.
-TEST(metrics, label_sets_beyond_the_bound_add_up_in_one)
+/// The value of a label comes from callers. Memory and the length of the text must stay bounded,
+/// the sum over all series must stay correct, and the dropped samples must be counted.
+TEST(metrics, label_sets_beyond_the_limit_share_one_series)
 {
-    const auto hub = at.make().most_series(2).build();
+    const auto hub = at.make().max_series(2).build();
     const auto port = hub.port();
     for (int i = 0; i < 100; ++i)
     {
@@ -117,7 +118,7 @@
     CHECK(text.find("g{overflow") == std::string::npos);
 }
 
-TEST(metrics, samples_that_fit_nowhere_are_counted)
+TEST(metrics, dropped_samples_are_counted)
 {
     const auto hub = at.make().build();
     const auto port = hub.port();
--- a/libs/telemetry/tests/trace_tests.cpp
+++ b/libs/telemetry/tests/trace_tests.cpp
@@ -20,7 +20,7 @@
 const std::string sampled_parent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
 const std::string unsampled_parent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-00";
 
-/// A carrier of OpenTracing over a map.
+/// An OpenTracing carrier that stores the fields in a map.
 struct map_carrier : opentracing::TextMapReader, opentracing::TextMapWriter
 {
     mutable std::map<std::string, std::string> all;
@@ -50,7 +50,7 @@
     recorded_hub at;
 };
 
-TEST(traces, traceparent_is_read_as_the_recommendation_asks)
+TEST(traces, traceparent_is_parsed_as_the_recommendation_requires)
 {
     const std::string good = sampled_parent;
     struct row
@@ -78,7 +78,7 @@
     STRCMP_EQUAL(good.c_str(), to_traceparent(*from_traceparent(good)).c_str());
 }
 
-TEST(traces, any_bytes_are_a_traceparent_or_not)
+TEST(traces, arbitrary_bytes_are_parsed_without_failure)
 {
     CHECK(rc::check("damaged traceparent",
         []
@@ -93,7 +93,7 @@
         }));
 }
 
-TEST(traces, a_sampled_span_is_one_line_that_joins_to_its_parent)
+TEST(traces, a_sampled_span_is_one_line_with_the_id_of_its_parent)
 {
     const auto port = at.make().build().port();
     auto it = port.start_span("permit ask", sampled_parent);
@@ -114,7 +114,7 @@
     STRCMP_EQUAL("-01", it.traceparent.substr(52).c_str());
 }
 
-TEST(traces, the_parents_decision_goes_before_the_share)
+TEST(traces, the_parents_decision_overrides_the_sampled_share)
 {
     struct row
     {
@@ -154,8 +154,9 @@
     DOUBLES_EQUAL(0.25, sampled / 4000.0, 0.03);
 }
 
-/// A hop forgets to end its span, as in an early return. The line comes when the last copy goes.
-TEST(traces, a_forgotten_span_ends_with_its_last_copy)
+/// A span is not ended explicitly, for example because of an early return. It must be written when
+/// its last copy is destroyed.
+TEST(traces, an_unfinished_span_ends_with_its_last_copy)
 {
     const auto port = at.make().sample(1).build().port();
     {
