--- a/libs/platform/include/platform/platform_client.hpp
+++ b/libs/platform/include/platform/platform_client.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The platform over HTTP with JSON.
+/// Client of the platform's live list and workers over HTTP with JSON. Implements ports::platform.
 #pragma once
 
 #include "core/result.hpp"
@@ -13,22 +13,24 @@
 namespace camphorhitch::platform
 {
 
-/// Bytes and calls on the wire, for the figures of control traffic.
+/// Calls and bytes since the start of the process, for the metrics of control traffic.
 struct counters
 {
     std::uint64_t calls = 0;
-    std::uint64_t failures = 0;
-    std::uint64_t bytes_out = 0; ///< bodies only
-    std::uint64_t bytes_in = 0;  ///< bodies only
+    std::uint64_t failures = 0;  ///< calls without an answer with a 2xx status
+    std::uint64_t bytes_out = 0; ///< bytes of request bodies
+    std::uint64_t bytes_in = 0;  ///< bytes of answer bodies
 };
 
+/// A client of the platform.
 class platform_client
 {
 public:
     class builder;
 
-    /// \return functions that stay valid as long as this object.
+    /// \return the port, whose functions are valid while this object exists.
     ports::platform port() const;
+    /// \return the counters of all calls.
     const counters& counts() const;
 
 private:
@@ -38,14 +40,20 @@
     std::shared_ptr<parts> parts_;
 };
 
+/// Creates a client. The HTTP client is required.
 class platform_client::builder
 {
 public:
     builder& http(ports::http_client it);
-    builder& live_list(std::string address); ///< "ip:port", or empty: there is none
-    builder& workers(std::string address);   ///< "ip:port", or empty: there are none
+    /// \param address "ip:port" of the live list; empty: the platform has none
+    builder& live_list(std::string address);
+    /// \param address "ip:port" of the interface for workers; empty: the platform has none
+    builder& workers(std::string address);
+    /// Token that is sent in the header field Authorization.
     builder& token(std::string it);
+    /// Connect timeout and total timeout of each call.
     builder& timeout(core::millis it);
+    /// \return an error when the HTTP client is missing or the timeout is not positive
     core::result<platform_client> build() const;
 
 private:
--- a/libs/platform/src/messages.cpp
+++ b/libs/platform/src/messages.cpp
@@ -11,16 +11,16 @@
 using json = nlohmann::json;
 
 template <class T>
-T field(const json& object, const char* name, T otherwise)
+T field(const json& object, const char* name, T fallback)
 {
     const auto it = object.find(name);
     try
     {
-        return it == object.end() ? otherwise : it->get<T>();
+        return it == object.end() ? fallback : it->get<T>();
     }
     catch (const json::exception&)
     {
-        return otherwise;
+        return fallback;
     }
 }
 
--- a/libs/platform/src/platform_client.cpp
+++ b/libs/platform/src/platform_client.cpp
@@ -10,27 +10,28 @@
 namespace
 {
 
-constexpr int first_good_status = 200;
-constexpr int last_good_status = 299;
-constexpr int first_server_fault = 500;
+constexpr int min_success_status = 200;
+constexpr int max_success_status = 299;
+constexpr int min_server_error_status = 500;
 
-bool is_good(const ports::http_outcome& it)
+bool is_success(const ports::http_outcome& it)
 {
-    return it.end == ports::call_end::answered && it.response.status >= first_good_status &&
-           it.response.status <= last_good_status;
+    return it.end == ports::call_end::answered && it.response.status >= min_success_status &&
+           it.response.status <= max_success_status;
 }
 
 ports::platform_status status_of(const ports::http_outcome& it)
 {
-    if (is_good(it))
+    if (is_success(it))
     {
         return ports::platform_status::ok;
     }
-    // A status of the 400s, or no byte sent: certainly not done. All else may have been done.
-    const bool certain =
+    // With a status below 500, or when no byte was sent, the command was certainly not carried out.
+    // In all other cases it may have been.
+    const bool certainly_not_done =
         it.end == ports::call_end::not_sent ||
-        (it.end == ports::call_end::answered && it.response.status < first_server_fault);
-    return certain ? ports::platform_status::refused : ports::platform_status::unknown;
+        (it.end == ports::call_end::answered && it.response.status < min_server_error_status);
+    return certainly_not_done ? ports::platform_status::refused : ports::platform_status::unknown;
 }
 
 } // namespace
@@ -60,7 +61,7 @@
         it.total_timeout = timeout;
         if (address.empty())
         {
-            done({}); // the operators have none of it; nothing was sent
+            done({}); // the platform does not have this interface; nothing is sent
             return;
         }
         ++counts.calls;
@@ -69,7 +70,7 @@
             [this, done = std::move(done)](const ports::http_outcome& outcome)
             {
                 counts.bytes_in += outcome.response.body.size();
-                counts.failures += is_good(outcome) ? 0 : 1;
+                counts.failures += is_success(outcome) ? 0 : 1;
                 done(outcome);
             });
     }
@@ -94,7 +95,7 @@
             "/v1/hosts",
             "",
             [done = std::move(done)](const ports::http_outcome& it)
-            { done(is_good(it) ? read_live_list(it.response.body) : ports::live_list{}); });
+            { done(is_success(it) ? read_live_list(it.response.body) : ports::live_list{}); });
     };
     port.reboot = [p = parts_](const std::string& host,
                       const std::string& command,
@@ -134,8 +135,8 @@
             "/v1/hosts/" + host + "/tasks",
             "",
             [host, done = std::move(done)](const ports::http_outcome& it) {
-                done(is_good(it) ? read_task_reports(host, it.response.body)
-                                 : ports::task_reports{});
+                done(is_success(it) ? read_task_reports(host, it.response.body)
+                                    : ports::task_reports{});
             });
     };
     return port;
--- a/libs/platform/tests/platform_tests.cpp
+++ b/libs/platform/tests/platform_tests.cpp
@@ -7,7 +7,7 @@
 
 TEST_GROUP(platform_messages){};
 
-TEST(platform_messages, a_damaged_live_list_is_not_known)
+TEST(platform_messages, a_damaged_list_is_not_known)
 {
     for (const char* text : {"", "{}", "[]", "{\"hosts\":3}", "\xff"})
     {
@@ -16,7 +16,7 @@
     }
 }
 
-TEST(platform_messages, entries_that_make_no_sense_are_left_out)
+TEST(platform_messages, invalid_rows_are_omitted)
 {
     const auto list = platform::read_live_list(
         R"({"hosts":[{"id":"h1","state":"live","boot_count":3},{"id":"h2","state":"odd"},7,
@@ -29,15 +29,15 @@
 
 TEST_GROUP(platform_client){};
 
-// An order's answer is lost after the worker took it. The caller must not be told that it was
-// refused: it would order again under another name and run a job twice.
-TEST(platform_client, an_end_of_a_call_is_told_truthfully)
+// The answer to an order is lost after the worker has accepted the order. The status must not be
+// "refused", as the order would be repeated under another task name and the job would run twice.
+TEST(platform_client, the_status_of_an_order_claims_no_more_than_is_proven)
 {
     struct row
     {
         ports::call_end end;
         int status;
-        ports::platform_status told;
+        ports::platform_status expected;
     };
     const row rows[] = {
         {ports::call_end::answered, 200, ports::platform_status::ok},
@@ -64,9 +64,9 @@
                          .workers("127.0.0.1:2")
                          .build();
         CHECK(core::is_ok(built));
-        auto told = ports::platform_status::ok;
+        auto reported = ports::platform_status::ok;
         core::value(built).port().start_task(
-            {}, [&](ports::platform_status status) { told = status; });
-        CHECK(told == it.told);
+            {}, [&](ports::platform_status status) { reported = status; });
+        CHECK(reported == it.expected);
     }
 }
