--- a/programs/camphorhitchd/src/hosted_node.cpp
+++ b/programs/camphorhitchd/src/hosted_node.cpp
@@ -1,7 +1,7 @@
 #include "hosted_node.hpp"
 
-#include "company/front.hpp"
-#include "company/spelling.hpp"
+#include "company/formats.hpp"
+#include "company/http_api.hpp"
 #include "hosted/config_follower.hpp"
 #include "hosted/entry_desk.hpp"
 #include "hosted/fleet_driver.hpp"
@@ -75,7 +75,7 @@
     std::unique_ptr<hosted::fleet_driver> driver;
     std::unique_ptr<hosted::entry_desk> desk;
     std::unique_ptr<hosted::config_follower> config;
-    std::unique_ptr<company::front> front;
+    std::unique_ptr<company::http_api> front;
     std::unique_ptr<hosted_operators> people;
     std::optional<http::server> caller_server;
     std::optional<http::server> health_server;
@@ -206,7 +206,7 @@
     driver = std::make_unique<hosted::fleet_driver>(ctx, formats, drive, *lead);
     desk = std::make_unique<hosted::entry_desk>(ctx, hosted::entry_settings{});
     follow_config();
-    company::front_sources sources;
+    company::http_api_sources sources;
     sources.config = [this]
     {
         return config->config();
@@ -219,8 +219,8 @@
     {
         return tel.render();
     };
-    front =
-        std::make_unique<company::front>(company::front_settings{}, sources, *desk, ctx.time, log);
+    front = std::make_unique<company::http_api>(
+        company::http_api_settings{}, sources, *desk, ctx.time, log);
     people = std::make_unique<hosted_operators>(hosted_sources{ctx,
                                                     formats,
                                                     *desk,
