--- a/testing/promise_checker/src/configuration.cpp
+++ b/testing/promise_checker/src/configuration.cpp
@@ -12,19 +12,21 @@
 namespace
 {
 
-struct accepted
+struct accepted_version
 {
     std::int64_t version = 0;
     std::int64_t at_ms = 0;
 };
 
-std::vector<accepted> accepted_of(const records& r, verdict& to)
+std::vector<accepted_version> accepted_versions(const records& r, verdict& to)
 {
-    std::vector<accepted> all;
+    std::vector<accepted_version> all;
     const auto add = [&](const change& c, const std::string& detail)
     {
-        to.breaches.push_back(
-            {promise::config_stays, "revision=" + std::to_string(c.revision), c.at_ms, detail});
+        to.breaches.push_back({promise::config_adopted_and_kept,
+            "revision=" + std::to_string(c.revision),
+            c.at_ms,
+            detail});
     };
     for (const auto& c : r.history)
     {
@@ -33,59 +35,61 @@
             continue;
         }
         const auto read = model::decode_configuration(c.value, c.key, model::strictness::lenient);
-        const auto* good = std::get_if<model::configuration>(&read);
-        if (c.deleted || good == nullptr)
+        const auto* parsed = std::get_if<model::configuration>(&read);
+        if (c.deleted || parsed == nullptr)
         {
             add(c, "the configuration was deleted or damaged");
             continue;
         }
-        if (!all.empty() && good->version <= all.back().version)
+        if (!all.empty() && parsed->version <= all.back().version)
         {
             add(c,
-                "version " + std::to_string(good->version) + " was written over version " +
+                "version " + std::to_string(parsed->version) + " was written over version " +
                     std::to_string(all.back().version));
         }
-        all.push_back({good->version, c.at_ms});
+        all.push_back({parsed->version, c.at_ms});
     }
     return all;
 }
 
-/// \return whether the fault keeps the member from learning of a configuration.
-bool holds_up(const fault& f, const std::string& member)
+/// \return whether the fault delays the member's adoption of a configuration.
+bool delays_adoption(const fault& f, const std::string& member)
 {
     const bool own = f.kind == "kill" || f.kind == "pause" || f.kind == "stop";
     return f.kind == "store_down" || f.kind == "store_slow" || (own && f.member == member);
 }
 
-/// \return the time by which the member must have a configuration of \p at_ms, counted anew from
-/// the end of each fault that hides it.
-std::int64_t due_at(
+/// \return the time by which the member must have adopted a configuration written at \p at_ms. The
+/// limit restarts at the end of each fault that hides the configuration from the member.
+std::int64_t adoption_deadline(
     const records& r, const limits& l, const std::string& member, std::int64_t at_ms)
 {
     std::int64_t due = at_ms + l.in_force_ms;
-    for (bool again = true; again;)
+    for (bool extended = true; extended;)
     {
-        again = false;
+        extended = false;
         for (const auto& it : r.faults)
         {
-            const bool hides = holds_up(it, member) && it.until_ms >= at_ms && it.at_ms <= due;
+            const bool hides =
+                delays_adoption(it, member) && it.until_ms >= at_ms && it.at_ms <= due;
             if (hides && it.until_ms + l.in_force_ms > due)
             {
                 due = it.until_ms + l.in_force_ms;
-                again = true;
+                extended = true;
             }
         }
     }
     return due;
 }
 
-void check_lines(const std::string& member, const std::vector<adoption>& lines, verdict& to)
+void check_adoption_order(
+    const std::string& member, const std::vector<adoption>& lines, verdict& to)
 {
     for (std::size_t i = 1; i < lines.size(); ++i)
     {
         if (lines[i].version < lines[i - 1].version)
         {
-            to.breaches.push_back({promise::config_stays,
+            to.breaches.push_back({promise::config_adopted_and_kept,
                 "member=" + member,
                 lines[i].at_ms,
                 "it adopted version " + std::to_string(lines[i].version) + " after version " +
@@ -96,9 +100,9 @@
 
 } // namespace
 
-void judge_configuration(const records& r, const limits& l, verdict& to)
+void check_configuration(const records& r, const limits& l, verdict& to)
 {
-    const auto versions = accepted_of(r, to);
+    const auto versions = accepted_versions(r, to);
     to.versions = versions.size();
     to.adoptions = r.adoptions.size();
     std::map<std::string, std::vector<adoption>> by_member;
@@ -108,16 +112,16 @@
     }
     for (const auto& [member, lines] : by_member)
     {
-        check_lines(member, lines, to);
+        check_adoption_order(member, lines, to);
         for (const auto& it : versions)
         {
-            const auto due = due_at(r, l, member, it.at_ms);
+            const auto due = adoption_deadline(r, l, member, it.at_ms);
             const bool in_time = std::any_of(lines.begin(),
                 lines.end(),
                 [&](const adoption& a) { return a.version >= it.version && a.at_ms <= due; });
             if (!in_time && due <= r.end_ms)
             {
-                to.breaches.push_back({promise::config_stays,
+                to.breaches.push_back({promise::config_adopted_and_kept,
                     "member=" + member + " version=" + std::to_string(it.version),
                     it.at_ms,
                     "not in force there by " + std::to_string(due)});
--- a/testing/promise_checker/src/leaving.cpp
+++ b/testing/promise_checker/src/leaving.cpp
@@ -20,16 +20,16 @@
            h.state == host_state::rebooting;
 }
 
-/// A time in which a host shall get nothing new.
-struct quiet_time
+/// A period in which a host must get no new requests.
+struct leaving_period
 {
     std::int64_t begin_ms = 0;
-    std::int64_t end_ms = 0; ///< 0: never ended
+    std::int64_t end_ms = 0; ///< 0 if the period has not ended
 };
 
-using quiet_times = std::map<std::string, std::vector<quiet_time>>;
+using leaving_periods = std::map<std::string, std::vector<leaving_period>>;
 
-void note(std::vector<quiet_time>& all, bool leaving, std::int64_t at_ms)
+void record_leaving_state(std::vector<leaving_period>& all, bool leaving, std::int64_t at_ms)
 {
     const bool open = !all.empty() && all.back().end_ms == 0;
     if (leaving && !open)
@@ -42,9 +42,9 @@
     }
 }
 
-quiet_times quiet_times_of(const records& r)
+leaving_periods find_leaving_periods(const records& r)
 {
-    quiet_times all;
+    leaving_periods all;
     std::map<std::string, std::int64_t> ownership;
     for (const auto& c : r.history)
     {
@@ -60,7 +60,7 @@
             if (it.ownership > 0 && it.ownership >= ownership[it.id])
             {
                 ownership[it.id] = it.ownership;
-                note(all[it.id], is_leaving(it), c.at_ms);
+                record_leaving_state(all[it.id], is_leaving(it), c.at_ms);
             }
         }
     }
@@ -76,21 +76,21 @@
 
 } // namespace
 
-void judge_leaving(const records& r, const limits& l, verdict& to)
+void check_leaving_hosts(const records& r, const limits& l, verdict& to)
 {
-    const auto quiet = quiet_times_of(r);
+    const auto periods = find_leaving_periods(r);
     for (const auto& [id, runs] : r.runs)
     {
         for (const auto& one : runs)
         {
-            const auto found = quiet.find(one.host);
-            for (std::size_t i = 0; found != quiet.end() && i < found->second.size(); ++i)
+            const auto found = periods.find(one.host);
+            for (std::size_t i = 0; found != periods.end() && i < found->second.size(); ++i)
             {
                 const auto& it = found->second[i];
-                const bool over = it.end_ms != 0 && one.at_ms >= it.end_ms;
-                if (!over && one.at_ms > it.begin_ms + l.leaving_ms)
+                const bool has_ended = it.end_ms != 0 && one.at_ms >= it.end_ms;
+                if (!has_ended && one.at_ms > it.begin_ms + l.leaving_ms)
                 {
-                    to.breaches.push_back({promise::leaving_is_quiet,
+                    to.breaches.push_back({promise::no_requests_when_leaving,
                         "id=" + id + " host=" + one.host,
                         one.at_ms,
                         "it ran " + std::to_string(one.at_ms - it.begin_ms) +
--- a/testing/promise_checker/src/main.cpp
+++ b/testing/promise_checker/src/main.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// promise_checker FOLDER: judges the promises by the records in a folder and prints each breach.
+/// promise_checker FOLDER: checks the promises against the records in a folder and prints each
+/// breach.
 
 #include "promises.hpp"
 
@@ -64,7 +65,7 @@
     std::cout << "\n";
 }
 
-/// Why calls were not answered, most frequent first.
+/// Prints the reasons for which calls were not answered, most frequent first.
 void print_reasons(const records& r)
 {
     std::map<std::string, std::size_t> counts;
@@ -107,7 +108,7 @@
     return v.breaches.empty() ? exit_held : exit_broken;
 }
 
-cxxopts::Options describe()
+cxxopts::Options make_options()
 {
     cxxopts::Options options("promise_checker", "Judges the promises by the records of a run.");
     auto add = options.add_options();
@@ -139,14 +140,14 @@
     const limits l{given["leaving-ms"].as<std::int64_t>(),
         given["in-force-ms"].as<std::int64_t>(),
         given["old-config-ms"].as<std::int64_t>()};
-    return report(all, judge(all, l));
+    return report(all, check_promises(all, l));
 }
 
 } // namespace
 
 int main(int argc, char** argv)
 {
-    auto options = describe();
+    auto options = make_options();
     try
     {
         const auto given = options.parse(argc, argv);
--- a/testing/promise_checker/src/pools.cpp
+++ b/testing/promise_checker/src/pools.cpp
@@ -1,5 +1,5 @@
-// Budgets and owners, counted anew from the pools' documents in code of its own: a mistake in the
-// system's own counting must not hide itself here.
+// Budgets and ownership are counted from the pools' documents by code that is independent of the
+// system's own, so that a counting error in the system is not repeated here.
 #include "model/codec.hpp"
 #include "model/keys.hpp"
 #include "promises.hpp"
@@ -18,18 +18,20 @@
 using model::host_state;
 using model::pool_document;
 
+/// An accepted configuration and the time of its write.
 struct config_at
 {
     std::int64_t at_ms = 0;
     model::configuration config;
 };
 
-/// Where a host stands, in one document or on its way to another.
-struct claim
+/// One document's claim to a host: an entry of the pool's hosts, or a release to another pool.
+struct ownership_claim
 {
     std::string pool;
     std::int64_t ownership = 0;
-    bool is_kept = false; ///< in the pool's hosts; else released to the pool
+    bool is_kept =
+        false; ///< whether the host is in the pool's hosts; else it is released to the pool
 };
 
 bool is_absent(const host_record& h)
@@ -38,43 +40,43 @@
            h.state == host_state::rebooting || h.state == host_state::failed;
 }
 
-bool began_by_plan(const pool_document& before, const host_record& h)
+bool is_new_planned_absence(const pool_document& before, const host_record& h)
 {
     const auto* old = model::find_host(before, h.id);
     return old != nullptr && !is_absent(*old) && is_absent(h) && h.state != host_state::failed &&
            h.purpose != model::drain_purpose::leaving;
 }
 
-/// \return hosts missing in a zone, or in the whole pool when \p zone is empty. A guest that serves
-/// makes up for one.
-int missing_in(const pool_document& d, const std::string& zone)
+/// \return the number of hosts missing in a zone, or in the whole pool when \p zone is empty. Each
+/// borrowed host that serves compensates for one missing host.
+int count_missing(const pool_document& d, const std::string& zone)
 {
     int n = 0;
     for (const auto& it : d.hosts)
     {
         const bool counts = it.ownership > 0 && (zone.empty() || it.zone == zone);
-        const bool guest = !it.lent_by.empty();
-        n += counts && !guest && is_absent(it) ? 1 : 0;
-        n -= counts && guest && it.state == host_state::serving ? 1 : 0;
+        const bool borrowed = !it.lent_by.empty();
+        n += counts && !borrowed && is_absent(it) ? 1 : 0;
+        n -= counts && borrowed && it.state == host_state::serving ? 1 : 0;
     }
     return n;
 }
 
-class pool_judge
+class pool_checker
 {
 public:
-    pool_judge(const limits& l, verdict& to) : limits_(l), to_(to)
+    pool_checker(const limits& l, verdict& to) : limits_(l), to_(to)
     {
     }
 
-    void take(const change& c)
+    void apply_change(const change& c)
     {
         if (c.key == model::keys::config && !c.deleted)
         {
             auto read = model::decode_configuration(c.value, c.key, model::strictness::lenient);
-            if (auto* good = std::get_if<model::configuration>(&read))
+            if (auto* parsed = std::get_if<model::configuration>(&read))
             {
-                configs_.push_back({c.at_ms, std::move(*good)});
+                configs_.push_back({c.at_ms, std::move(*parsed)});
             }
             return;
         }
@@ -108,15 +110,17 @@
             detail + " (revision " + std::to_string(c.revision) + ")"});
     }
 
-    /// \return whether some configuration that a decision at \p at_ms may rest on allows it.
+    /// \return whether the planned absence of \p h is allowed by a configuration on which a
+    /// decision at \p at_ms may have been based: the current one, or one replaced within
+    /// old_config_ms.
     bool is_allowed(const pool_document& d, const host_record& h, std::int64_t at_ms) const
     {
         for (std::size_t i = configs_.size(); i > 0; --i)
         {
             const auto& it = configs_[i - 1];
             const auto* found = model::find_pool(it.config, d.pool);
-            if (found != nullptr && missing_in(d, "") <= found->budget.absent &&
-                missing_in(d, h.zone) <= found->budget.absent_per_zone)
+            if (found != nullptr && count_missing(d, "") <= found->budget.absent &&
+                count_missing(d, h.zone) <= found->budget.absent_per_zone)
             {
                 return true;
             }
@@ -136,7 +140,7 @@
             const bool handed_over = it.state == host_state::rebooting && old != nullptr &&
                                      old->state != host_state::rebooting;
             to_.reboots += handed_over ? 1 : 0;
-            if (!began_by_plan(before, it))
+            if (!is_new_planned_absence(before, it))
             {
                 continue;
             }
@@ -146,16 +150,16 @@
                 add(promise::budget,
                     "host=" + it.id + " pool=" + after.pool,
                     c,
-                    "its planned absence began with " + std::to_string(missing_in(after, "")) +
-                        " absent in the pool, " + std::to_string(missing_in(after, it.zone)) +
+                    "its planned absence began with " + std::to_string(count_missing(after, "")) +
+                        " absent in the pool, " + std::to_string(count_missing(after, it.zone)) +
                         " in zone " + it.zone);
             }
         }
     }
 
-    std::map<std::string, std::vector<claim>> claims() const
+    std::map<std::string, std::vector<ownership_claim>> ownership_claims() const
     {
-        std::map<std::string, std::vector<claim>> out;
+        std::map<std::string, std::vector<ownership_claim>> out;
         for (const auto& [key, d] : pools_)
         {
             for (const auto& it : d.hosts)
@@ -175,7 +179,7 @@
 
     void check_owners(const change& c)
     {
-        const auto now = claims();
+        const auto now = ownership_claims();
         for (const auto& [host, list] : now)
         {
             check_one_owner(host, list, c);
@@ -190,17 +194,19 @@
         std::erase_if(owners_, [&](const auto& it) { return now.count(it.first) == 0; });
     }
 
-    void check_one_owner(const std::string& host, const std::vector<claim>& list, const change& c)
+    void check_one_owner(
+        const std::string& host, const std::vector<ownership_claim>& list, const change& c)
     {
-        const auto kept =
-            std::count_if(list.begin(), list.end(), [](const claim& it) { return it.is_kept; });
-        if (kept > 1)
+        const auto kept_count = std::count_if(
+            list.begin(), list.end(), [](const ownership_claim& it) { return it.is_kept; });
+        if (kept_count > 1)
         {
             add(promise::one_pool, "host=" + host, c, "it stands in the hosts of two pools");
         }
         const auto top = std::max_element(list.begin(),
             list.end(),
-            [](const claim& a, const claim& b) { return a.ownership < b.ownership; });
+            [](const ownership_claim& a, const ownership_claim& b)
+            { return a.ownership < b.ownership; });
         std::set<std::string> owners;
         for (const auto& it : list)
         {
@@ -231,17 +237,17 @@
     verdict& to_;
     std::vector<config_at> configs_;
     std::map<std::string, pool_document> pools_;
-    std::map<std::string, claim> owners_;
+    std::map<std::string, ownership_claim> owners_;
 };
 
 } // namespace
 
-void judge_pools(const records& r, const limits& l, verdict& to)
+void check_pools(const records& r, const limits& l, verdict& to)
 {
-    pool_judge judge(l, to);
+    pool_checker checks(l, to);
     for (const auto& it : r.history)
     {
-        judge.take(it);
+        checks.apply_change(it);
     }
 }
 
--- a/testing/promise_checker/src/records.cpp
+++ b/testing/promise_checker/src/records.cpp
@@ -95,7 +95,7 @@
         j.at("until_ms").get<std::int64_t>()};
 }
 
-/// Reads files of one folder and collects what is wrong with them.
+/// Reads the files of one folder and collects the errors found in them.
 class folder_reader
 {
 public:
@@ -103,16 +103,16 @@
     {
     }
 
-    /// Gives the file's JSON to \p take.
-    void document(const std::string& name, const std::function<void(const json&)>& take)
+    /// Passes the file's JSON to \p consume.
+    void document(const std::string& name, const std::function<void(const json&)>& consume)
     {
         std::ifstream file(folder_ / name);
         const std::string text(std::istreambuf_iterator<char>(file), {});
-        parse(name, 0, text, take);
+        parse(name, 0, text, consume);
     }
 
-    /// Gives each line's JSON to \p take.
-    void lines(const std::string& name, const std::function<void(const json&)>& take)
+    /// Passes each line's JSON to \p consume.
+    void lines(const std::string& name, const std::function<void(const json&)>& consume)
     {
         std::ifstream file(folder_ / name);
         if (!file)
@@ -122,7 +122,7 @@
         int n = 0;
         for (std::string line; std::getline(file, line);)
         {
-            parse(name, ++n, line, take);
+            parse(name, ++n, line, consume);
         }
     }
 
@@ -137,11 +137,11 @@
     void parse(const std::string& name,
         int line,
         const std::string& text,
-        const std::function<void(const json&)>& take)
+        const std::function<void(const json&)>& consume)
     {
         try
         {
-            take(json::parse(text));
+            consume(json::parse(text));
         }
         catch (const json::exception& ec)
         {
@@ -163,16 +163,16 @@
     return line.substr(from, line.find(' ', from) - from);
 }
 
-/// "2026-12-02T18:00:00.123Z" in ms since 1970.
+/// \return a time such as "2026-12-02T18:00:00.123Z" in ms since 1970, or 0 if it can't be parsed.
 std::int64_t time_of(const std::string& text)
 {
     std::tm parts{};
-    const char* rest = strptime(text.c_str(), "%Y-%m-%dT%H:%M:%S", &parts);
-    if (rest == nullptr)
+    const char* fraction_text = strptime(text.c_str(), "%Y-%m-%dT%H:%M:%S", &parts);
+    if (fraction_text == nullptr)
     {
         return 0;
     }
-    const auto fraction = *rest == '.' ? std::stod(rest) : 0.0;
+    const auto fraction = *fraction_text == '.' ? std::stod(fraction_text) : 0.0;
     return static_cast<std::int64_t>(timegm(&parts)) * 1000 + std::lround(fraction * 1000);
 }
 
@@ -201,7 +201,7 @@
     }
 }
 
-void take_faults(records& r)
+void extract_end_of_run(records& r)
 {
     const auto is_end = [](const fault& it)
     {
@@ -214,7 +214,7 @@
     r.faults.erase(std::remove_if(r.faults.begin(), r.faults.end(), is_end), r.faults.end());
 }
 
-/// An empty record would let every promise pass.
+/// Reports empty records, with which every promise would pass.
 void require_content(const records& r, folder_reader& from)
 {
     const auto need = [&](bool there, const char* name, const char* what)
@@ -276,7 +276,7 @@
     {
         read_logs(folder, out);
     }
-    take_faults(out);
+    extract_end_of_run(out);
     require_content(out, from);
     if (!from.wrong.empty())
     {
--- a/testing/promise_checker/src/requests.cpp
+++ b/testing/promise_checker/src/requests.cpp
@@ -11,16 +11,16 @@
 
 using calls_of_id = std::vector<const call*>;
 
-/// \return whether the caller was told that this call ran nothing.
+/// \return whether the answer to this call says that the call ran nothing.
 bool denies_run(const call& c)
 {
     return c.outcome == "not-run" || c.attempt == "not-sent";
 }
 
-class request_judge
+class request_checker
 {
 public:
-    request_judge(const records& r, verdict& to) : records_(r), to_(to)
+    request_checker(const records& r, verdict& to) : records_(r), to_(to)
     {
     }
 
@@ -53,18 +53,21 @@
             const bool answered = it->outcome == "answered";
             if (!it->own)
             {
-                add(promise::own_answer,
+                add(promise::complete_own_answer,
                     id,
                     it->begin_ms,
                     "the answer through " + it->entry + " is not whole or not its own");
             }
             if (answered && runs.empty())
             {
-                add(promise::own_answer, id, it->begin_ms, "it was answered and never ran");
+                add(promise::complete_own_answer,
+                    id,
+                    it->begin_ms,
+                    "it was answered and never ran");
             }
             if (it->outcome.empty())
             {
-                add(promise::own_answer, id, it->begin_ms, "an answer without an outcome");
+                add(promise::complete_own_answer, id, it->begin_ms, "an answer without an outcome");
             }
         }
     }
@@ -87,7 +90,8 @@
         }
     }
 
-    /// A key's not-run denies the earlier calls with that key as well.
+    /// Checks a request with an idempotency key. An answer "not run" also says that no earlier call
+    /// with the same key ran.
     void check_once(const std::string& id, const calls_of_id& calls, const std::vector<run>& runs)
     {
         for (const auto* it : calls)
@@ -125,21 +129,21 @@
 
 } // namespace
 
-void judge_requests(const records& r, verdict& to)
+void check_requests(const records& r, verdict& to)
 {
     std::map<std::string, calls_of_id> by_id;
     for (const auto& it : r.calls)
     {
         by_id[it.id].push_back(&it);
     }
-    request_judge judge(r, to);
+    request_checker checks(r, to);
     for (const auto& [id, calls] : by_id)
     {
-        judge.check(id, calls);
+        checks.check(id, calls);
     }
 }
 
-void judge_jobs(const records& r, verdict& to)
+void check_jobs(const records& r, verdict& to)
 {
     std::map<std::string, std::vector<const task_start*>> by_job;
     for (const auto& it : r.starts)
--- a/testing/promise_checker/src/stops.cpp
+++ b/testing/promise_checker/src/stops.cpp
@@ -8,10 +8,11 @@
 namespace
 {
 
-/// A fault and what it does are stamped by two processes on one machine.
-constexpr std::int64_t stamp_slack_ms = 100;
+/// Tolerance between the timestamps of a fault and of its effects, which two processes on one
+/// machine write.
+constexpr std::int64_t timestamp_tolerance_ms = 100;
 
-bool concerns(const fault& f, const std::string& host)
+bool fails_host(const fault& f, const std::string& host)
 {
     return f.kind == "hosts_failed" &&
            std::find(f.hosts.begin(), f.hosts.end(), host) != f.hosts.end();
@@ -19,11 +20,12 @@
 
 bool overlaps(const fault& f, std::int64_t begin_ms, std::int64_t end_ms)
 {
-    return begin_ms <= f.until_ms + stamp_slack_ms && end_ms >= f.at_ms - stamp_slack_ms;
+    return begin_ms <= f.until_ms + timestamp_tolerance_ms &&
+           end_ms >= f.at_ms - timestamp_tolerance_ms;
 }
 
-/// \return whether the fault is reason enough for the call to break.
-bool excuses(const fault& f, const call& c)
+/// \return whether the fault explains why the call broke.
+bool explains_failure(const fault& f, const call& c)
 {
     if (f.address != c.entry || !overlaps(f, c.begin_ms, c.end_ms))
     {
@@ -33,16 +35,17 @@
     {
         return true;
     }
-    // Nothing is in flight on a connection that was never made.
+    // A refused connection has no request in flight, so a planned stop may refuse it.
     return f.kind == "stop" && c.reason == "Couldn't connect to server";
 }
 
-void judge_targets(const records& r, verdict& to)
+void check_targets(const records& r, verdict& to)
 {
     for (const auto& it : r.targets)
     {
-        const bool failed = std::any_of(
-            r.faults.begin(), r.faults.end(), [&](const fault& f) { return concerns(f, it.host); });
+        const bool failed = std::any_of(r.faults.begin(),
+            r.faults.end(),
+            [&](const fault& f) { return fails_host(f, it.host); });
         const auto unplanned = it.cut_off - it.cut_off_planned;
         if (it.cut_off_planned > 0 || (unplanned > 0 && !failed))
         {
@@ -56,14 +59,14 @@
     }
 }
 
-void judge_tasks(const records& r, verdict& to)
+void check_tasks(const records& r, verdict& to)
 {
     for (const auto& it : r.starts)
     {
         const bool failed = std::any_of(r.faults.begin(),
             r.faults.end(),
             [&](const fault& f)
-            { return concerns(f, it.host) && overlaps(f, it.ended_ms, it.ended_ms); });
+            { return fails_host(f, it.host) && overlaps(f, it.ended_ms, it.ended_ms); });
         if (it.end == "lost" && !failed)
         {
             to.breaches.push_back({promise::graceful_stop,
@@ -76,14 +79,15 @@
 
 } // namespace
 
-void judge_stops(const records& r, verdict& to)
+void check_planned_stops(const records& r, verdict& to)
 {
-    judge_targets(r, to);
-    judge_tasks(r, to);
+    check_targets(r, to);
+    check_tasks(r, to);
     for (const auto& it : r.calls)
     {
-        const bool excused = std::any_of(
-            r.faults.begin(), r.faults.end(), [&](const fault& f) { return excuses(f, it); });
+        const bool excused = std::any_of(r.faults.begin(),
+            r.faults.end(),
+            [&](const fault& f) { return explains_failure(f, it); });
         if (it.outcome == "broken" && !excused)
         {
             to.breaches.push_back({promise::graceful_stop,
--- a/testing/promise_checker/tests/good_run.hpp
+++ b/testing/promise_checker/tests/good_run.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Records of a small run in which all promises held, for tests to break one by one.
+/// Records of a small run without a breach. Each test changes them so that one promise is broken.
 #pragma once
 
 #include "model/codec.hpp"
@@ -49,7 +49,7 @@
     return {name, std::move(hosts), {}, {}};
 }
 
-/// Appends a write, \p after_ms after the begin of the run.
+/// Appends a write that takes place \p after_ms after the start of the run.
 template <class Document>
 void write(records& r, const std::string& key, const Document& d, std::int64_t after_ms)
 {
@@ -75,7 +75,8 @@
     return out;
 }
 
-/// h1 (zone a) is maintained from 1000 to 3000 ms and h3 moves to the pool holds at 4000 ms.
+/// Writes the history: h1 (zone a) is in maintenance from 1000 to 3000 ms, and h3 moves to the pool
+/// "holds" at 4000 ms.
 inline void add_fleet(records& r)
 {
     using model::host_state;
--- a/testing/promise_checker/tests/promises_tests.cpp
+++ b/testing/promise_checker/tests/promises_tests.cpp
@@ -16,7 +16,7 @@
 {
     const char* name;
     promise which;
-    const char* subject; ///< that the breach names
+    const char* subject; ///< expected part of the breach's subject
     std::function<void(records&)> breaks;
 };
 
@@ -34,7 +34,7 @@
     it.reason = reason;
 }
 
-/// A pool of two zones with a host that is absent already, when another one is drained.
+/// Drains a host of \p zone while another host of the pool, in zone a, is already absent.
 void add_second_drain(
     records& r, const char* zone, host_state first, int absent, std::int64_t config_ms)
 {
@@ -98,21 +98,21 @@
                     r, pool("quotes", {host("h1", "a"), host("h2", "b"), host("h3", "a")}), 20100);
             }},
         {"an answer that is not one's own",
-            promise::own_answer,
+            promise::complete_own_answer,
             "id=r1",
             [](records& r)
             {
                 r.calls[0].own = false;
             }},
         {"an answer to a request that never ran",
-            promise::own_answer,
+            promise::complete_own_answer,
             "id=r1",
             [](records& r)
             {
                 r.runs.erase("r1");
             }},
         {"an answer without an outcome",
-            promise::own_answer,
+            promise::complete_own_answer,
             "id=r1",
             [](records& r)
             {
@@ -164,7 +164,7 @@
                 r.starts.push_back({"j1/1.2", "h4", begin_of_run + 950, 0, "finished"});
             }},
         {"a request long after its target's mark",
-            promise::leaving_is_quiet,
+            promise::no_requests_when_leaving,
             "id=r1",
             [](records& r)
             {
@@ -175,7 +175,7 @@
                 r.runs["r1"].push_back({"h1", begin_of_run + 25001});
             }},
         {"a request long after the platform's mark",
-            promise::leaving_is_quiet,
+            promise::no_requests_when_leaving,
             "id=r1",
             [](records& r)
             {
@@ -219,28 +219,28 @@
                 add_broken_call(r, "127.0.0.1:1002", 9100, "Server returned nothing");
             }},
         {"an older configuration written over a newer one",
-            promise::config_stays,
+            promise::config_adopted_and_kept,
             "revision=",
             [](records& r)
             {
                 write(r, model::keys::config, config_of(1, 1), 20000);
             }},
         {"a configuration deleted",
-            promise::config_stays,
+            promise::config_adopted_and_kept,
             "revision=",
             [](records& r)
             {
                 r.history.push_back({model::keys::config, 99, 0, true, ""});
             }},
         {"a daemon that goes back to an older version",
-            promise::config_stays,
+            promise::config_adopted_and_kept,
             "member=entry-2",
             [](records& r)
             {
                 r.adoptions.push_back({"entry-2", 1, begin_of_run + 9000});
             }},
         {"a daemon that learns too late",
-            promise::config_stays,
+            promise::config_adopted_and_kept,
             "member=entry-2 version=2",
             [](records& r)
             {
@@ -326,7 +326,7 @@
     {
         auto r = good_run();
         row.changes(r);
-        const auto found = judge(r, {}).breaches;
+        const auto found = check_promises(r, {}).breaches;
         CHECK_TEXT(found.empty(),
             (std::string(row.name) + (found.empty() ? "" : ": " + found[0].detail)).c_str());
     }
@@ -338,7 +338,7 @@
     {
         auto r = good_run();
         row.breaks(r);
-        const auto found = judge(r, {}).breaches;
+        const auto found = check_promises(r, {}).breaches;
         CHECK_TEXT(!found.empty(), row.name);
         for (const auto& it : found)
         {
@@ -348,9 +348,9 @@
     }
 }
 
-TEST(promises, what_was_checked_is_counted)
+TEST(promises, checks_are_counted)
 {
-    const auto v = judge(good_run(), {});
+    const auto v = check_promises(good_run(), {});
     LONGS_EQUAL(1, v.drains);
     LONGS_EQUAL(1, v.reboots);
     LONGS_EQUAL(1, v.moves);
--- a/testing/promise_checker/tests/records_tests.cpp
+++ b/testing/promise_checker/tests/records_tests.cpp
@@ -78,8 +78,9 @@
     CHECK(r->adoptions.at(0).at_ms == 1'796'234'400'123);
 }
 
-// A run whose record got lost must not pass for want of anything to judge.
-TEST(records, a_record_that_is_not_there_is_a_finding)
+// A run of which a record is missing must fail: without the record there would be no breach to
+// find.
+TEST(records, missing_record_is_a_finding)
 {
     for (const auto& [name, text] : good_files())
     {
