--- a/bench/wave_policies/src/document_cuts.cpp
+++ b/bench/wave_policies/src/document_layouts.cpp
@@ -1,4 +1,4 @@
-#include "document_cuts.hpp"
+#include "document_layouts.hpp"
 
 #include "model/codec.hpp"
 
@@ -14,15 +14,16 @@
 
 constexpr std::int64_t ms_per_s = 1000;
 
-/// Which documents hold a host, and which ones a change of a pool writes.
-struct cut
+/// A division of the hosts' state into documents: the document that holds a host, and the documents
+/// that a change of a pool writes.
+struct document_layout
 {
     std::string name;
     std::function<std::string(const std::string& pool, const model::host_record&)> document_of;
     std::function<std::set<std::string>(const pool_write&)> written_by;
 };
 
-std::vector<cut> all_cuts()
+std::vector<document_layout> all_layouts()
 {
     return {{"one for all",
                 [](const std::string&, const model::host_record&) { return std::string{"all"}; },
@@ -44,7 +45,8 @@
             }}};
 }
 
-std::map<std::string, std::size_t> sizes_of(const cut& c, const std::vector<fleet::pool_view>& end)
+std::map<std::string, std::size_t> sizes_of(
+    const document_layout& c, const std::vector<fleet::pool_view>& end)
 {
     std::map<std::string, model::pool_document> documents;
     for (const auto& view : end)
@@ -62,11 +64,12 @@
     return out;
 }
 
-cut_cost cost_of(
-    const cut& c, const std::vector<fleet::pool_view>& end, const std::vector<pool_write>& log)
+layout_cost measure_layout(const document_layout& c,
+    const std::vector<fleet::pool_view>& end,
+    const std::vector<pool_write>& log)
 {
     const auto sizes = sizes_of(c, end);
-    cut_cost out{c.name, static_cast<int>(sizes.size()), 0, 0, 0, 0};
+    layout_cost out{c.name, static_cast<int>(sizes.size()), 0, 0, 0, 0};
     for (const auto& [name, bytes] : sizes)
     {
         out.largest_bytes = std::max(out.largest_bytes, bytes);
@@ -106,13 +109,13 @@
     return out;
 }
 
-std::vector<cut_cost> cost_of_cuts(
+std::vector<layout_cost> measure_layouts(
     const std::vector<fleet::pool_view>& end, const std::vector<pool_write>& log)
 {
-    std::vector<cut_cost> out;
-    for (const auto& it : all_cuts())
+    std::vector<layout_cost> out;
+    for (const auto& it : all_layouts())
     {
-        out.push_back(cost_of(it, end, log));
+        out.push_back(measure_layout(it, end, log));
     }
     return out;
 }
--- a/bench/wave_policies/src/fleets.cpp
+++ b/bench/wave_policies/src/fleets.cpp
@@ -14,28 +14,29 @@
 constexpr std::int64_t first_ms = 1'000'000;
 constexpr auto spare_pool = "spare";
 
-/// Lensmandu wants few absences, the School Trip Office wants to be through before the spring rush.
-constexpr int hosts_an_absence_careful = 16;
-constexpr int hosts_an_absence_hasty = 5;
+/// Hosts per planned absence. Lensmandu needs few absences; the School Trip Office needs a fast
+/// roll-out, before its busy season in spring.
+constexpr int hosts_per_absence_careful = 16;
+constexpr int hosts_per_absence_hasty = 5;
 
-pool_shape pool_of(int hosts, int hosts_an_absence)
+pool_shape pool_of(int hosts, int hosts_per_absence)
 {
-    const int absent = std::max(1, hosts / hosts_an_absence);
+    const int absent = std::max(1, hosts / hosts_per_absence);
     return {hosts, {absent, 1}};
 }
 
 fleet_shape fleet_of(
-    std::string name, int zones, const std::vector<int>& sizes, int hosts_an_absence)
+    std::string name, int zones, const std::vector<int>& sizes, int hosts_per_absence)
 {
     fleet_shape out{std::move(name), zones, {}};
     for (const auto it : sizes)
     {
-        out.pools.push_back(pool_of(it, hosts_an_absence));
+        out.pools.push_back(pool_of(it, hosts_per_absence));
     }
     return out;
 }
 
-/// Pools of 4 to 8 hosts and the rest in the last ones.
+/// \return pools of 4 to 8 hosts, adjusted by single hosts so that the sum is \p hosts.
 std::vector<int> sizes_of(int hosts, int pools)
 {
     std::vector<int> out(static_cast<std::size_t>(pools), 0);
@@ -43,25 +44,25 @@
     {
         out[static_cast<std::size_t>(i)] = 4 + i % 5;
     }
-    int left = hosts;
+    int remaining = hosts;
     for (const auto it : out)
     {
-        left -= it;
+        remaining -= it;
     }
-    for (std::size_t i = 0; left != 0; i = (i + 1) % out.size())
+    for (std::size_t i = 0; remaining != 0; i = (i + 1) % out.size())
     {
-        const int step = left > 0 ? 1 : -1;
+        const int step = remaining > 0 ? 1 : -1;
         out[i] += step;
-        left -= step;
+        remaining -= step;
     }
     return out;
 }
 
-/// Places hosts in zones in turn, and in racks of four within a zone.
-class placer
+/// Assigns hosts to the zones in turn, and to racks of four within a zone.
+class host_placer
 {
 public:
-    explicit placer(int zones) : zones_(zones)
+    explicit host_placer(int zones) : zones_(zones)
     {
     }
 
@@ -92,31 +93,32 @@
     return out;
 }
 
-void add_pool(fleet_sim::world& w, const std::string& name, int hosts, placer& places, bool held)
+void add_pool(
+    fleet_sim::simulation& sim, const std::string& name, int hosts, host_placer& placer, bool held)
 {
     model::pool_document d{name, {}, {}, {}};
     for (int i = 0; i < hosts; ++i)
     {
-        auto h = places.next(name + "-" + std::to_string(i));
+        auto h = placer.next(name + "-" + std::to_string(i));
         h.state = held ? model::host_state::held : model::host_state::serving;
-        fleet_sim::add_host(w.platform, h.id, h.zone, h.rack);
+        fleet_sim::add_host(sim.platform, h.id, h.zone, h.rack);
         d.hosts.push_back(std::move(h));
     }
-    fleet_sim::put_pool(w.kv, d, 0);
+    fleet_sim::put_pool(sim.kv, d, 0);
 }
 
-/// Work on serving hosts; a held one has none.
-void add_work(fleet_sim::world& w, const work_settings& work)
+/// Adds jobs to the serving hosts; held hosts have none.
+void add_work(fleet_sim::simulation& sim, const work_settings& work)
 {
     std::mt19937_64 random(work.seed);
     std::exponential_distribution<double> job(1.0 / static_cast<double>(work.mean_job_ms));
-    for (auto& [id, h] : w.platform.hosts)
+    for (auto& [id, h] : sim.platform.hosts)
     {
-        const auto* record = fleet_sim::find_host(w.kv, id);
+        const auto* record = fleet_sim::find_host(sim.kv, id);
         const bool serves = record->state == model::host_state::serving;
         for (int i = 0; serves && i < work.jobs_per_host; ++i)
         {
-            h.jobs.push_back(w.platform.now_ms + static_cast<std::int64_t>(job(random)));
+            h.jobs.push_back(sim.platform.now_ms + static_cast<std::int64_t>(job(random)));
         }
     }
 }
@@ -147,11 +149,11 @@
 std::vector<fleet_shape> all_fleets()
 {
     const std::vector<int> fifty{14, 12, 10, 8, 6};
-    return {fleet_of("lensmandu", 4, fifty, hosts_an_absence_careful),
-        fleet_of("school_trips", 3, fifty, hosts_an_absence_hasty),
-        fleet_of("hosts_10", 3, {5, 5}, hosts_an_absence_careful),
-        fleet_of("hosts_100", 3, sizes_of(100, 16), hosts_an_absence_careful),
-        fleet_of("hosts_1100", 6, sizes_of(1100, 176), hosts_an_absence_careful)};
+    return {fleet_of("lensmandu", 4, fifty, hosts_per_absence_careful),
+        fleet_of("school_trips", 3, fifty, hosts_per_absence_hasty),
+        fleet_of("hosts_10", 3, {5, 5}, hosts_per_absence_careful),
+        fleet_of("hosts_100", 3, sizes_of(100, 16), hosts_per_absence_careful),
+        fleet_of("hosts_1100", 6, sizes_of(1100, 176), hosts_per_absence_careful)};
 }
 
 std::vector<measured_policy> all_policies(const fleet_shape& shape)
@@ -180,36 +182,36 @@
     return out;
 }
 
-void build(fleet_sim::world& w,
+void build(fleet_sim::simulation& sim,
     const fleet_shape& shape,
     const measured_policy& policy,
     const work_settings& work)
 {
-    w.config.version = 1;
-    w.config.policies = {policy.config};
-    w.platform.now_ms = first_ms;
-    w.platform.reboot_ms = work.reboot_ms;
-    w.settings.longest_request_ms = work.longest_request_ms;
-    placer places(shape.zones);
+    sim.config.version = 1;
+    sim.config.policies = {policy.config};
+    sim.platform.now_ms = first_ms;
+    sim.platform.reboot_ms = work.reboot_ms;
+    sim.settings.max_request_ms = work.max_request_ms;
+    host_placer placer(shape.zones);
     const auto pools = pools_beside_spares(shape, policy.spares);
     for (std::size_t i = 0; i < pools.size(); ++i)
     {
         const std::string name = "pool" + std::to_string(i);
-        w.config.pools.push_back(config_of(name, pools[i], policy.config.name));
-        add_pool(w, name, pools[i].hosts, places, false);
+        sim.config.pools.push_back(config_of(name, pools[i], policy.config.name));
+        add_pool(sim, name, pools[i].hosts, placer, false);
     }
     if (policy.spares > 0)
     {
-        w.config.pools.push_back(
+        sim.config.pools.push_back(
             config_of(spare_pool, {policy.spares, {1, 1}}, policy.config.name));
-        w.config.pools.back().spare = true;
-        add_pool(w, spare_pool, policy.spares, places, true);
+        sim.config.pools.back().spare = true;
+        add_pool(sim, spare_pool, policy.spares, placer, true);
     }
-    add_work(w, work);
-    fleet_sim::watch_promises(w);
-    w.members.resize(1);
-    w.members[0].id = "e0";
-    fleet_sim::set_roster(w, {"e0"});
+    add_work(sim, work);
+    fleet_sim::install_promise_checks(sim);
+    sim.members.resize(1);
+    sim.members[0].id = "e0";
+    fleet_sim::set_roster(sim, {"e0"});
 }
 
 } // namespace camphorhitch::bench
--- a/bench/wave_policies/src/fleets.hpp
+++ b/bench/wave_policies/src/fleets.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// The fleets that waves are measured on.
+/// The fleets on which waves are measured.
 #pragma once
 
-#include "fleet_sim/world.hpp"
+#include "fleet_sim/simulation.hpp"
 #include "model/config.hpp"
 
 #include <cstdint>
@@ -12,12 +12,14 @@
 namespace camphorhitch::bench
 {
 
+/// Size and budget of a pool.
 struct pool_shape
 {
     int hosts = 0;
     model::availability_budget budget;
 };
 
+/// Zones and pools of a fleet.
 struct fleet_shape
 {
     std::string name;
@@ -25,26 +27,26 @@
     std::vector<pool_shape> pools;
 };
 
-/// A policy as measured, and the spare hosts that the fleet keeps under it.
+/// A measured policy, and the spare hosts that the fleet keeps under it.
 struct measured_policy
 {
     std::string name;
     model::policy_config config;
-    int spares = 0; ///< in a spare pool of their own, taken from the largest pools
+    int spares = 0; ///< hosts in a separate spare pool, taken from the largest pools
 };
 
 /// Times of the platform and of the work, the same for all policies.
 struct work_settings
 {
     std::int64_t reboot_ms = 600000;
-    std::int64_t repair_ms = 1800000; ///< after which a host that failed to return comes back
-    std::int64_t longest_request_ms = 10000;
+    std::int64_t repair_ms = 1800000; ///< time until a host that did not return is repaired
+    std::int64_t max_request_ms = 10000;
     std::int64_t mean_job_ms = 7200000;
     int jobs_per_host = 3;
     std::uint64_t seed = 1;
 };
 
-/// \return the two users' fleets and those of 10, 100 and 1,100 hosts.
+/// \return the fleets of the two users and fleets of 10, 100 and 1,100 hosts.
 std::vector<fleet_shape> all_fleets();
 
 int count_hosts(const fleet_shape& shape);
@@ -55,8 +57,8 @@
 /// \return the pools with the spare hosts taken out of the largest ones.
 std::vector<pool_shape> pools_beside_spares(const fleet_shape& shape, int spares);
 
-/// Builds the fleet with one member that decides all, and work on its hosts.
-void build(fleet_sim::world& w,
+/// Builds the fleet, with one member that owns all pools and waves, and adds work to its hosts.
+void build(fleet_sim::simulation& sim,
     const fleet_shape& shape,
     const measured_policy& policy,
     const work_settings& work);
--- a/bench/wave_policies/src/main.cpp
+++ b/bench/wave_policies/src/main.cpp
@@ -17,7 +17,7 @@
 using namespace camphorhitch;
 using namespace camphorhitch::bench;
 
-constexpr int most_hosts_quick = 100;
+constexpr int max_hosts_quick = 100;
 
 double ratio(const measure& m)
 {
@@ -33,7 +33,7 @@
 {
     return {{"fleet", r.fleet},
         {"policy", r.policy},
-        {"trouble", r.with == trouble::correlated ? "correlated" : "none"},
+        {"trouble", r.with == disturbance::correlated ? "correlated" : "none"},
         {"hosts", r.hosts},
         {"maintained", r.done},
         {"ended", r.ended},
@@ -74,7 +74,7 @@
                 "%7lld %6zu\n",
         r.fleet.c_str(),
         r.policy.c_str(),
-        r.with == trouble::correlated ? "correlated" : "none",
+        r.with == disturbance::correlated ? "correlated" : "none",
         r.done,
         r.hosts,
         r.ended ? " " : "!",
@@ -91,11 +91,11 @@
         r.violations.size() + static_cast<std::size_t>(r.cut_off));
 }
 
-nlohmann::json to_json(const cut_cost& it, const rollout& r)
+nlohmann::json to_json(const layout_cost& it, const rollout& r)
 {
     const double seconds = r.roll_out_h.value * 3600;
     return {{"fleet", r.fleet},
-        {"cut", it.cut},
+        {"cut", it.document_layout},
         {"documents", it.documents},
         {"largest_bytes", it.largest_bytes},
         {"writes", it.writes},
@@ -104,8 +104,8 @@
         {"same_second", it.same_second}};
 }
 
-/// What each way to cut the documents writes in the fastest wave.
-nlohmann::json print_cuts(const std::vector<rollout>& runs)
+/// Prints the writes of the fastest policy's waves for each layout of the documents.
+nlohmann::json print_layouts(const std::vector<rollout>& runs)
 {
     auto all = nlohmann::json::array();
     std::printf("\n%-13s %-12s %9s %9s %7s %12s %9s %11s\n",
@@ -119,16 +119,16 @@
         "same second");
     for (const auto& r : runs)
     {
-        if (r.policy != "fastest" || r.with != trouble::none)
+        if (r.policy != "fastest" || r.with != disturbance::none)
         {
             continue;
         }
-        for (const auto& it : r.cuts)
+        for (const auto& it : r.layout_costs)
         {
             all.push_back(to_json(it, r));
             std::printf("%-13s %-12s %9d %9zu %7lld %12.0f %9.0f %11lld\n",
                 r.fleet.c_str(),
-                it.cut.c_str(),
+                it.document_layout.c_str(),
                 it.documents,
                 it.largest_bytes,
                 static_cast<long long>(it.writes),
@@ -173,20 +173,20 @@
     return all;
 }
 
-std::vector<rollout> run_waves(int largest, const std::string& only, const work_settings& work)
+std::vector<rollout> run_waves(int max_hosts, const std::string& only, const work_settings& work)
 {
     std::vector<rollout> out;
     print_header();
     for (const auto& shape : all_fleets())
     {
         const bool other = !only.empty() && only != shape.name;
-        if (other || count_hosts(shape) > largest)
+        if (other || count_hosts(shape) > max_hosts)
         {
             continue;
         }
         for (const auto& policy : all_policies(shape))
         {
-            for (const auto with : {trouble::none, trouble::correlated})
+            for (const auto with : {disturbance::none, disturbance::correlated})
             {
                 out.push_back(run_wave(shape, policy, work, with));
                 print(out.back());
@@ -201,8 +201,8 @@
     work_settings work;
     work.seed = options["seed"].as<std::uint64_t>();
     const bool quick = options.count("quick") > 0;
-    const int largest = quick ? most_hosts_quick : std::numeric_limits<int>::max();
-    const auto waves = run_waves(largest, options["fleet"].as<std::string>(), work);
+    const int max_hosts = quick ? max_hosts_quick : std::numeric_limits<int>::max();
+    const auto waves = run_waves(max_hosts, options["fleet"].as<std::string>(), work);
     nlohmann::json out{{"seed", work.seed}, {"runs", nlohmann::json::array()}};
     std::size_t broken = 0;
     for (const auto& it : waves)
@@ -210,7 +210,7 @@
         out["runs"].push_back(to_json(it));
         broken += it.violations.size() + static_cast<std::size_t>(it.cut_off);
     }
-    out["documents"] = print_cuts(waves);
+    out["documents"] = print_layouts(waves);
     out["rounds"] = measure_rounds();
     if (options.count("json") > 0)
     {
--- a/libs/fleet/tests/move_tests.cpp
+++ b/libs/fleet/tests/move_tests.cpp
@@ -2,7 +2,7 @@
 #include "fleet/budget.hpp"
 #include "fleet/ownership.hpp"
 #include "fleet/pool_rules.hpp"
-#include "fleet_sim/world.hpp"
+#include "fleet_sim/simulation.hpp"
 #include "sample.hpp"
 
 #include <CppUTest/TestHarness.h>
@@ -18,34 +18,34 @@
 /// started.
 struct move_fixture
 {
-    fleet_sim::world w;
+    fleet_sim::simulation sim;
 
     move_fixture()
     {
-        w.config = sample::config();
-        w.platform.now_ms = 1'000'000;
-        w.members.resize(2);
-        w.members[0].id = "e1";
-        w.members[1].id = "e2";
-        fleet_sim::watch_promises(w);
-        w.writer_config = &w.config;
+        sim.config = sample::config();
+        sim.platform.now_ms = 1'000'000;
+        sim.members.resize(2);
+        sim.members[0].id = "e1";
+        sim.members[1].id = "e2";
+        fleet_sim::install_promise_checks(sim);
+        sim.writer_config = &sim.config;
         fleet_sim::put_pool(
-            w.kv, sample::pool("a", {sample::host("h1"), sample::host("h2", "z2")}), 0);
-        fleet_sim::put_pool(w.kv, sample::pool("b", {sample::host("h3")}), 0);
+            sim.kv, sample::pool("a", {sample::host("h1"), sample::host("h2", "z2")}), 0);
+        fleet_sim::put_pool(sim.kv, sample::pool("b", {sample::host("h3")}), 0);
         for (const auto* id : {"h1", "h2", "h3"})
         {
-            fleet_sim::add_host(w.platform, id, "z1", "r1");
+            fleet_sim::add_host(sim.platform, id, "z1", "r1");
         }
-        fleet_sim::set_roster(w, {"e1", "e2"});
+        fleet_sim::set_roster(sim, {"e1", "e2"});
         refresh_all();
-        fleet_sim::wish(w, w.members[0], "a", move_request{"h1", "b", "c1"});
+        fleet_sim::request_change(sim, sim.members[0], "a", move_request{"h1", "b", "c1"});
     }
 
     void refresh_all()
     {
-        for (auto& it : w.members)
+        for (auto& it : sim.members)
         {
-            fleet_sim::refresh(w, it);
+            fleet_sim::refresh(sim, it);
         }
     }
 
@@ -54,15 +54,15 @@
     bool one_step()
     {
         refresh_all();
-        for (auto& it : w.members)
+        for (auto& it : sim.members)
         {
             it.pending.clear();
-            fleet_sim::decide(w, it);
+            fleet_sim::decide(sim, it);
             while (!it.pending.empty())
             {
-                const auto before = w.kv.revision;
-                fleet_sim::perform(w, it, 1);
-                if (w.kv.revision != before)
+                const auto before = sim.kv.revision;
+                fleet_sim::execute_pending(sim, it, 1);
+                if (sim.kv.revision != before)
                 {
                     return true;
                 }
@@ -82,12 +82,12 @@
     // revisions it combines, it must find exactly one owner, and never a pool that had released the
     // host, according to the newer document, before the older one was written.
     move_fixture fixture;
-    std::vector<pool_view> views_a{*fleet_sim::find_pool(fixture.w.kv, "a")};
-    std::vector<pool_view> views_b{*fleet_sim::find_pool(fixture.w.kv, "b")};
+    std::vector<pool_view> views_a{*fleet_sim::find_pool(fixture.sim.kv, "a")};
+    std::vector<pool_view> views_b{*fleet_sim::find_pool(fixture.sim.kv, "b")};
     while (fixture.one_step())
     {
-        views_a.push_back(*fleet_sim::find_pool(fixture.w.kv, "a"));
-        views_b.push_back(*fleet_sim::find_pool(fixture.w.kv, "b"));
+        views_a.push_back(*fleet_sim::find_pool(fixture.sim.kv, "a"));
+        views_b.push_back(*fleet_sim::find_pool(fixture.sim.kv, "b"));
     }
     CHECK(views_a.size() >= 4); // draining, released, adopted, entry removed
     for (std::size_t i = 0; i < views_a.size(); ++i)
@@ -114,25 +114,25 @@
     for (int cut = 0; cut < 6; ++cut)
     {
         move_fixture fixture;
-        auto& w = fixture.w;
+        auto& sim = fixture.sim;
         for (int i = 0; i < cut; ++i)
         {
             fixture.one_step();
         }
-        w.kv.answers_to_lose = 1;
+        sim.kv.answers_to_lose = 1;
         fixture.one_step();
-        w.members.clear();
-        w.members.resize(1);
-        w.members[0].id = "e3";
-        fleet_sim::set_roster(w, {"e3"});
+        sim.members.clear();
+        sim.members.resize(1);
+        sim.members[0].id = "e3";
+        fleet_sim::set_roster(sim, {"e3"});
         for (int i = 0; i < 8; ++i)
         {
-            fleet_sim::advance(w.platform, 1000);
-            fleet_sim::run_round(w, w.members[0]);
+            fleet_sim::advance(sim.platform, 1000);
+            fleet_sim::run_round(sim, sim.members[0]);
         }
-        LONGS_EQUAL(0, w.violations.size());
-        const auto* a = fleet_sim::find_pool(w.kv, "a");
-        const auto* b = fleet_sim::find_pool(w.kv, "b");
+        LONGS_EQUAL(0, sim.violations.size());
+        const auto* a = fleet_sim::find_pool(sim.kv, "a");
+        const auto* b = fleet_sim::find_pool(sim.kv, "b");
         CHECK(model::find_host(a->document, "h1") == nullptr);
         CHECK(a->document.released.empty());
         CHECK(model::find_host(b->document, "h1")->state == host_state::serving);
@@ -203,24 +203,24 @@
     for (unsigned order = 0; order < 64; ++order)
     {
         move_fixture fixture;
-        auto& w = fixture.w;
-        fleet_sim::add_host(w.platform, "h9", "z1", "r1");
-        fleet_sim::wish(w, w.members[0], "a", add_request{sample::host("h9"), "c8"});
-        fleet_sim::wish(w, w.members[1], "b", add_request{sample::host("h9"), "c9"});
+        auto& sim = fixture.sim;
+        fleet_sim::add_host(sim.platform, "h9", "z1", "r1");
+        fleet_sim::request_change(sim, sim.members[0], "a", add_request{sample::host("h9"), "c8"});
+        fleet_sim::request_change(sim, sim.members[1], "b", add_request{sample::host("h9"), "c9"});
         for (unsigned i = 0; i < 6; ++i)
         {
-            auto& m = w.members[(order >> i) & 1];
-            i % 2 == 0 ? fleet_sim::decide(w, m) : fleet_sim::refresh(w, m);
-            fleet_sim::perform(w, m, 1 + (order >> (5 - i)) % 3);
+            auto& m = sim.members[(order >> i) & 1];
+            i % 2 == 0 ? fleet_sim::decide(sim, m) : fleet_sim::refresh(sim, m);
+            fleet_sim::execute_pending(sim, m, 1 + (order >> (5 - i)) % 3);
         }
         for (int i = 0; i < 12; ++i)
         {
-            fleet_sim::run_round(w, w.members[static_cast<std::size_t>(i % 2)]);
+            fleet_sim::run_round(sim, sim.members[static_cast<std::size_t>(i % 2)]);
         }
-        LONGS_EQUAL(0, w.violations.size());
-        CHECK(fleet_sim::find_host(w.kv, "h9") != nullptr);
+        LONGS_EQUAL(0, sim.violations.size());
+        CHECK(fleet_sim::find_host(sim.kv, "h9") != nullptr);
         int named = 0;
-        for (const auto& it : w.kv.pools)
+        for (const auto& it : sim.kv.pools)
         {
             named += model::find_host(it.document, "h9") != nullptr ? 1 : 0;
         }
--- a/libs/fleet/tests/random_run_tests.cpp
+++ b/libs/fleet/tests/random_run_tests.cpp
@@ -60,14 +60,14 @@
 void count(totals& t, const random_fleet& f, std::size_t steps)
 {
     t.steps += static_cast<std::int64_t>(steps);
-    t.writes += f.w.kv.writes;
-    t.conflicts += f.w.kv.conflicts;
-    t.moves += f.w.kv.host_moves;
-    for (const auto& [id, it] : f.w.platform.hosts)
+    t.writes += f.sim.kv.writes;
+    t.conflicts += f.sim.kv.conflicts;
+    t.moves += f.sim.kv.host_moves;
+    for (const auto& [id, it] : f.sim.platform.hosts)
     {
         t.reboots += static_cast<std::int64_t>(it.reboots.size());
     }
-    for (const auto& it : f.w.kv.waves)
+    for (const auto& it : f.sim.kv.waves)
     {
         t.waves_done += it.document.phase == model::wave_phase::done ? 1 : 0;
     }
@@ -99,15 +99,15 @@
         broken.clear();
         for (const auto& it : script)
         {
-            fleet_sim::take(f, it);
+            fleet_sim::apply_step(f, it);
             RC_ASSERT(broken == std::vector<std::string>{});
-            RC_ASSERT(f.w.violations == std::vector<std::string>{});
+            RC_ASSERT(f.sim.violations == std::vector<std::string>{});
         }
-        fleet_sim::settle(f);
+        fleet_sim::run_until_settled(f);
         RC_ASSERT(broken == std::vector<std::string>{});
-        RC_ASSERT(f.w.violations == std::vector<std::string>{});
-        RC_ASSERT(fleet_sim::stranded(f) == std::string{});
-        RC_ASSERT(f.w.platform.cut_off == 0);
+        RC_ASSERT(f.sim.violations == std::vector<std::string>{});
+        RC_ASSERT(fleet_sim::find_stuck(f) == std::string{});
+        RC_ASSERT(f.sim.platform.cut_off == 0);
         count(sum, f, script.size());
     };
     const auto result = rc::detail::checkTestable(property, metadata, params);
--- a/testing/fleet_sim/include/fleet_sim/store.hpp
+++ b/testing/fleet_sim/include/fleet_sim/store.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The key-value service's part that pools and waves need: documents with compare-and-swap.
+/// The part of the key-value service that pools and waves use: documents with compare-and-swap.
 #pragma once
 
 #include "fleet/ownership.hpp"
@@ -12,19 +12,21 @@
 namespace camphorhitch::fleet_sim
 {
 
+/// Result of a write.
 enum class answer
 {
     ok,
     conflict,
-    unavailable, ///< certainly not written
-    unknown      ///< written, but the writer doesn't learn it
+    unavailable, ///< not written
+    unknown      ///< written, but the answer to the writer is lost
 };
 
+/// All documents, and counts of writes.
 struct store
 {
     std::int64_t revision = 1;
     bool down = false;
-    int answers_to_lose = 0; ///< of the next writes
+    int answers_to_lose = 0; ///< number of coming writes whose answer is lost
     std::vector<fleet::pool_view> pools;
     std::vector<fleet::wave_view> waves;
     std::int64_t writes = 0;
@@ -35,13 +37,13 @@
         on_pool_write;
 };
 
-/// \param expected revision that the document must have; 0: it must not exist.
+/// Writes a document. \param expected revision that the document must have; 0: it must not exist.
 answer put_pool(store& s, const model::pool_document& d, std::int64_t expected);
 answer put_wave(store& s, const model::wave_document& d, std::int64_t expected);
 
 const fleet::pool_view* find_pool(const store& s, const std::string& pool);
 
-/// \return the pool whose document has \p host among its hosts by right, or nullptr.
+/// \return the record of \p host in the pool that owns it, or nullptr.
 const model::host_record* find_host(const store& s, const std::string& host);
 
 } // namespace camphorhitch::fleet_sim
--- a/testing/fleet_sim/src/platform.cpp
+++ b/testing/fleet_sim/src/platform.cpp
@@ -9,12 +9,13 @@
 namespace
 {
 
-void note(sim_platform& p, sim_host& h)
+void record_live_state(sim_platform& p, sim_host& h)
 {
     const auto fit = h.leaving ? ports::live_state::leaving : ports::live_state::live;
     const auto state = h.up ? fit : ports::live_state::down;
     h.history.push_back({p.now_ms, {h.id, state, h.boot_count}});
-    // Only the newest entry that is older than the lag can still be read, and those after it.
+    // live_list() reads the newest entry that is older than the lag. Entries before that one are
+    // not needed any more.
     const auto old = [&](const live_change& it)
     {
         return it.at_ms <= p.now_ms - p.lag_ms;
@@ -31,7 +32,7 @@
     h.up_at_ms = up_at_ms;
     h.requests.clear();
     h.jobs.clear();
-    note(p, h);
+    record_live_state(p, h);
 }
 
 void come_up(sim_platform& p, sim_host& h)
@@ -40,10 +41,10 @@
     h.leaving = false;
     h.up_at_ms.reset();
     ++h.boot_count;
-    note(p, h);
+    record_live_state(p, h);
 }
 
-void drop_ended(std::vector<std::int64_t>& ends, std::int64_t now_ms)
+void remove_ended(std::vector<std::int64_t>& ends, std::int64_t now_ms)
 {
     const auto ended = [&](std::int64_t it)
     {
@@ -61,7 +62,7 @@
     h.zone = std::move(zone);
     h.rack = std::move(rack);
     auto& placed = p.hosts[h.id] = h;
-    note(p, placed);
+    record_live_state(p, placed);
 }
 
 void reboot(sim_platform& p, const std::string& host, const std::string& command)
@@ -100,7 +101,7 @@
 {
     auto& h = p.hosts.at(host);
     h.leaving = leaving;
-    note(p, h);
+    record_live_state(p, h);
 }
 
 void advance(sim_platform& p, std::int64_t ms)
@@ -108,8 +109,8 @@
     p.now_ms += ms;
     for (auto& [id, h] : p.hosts)
     {
-        drop_ended(h.requests, p.now_ms);
-        drop_ended(h.jobs, p.now_ms);
+        remove_ended(h.requests, p.now_ms);
+        remove_ended(h.jobs, p.now_ms);
         if (!h.up && h.up_at_ms && *h.up_at_ms <= p.now_ms)
         {
             come_up(p, h);
--- a/testing/fleet_sim/src/promises.cpp
+++ b/testing/fleet_sim/src/promises.cpp
@@ -1,6 +1,7 @@
-// Checks of the promises from the store's and the platform's own records, in code of their own.
+// Checks of the promises against the records of the store and the platform. The checks are
+// independent of the code under test.
 #include "core/invariant.hpp"
-#include "fleet_sim/world.hpp"
+#include "fleet_sim/simulation.hpp"
 
 #include <algorithm>
 #include <map>
@@ -16,22 +17,23 @@
 namespace
 {
 
-void check(world& w, bool holds, const std::string& text)
+void check(simulation& sim, bool holds, const std::string& text)
 {
     if (!holds)
     {
-        w.violations.push_back("at " + std::to_string(w.platform.now_ms) + " ms: " + text);
+        sim.violations.push_back("at " + std::to_string(sim.platform.now_ms) + " ms: " + text);
     }
 }
 
-bool is_out(const host_record& h)
+bool is_absent(const host_record& h)
 {
     return h.state == host_state::draining || h.state == host_state::drained ||
            h.state == host_state::rebooting || h.state == host_state::failed;
 }
 
-/// Hosts missing in a zone, or in the whole pool when \p zone is empty.
-int missing(const pool_document& d, const std::string& zone)
+/// \return the number of hosts missing in a zone, or in the whole pool when \p zone is empty. Each
+/// borrowed host that serves compensates for one missing host.
+int count_missing(const pool_document& d, const std::string& zone)
 {
     int n = 0;
     for (const auto& it : d.hosts)
@@ -40,75 +42,75 @@
         {
             continue;
         }
-        const bool guest = !it.lent_by.empty();
-        n += !guest && is_out(it) ? 1 : 0;
-        n -= guest && it.state == host_state::serving ? 1 : 0;
+        const bool borrowed = !it.lent_by.empty();
+        n += !borrowed && is_absent(it) ? 1 : 0;
+        n -= borrowed && it.state == host_state::serving ? 1 : 0;
     }
     return n;
 }
 
-/// Whether \p h began, between the two documents, to be absent by plan.
-bool began_plan(const pool_document& before, const host_record& h)
+/// \return whether a planned absence of \p h began between the two documents.
+bool is_new_planned_absence(const pool_document& before, const host_record& h)
 {
     const auto* old = model::find_host(before, h.id);
-    const bool was_in = old != nullptr && !is_out(*old);
-    return was_in && is_out(h) && h.state != host_state::failed &&
+    const bool was_present = old != nullptr && !is_absent(*old);
+    return was_present && is_absent(h) && h.state != host_state::failed &&
            h.purpose != model::drain_purpose::leaving;
 }
 
-void check_budget(world& w, const pool_document& before, const pool_document& after)
+void check_budget(simulation& sim, const pool_document& before, const pool_document& after)
 {
-    const auto* config = model::find_pool(*w.writer_config, after.pool);
+    const auto* config = model::find_pool(*sim.writer_config, after.pool);
     for (const auto& it : after.hosts)
     {
-        if (config == nullptr || !began_plan(before, it))
+        if (config == nullptr || !is_new_planned_absence(before, it))
         {
             continue;
         }
-        check(w,
-            missing(after, "") <= config->budget.absent,
+        check(sim,
+            count_missing(after, "") <= config->budget.absent,
             "budget of pool " + after.pool + " exceeded by the drain of " + it.id);
         for (const auto& other : after.hosts)
         {
-            check(w,
-                missing(after, other.zone) <= config->budget.absent_per_zone,
+            check(sim,
+                count_missing(after, other.zone) <= config->budget.absent_per_zone,
                 "budget of pool " + after.pool + " in zone " + other.zone + " exceeded by " +
                     it.id);
         }
     }
 }
 
-/// Every host that was confirmed once has one owner for ever after, or was forgotten by an
-/// operator.
-void check_owners(world& w, const pool_document& after)
+/// Checks that no host is in two pools, and that a host that a pool has released is in another
+/// pool's hosts only under a newer ownership number.
+void check_owners(simulation& sim, const pool_document& after)
 {
     std::map<std::string, std::string> owners;
-    for (const auto& view : w.kv.pools)
+    for (const auto& view : sim.kv.pools)
     {
         for (const auto& it : view.document.hosts)
         {
             if (it.ownership > 0)
             {
                 const bool first = owners.emplace(it.id, view.document.pool).second;
-                check(w, first, "host " + it.id + " is in two pools");
+                check(sim, first, "host " + it.id + " is in two pools");
             }
         }
     }
-    for (const auto& view : w.kv.pools)
+    for (const auto& view : sim.kv.pools)
     {
         for (const auto& it : view.document.released)
         {
-            const auto* kept = find_host(w.kv, it.host.id);
-            const bool adopted = kept != nullptr && kept->ownership >= it.host.ownership;
-            check(w,
-                kept == nullptr || adopted,
+            const auto* owned = find_host(sim.kv, it.host.id);
+            const bool adopted = owned != nullptr && owned->ownership >= it.host.ownership;
+            check(sim,
+                owned == nullptr || adopted,
                 "host " + it.host.id + " was released and is still in pool " + after.pool);
         }
     }
 }
 
-/// A host that was handed over serves again only after the platform did the reboot.
-void check_returns(world& w, const pool_document& before, const pool_document& after)
+/// Checks that a host that was handed over serves again only after the platform has rebooted it.
+void check_returns(simulation& sim, const pool_document& before, const pool_document& after)
 {
     for (const auto& it : before.hosts)
     {
@@ -118,8 +120,8 @@
                               now->state != host_state::failed;
         if (returned)
         {
-            const auto& host = w.platform.hosts.at(it.id);
-            check(w,
+            const auto& host = sim.platform.hosts.at(it.id);
+            check(sim,
                 host.reboots.count(it.command) > 0,
                 "host " + it.id + " returned before its reboot");
         }
@@ -128,21 +130,22 @@
 
 } // namespace
 
-void watch_promises(world& w)
+void install_promise_checks(simulation& sim)
 {
-    w.kv.on_pool_write = [&w](const pool_document& before, const pool_document& after)
+    sim.kv.on_pool_write = [&sim](const pool_document& before, const pool_document& after)
     {
-        check_budget(w, before, after);
-        check_owners(w, after);
-        check_returns(w, before, after);
+        check_budget(sim, before, after);
+        check_owners(sim, after);
+        check_returns(sim, before, after);
     };
-    w.platform.on_reboot = [&w](const sim_host& h, const std::string& command)
+    sim.platform.on_reboot = [&sim](const sim_host& h, const std::string& command)
     {
-        check(w, h.requests.empty() && h.jobs.empty(), "reboot of " + h.id + " cuts off work");
-        const auto* known = find_host(w.kv, h.id);
+        check(sim, h.requests.empty() && h.jobs.empty(), "reboot of " + h.id + " cuts off work");
+        const auto* known = find_host(sim.kv, h.id);
         const bool handed_over = known != nullptr && known->command == command;
-        check(
-            w, known == nullptr || handed_over, "reboot of " + h.id + " that no document asks for");
+        check(sim,
+            known == nullptr || handed_over,
+            "reboot of " + h.id + " that no document asks for");
     };
 }
 
--- a/testing/fleet_sim/src/random_fleet.cpp
+++ b/testing/fleet_sim/src/random_fleet.cpp
@@ -32,10 +32,10 @@
         h.zone = "z" + std::to_string(i % zones);
         h.rack = h.zone + "-r" + std::to_string(i / zones);
         h.boot_count = 1;
-        add_host(f.w.platform, h.id, h.zone, h.rack);
+        add_host(f.sim.platform, h.id, h.zone, h.rack);
         d.hosts.push_back(std::move(h));
     }
-    put_pool(f.w.kv, d, 0);
+    put_pool(f.sim.kv, d, 0);
 }
 
 model::configuration first_config(const std::vector<std::string>& pools)
@@ -74,174 +74,180 @@
 
 sim_member& member(random_fleet& f, unsigned n)
 {
-    return f.w.members[n % f.w.members.size()];
+    return f.sim.members[n % f.sim.members.size()];
 }
 
 sim_host& host(random_fleet& f, unsigned n)
 {
-    auto it = f.w.platform.hosts.begin();
-    std::advance(it, n % f.w.platform.hosts.size());
+    auto it = f.sim.platform.hosts.begin();
+    std::advance(it, n % f.sim.platform.hosts.size());
     return it->second;
 }
 
-/// A new command's id, or the last one again: an operator repeats after a lost answer.
-std::string command(random_fleet& f, unsigned n)
+/// \return a new command id, or sometimes the last one again, as an operator repeats a command
+/// after a lost answer.
+std::string next_command_id(random_fleet& f, unsigned n)
 {
     const bool repeat = n % 4 == 0 && !f.last_command.empty();
     f.last_command = repeat ? f.last_command : "c" + std::to_string(++f.commands);
     return f.last_command;
 }
 
-void operate(random_fleet& f, const random_step& s)
+void apply_command(random_fleet& f, const random_step& s)
 {
     auto& m = member(f, s.a);
     const auto& id = host(f, s.b).id;
     const auto owner = owner_of(id, m.pools);
-    const std::string id_of_command = command(f, s.c);
+    const std::string id_of_command = next_command_id(f, s.c);
     const auto& to = f.pools[s.c % f.pools.size()];
     switch (s.c % 7)
     {
     case 6:
-        wish(f.w, m, owner.pool, leave_request{id, id_of_command});
+        request_change(f.sim, m, owner.pool, leave_request{id, id_of_command});
         break;
     case 0:
-        wish(f.w, m, owner.pool, drain_request{id, id_of_command});
+        request_change(f.sim, m, owner.pool, drain_request{id, id_of_command});
         break;
     case 1:
     case 2:
-        wish(f.w, m, owner.pool, move_request{id, to, id_of_command});
+        request_change(f.sim, m, owner.pool, move_request{id, to, id_of_command});
         break;
     case 3:
-        wish(f.w, m, owner.pool, undo_request{id, id_of_command});
+        request_change(f.sim, m, owner.pool, undo_request{id, id_of_command});
         break;
     case 4:
-        if (const auto* known = find_host(f.w.kv, id); !known || known->state == host_state::failed)
+        if (const auto* known = find_host(f.sim.kv, id);
+            !known || known->state == host_state::failed)
         {
-            const auto* view = find_pool(f.w.kv, owner.pool);
+            const auto* view = find_pool(f.sim.kv, owner.pool);
             const bool settled =
                 view && is_confirmed_exclusive(id, owner.pool, view->revision, {m.pools, m.as_of});
-            const forget_request wish_of{id, id_of_command, settled};
-            wish(f.w, m, owner.pool, wish_of);
-            f.forgotten.insert(id); // the write may stand though its answer was lost
+            const forget_request request{id, id_of_command, settled};
+            request_change(f.sim, m, owner.pool, request);
+            f.removed_hosts.insert(
+                id); // The write may have taken effect although its answer was lost.
         }
         break;
     default:
-        wish(f.w, m, to, add_request{record_of(host(f, s.b)), id_of_command});
+        request_change(f.sim, m, to, add_request{record_of(host(f, s.b)), id_of_command});
         break;
     }
 }
 
-void operate_wave(random_fleet& f, const random_step& s)
+void apply_wave_command(random_fleet& f, const random_step& s)
 {
     auto& m = member(f, s.a);
-    const auto now = core::from_unix_ms(f.w.platform.now_ms);
+    const auto now = core::from_unix_ms(f.sim.platform.now_ms);
     if (s.b % 8 > 3 && !m.waves.empty())
     {
         const auto& view = m.waves[s.c % m.waves.size()];
-        const auto out = s.b % 8 == 4 ? cancel_wave(view.document, command(f, s.c), now)
-                                      : resume_wave(view.document, command(f, s.c), m.pools, now);
+        const auto out = s.b % 8 == 4
+                             ? cancel_wave(view.document, next_command_id(f, s.c), now)
+                             : resume_wave(view.document, next_command_id(f, s.c), m.pools, now);
         if (core::is_ok(out) && core::value(out).changed)
         {
-            put_wave(f.w.kv, core::value(out).next, view.revision);
+            put_wave(f.sim.kv, core::value(out).next, view.revision);
         }
         return;
     }
     const char* policies[] = {"", "one_by_one", "least_buffer", "fastest"};
-    wave_start_request wish{
-        "w" + std::to_string(++f.waves), {}, policies[s.c % 4], command(f, s.c)};
+    wave_start_request request{
+        "w" + std::to_string(++f.waves), {}, policies[s.c % 4], next_command_id(f, s.c)};
     if (s.c % 3 == 0)
     {
-        wish.selection.zones = {"z" + std::to_string(s.c % 2)};
+        request.selection.zones = {"z" + std::to_string(s.c % 2)};
     }
-    const auto out = start_wave(wish, f.w.config, m.pools, m.waves, now);
+    const auto out = start_wave(request, f.sim.config, m.pools, m.waves, now);
     if (core::is_ok(out) && core::value(out).changed)
     {
-        put_wave(f.w.kv, core::value(out).next, 0);
+        put_wave(f.sim.kv, core::value(out).next, 0);
     }
 }
 
-void fail(random_fleet& f, const random_step& s)
+void apply_fault(random_fleet& f, const random_step& s)
 {
     auto& h = host(f, s.a);
-    // For good, for a while, or so short that the live list never has it down.
-    const std::int64_t back = s.b % 4 == 0 ? 0 : (s.b % 4 == 1 ? 1 : 200) * std::int64_t{s.b};
+    // Downtime: unlimited (0), some time, or so short that the live list never shows the host down.
+    const std::int64_t downtime_ms =
+        s.b % 4 == 0 ? 0 : (s.b % 4 == 1 ? 1 : 200) * std::int64_t{s.b};
     switch (s.c % 7)
     {
     case 0:
         h.returns = false;
         break;
     case 1:
-        set_leaving(f.w.platform, h.id, !h.leaving);
+        set_leaving(f.sim.platform, h.id, !h.leaving);
         break;
     case 2:
-        // A rack fails at once.
-        for (auto& [id, it] : f.w.platform.hosts)
+        // All hosts of the rack fail together.
+        for (auto& [id, it] : f.sim.platform.hosts)
         {
             if (it.rack == h.rack && it.up)
             {
-                crash(f.w.platform, id, back);
+                crash(f.sim.platform, id, downtime_ms);
             }
         }
         break;
     case 3:
     case 4:
-        for (auto& [id, it] : f.w.platform.hosts)
+        for (auto& [id, it] : f.sim.platform.hosts)
         {
-            repair(f.w.platform, id);
+            repair(f.sim.platform, id);
         }
         break;
     default:
         if (h.up)
         {
-            crash(f.w.platform, h.id, back);
+            crash(f.sim.platform, h.id, downtime_ms);
         }
         break;
     }
 }
 
-/// A request or job goes to a host, if its sender may send by what it knows. The store's records
-/// must then have the host in that pool, and not handed over.
+/// Sends a request or a job to a host if the sender's view allows it. The store's records must then
+/// have the host in that pool, and the host must not be handed over for maintenance.
 void send(random_fleet& f, const random_step& s)
 {
     auto& m = member(f, s.a);
     auto& h = host(f, s.b);
     const auto owner = owner_of(h.id, m.pools);
-    if (!h.up || !may_send(f.w, m, owner.pool, h.id))
+    if (!h.up || !may_send(f.sim, m, owner.pool, h.id))
     {
         return;
     }
-    const auto* view = find_pool(f.w.kv, owner.pool);
-    const auto* truth = view ? model::find_host(view->document, h.id) : nullptr;
-    const bool in_hand = truth && truth->state != host_state::drained && !reboot_pending(*truth);
-    if (!in_hand)
+    const auto* view = find_pool(f.sim.kv, owner.pool);
+    const auto* stored_record = view ? model::find_host(view->document, h.id) : nullptr;
+    const bool is_sendable = stored_record && stored_record->state != host_state::drained &&
+                             !reboot_pending(*stored_record);
+    if (!is_sendable)
     {
-        f.w.violations.push_back("sent to host " + h.id + " that was handed over");
+        f.sim.violations.push_back("sent to host " + h.id + " that was handed over");
     }
     auto& work = s.c % 4 == 0 ? h.jobs : h.requests;
-    const std::int64_t longest = s.c % 4 == 0 ? 20000 : f.w.settings.longest_request_ms;
-    work.push_back(f.w.platform.now_ms + longest * s.c / 256);
+    const std::int64_t max_duration_ms = s.c % 4 == 0 ? 20000 : f.sim.settings.max_request_ms;
+    work.push_back(f.sim.platform.now_ms + max_duration_ms * s.c / 256);
 }
 
 void reconfigure(random_fleet& f, const random_step& s)
 {
-    auto& pool = f.w.config.pools[s.a % 2];
-    ++f.w.config.version;
+    auto& pool = f.sim.config.pools[s.a % 2];
+    ++f.sim.config.version;
     pool.budget = {1 + s.b % 3, 1 + s.b % 2};
     const char* policies[] = {"one_by_one", "least_buffer", "fastest"};
     pool.policy = policies[s.c % 3];
 }
 
-/// Operators take back what they let go.
+/// Reverts all operators' requests that hosts leave the fleet.
 void undo_leaves(random_fleet& f)
 {
-    auto& m = f.w.members[0];
+    auto& m = f.sim.members[0];
     for (const auto& view : std::vector<pool_view>(m.pools))
     {
         for (const auto& it : view.document.hosts)
         {
             if (it.purpose == model::drain_purpose::leaving)
             {
-                wish(f.w,
+                request_change(f.sim,
                     m,
                     view.document.pool,
                     undo_request{it.id, "c" + std::to_string(++f.commands)});
@@ -259,52 +265,52 @@
 
 random_fleet::random_fleet()
 {
-    w.config = first_config(pools);
-    w.platform.now_ms = 1'000'000;
-    w.platform.reboot_ms = 20000;
-    w.settings.longest_request_ms = 10000;
-    watch_promises(w);
-    w.writer_config = &w.config;
+    sim.config = first_config(pools);
+    sim.platform.now_ms = 1'000'000;
+    sim.platform.reboot_ms = 20000;
+    sim.settings.max_request_ms = 10000;
+    install_promise_checks(sim);
+    sim.writer_config = &sim.config;
     for (const auto& pool : pools)
     {
         add_pool(*this, pool, pool == "s" ? spare_hosts : hosts_per_pool);
     }
-    w.members.resize(3);
-    for (std::size_t i = 0; i < w.members.size(); ++i)
+    sim.members.resize(3);
+    for (std::size_t i = 0; i < sim.members.size(); ++i)
     {
-        w.members[i].id = "e" + std::to_string(i);
+        sim.members[i].id = "e" + std::to_string(i);
     }
-    set_roster(w, {"e0", "e1", "e2"});
+    set_roster(sim, {"e0", "e1", "e2"});
 }
 
-void take(random_fleet& f, const random_step& s)
+void apply_step(random_fleet& f, const random_step& s)
 {
     const int kind = s.what % 32;
     auto& m = member(f, s.a);
     if (kind < 3)
     {
-        decide(f.w, m);
+        decide(f.sim, m);
     }
     else if (kind < 8)
     {
-        perform(f.w, m, 1 + s.b % 4);
+        execute_pending(f.sim, m, 1 + s.b % 4);
     }
     else if (kind < 10)
     {
-        refresh(f.w, m);
+        refresh(f.sim, m);
     }
     else if (kind < 12)
     {
-        refresh_one(f.w, m, f.pools[s.b % f.pools.size()]);
+        refresh_pool(f.sim, m, f.pools[s.b % f.pools.size()]);
     }
     else if (kind < 20)
     {
-        run_round(f.w, m);
+        run_round(f.sim, m);
     }
     else if (kind < 23)
     {
-        const std::int64_t long_pause = s.c % 8 == 0 ? 30000 : 0;
-        advance(f.w.platform, 50 * std::int64_t{s.b} + long_pause);
+        const std::int64_t additional_ms = s.c % 8 == 0 ? 30000 : 0;
+        advance(f.sim.platform, 50 * std::int64_t{s.b} + additional_ms);
     }
     else if (kind < 26)
     {
@@ -319,23 +325,23 @@
     }
     else if (kind == 26)
     {
-        operate(f, s);
+        apply_command(f, s);
     }
     else if (kind == 27)
     {
-        operate_wave(f, s);
+        apply_wave_command(f, s);
     }
     else if (kind == 28)
     {
-        fail(f, s);
+        apply_fault(f, s);
     }
     else if (kind == 29)
     {
-        f.w.kv.answers_to_lose += 1 + s.b % 2;
+        f.sim.kv.answers_to_lose += 1 + s.b % 2;
     }
     else if (kind == 30)
     {
-        f.w.kv.down = s.b % 3 == 0;
+        f.sim.kv.down = s.b % 3 == 0;
         m.pending.resize(std::min<std::size_t>(m.pending.size(), s.c % 4));
     }
     else if (s.c % 2 == 0)
@@ -344,45 +350,43 @@
     }
     else
     {
-        set_roster(f.w,
+        set_roster(f.sim,
             s.b % 2 == 0 ? std::vector<std::string>{"e0", "e1", "e2"}
                          : std::vector<std::string>{member(f, s.a + 1).id});
     }
 }
 
-/// All faults end, every member runs on, and the hosts that are down come back.
-void settle(random_fleet& f)
+void run_until_settled(random_fleet& f)
 {
-    f.w.kv.down = false;
-    f.w.kv.answers_to_lose = 0;
-    for (auto& [id, it] : f.w.platform.hosts)
+    f.sim.kv.down = false;
+    f.sim.kv.answers_to_lose = 0;
+    for (auto& [id, it] : f.sim.platform.hosts)
     {
         it.returns = true;
         if (it.leaving)
         {
-            set_leaving(f.w.platform, id, false);
+            set_leaving(f.sim.platform, id, false);
         }
     }
-    for (int i = 0; i < settle_rounds && (i == 0 || !stranded(f).empty()); ++i)
+    for (int i = 0; i < settle_rounds && (i == 0 || !find_stuck(f).empty()); ++i)
     {
-        advance(f.w.platform, settle_tick_ms);
-        for (auto& [id, it] : f.w.platform.hosts)
+        advance(f.sim.platform, settle_tick_ms);
+        for (auto& [id, it] : f.sim.platform.hosts)
         {
-            repair(f.w.platform, id);
+            repair(f.sim.platform, id);
         }
-        for (auto& it : f.w.members)
+        for (auto& it : f.sim.members)
         {
-            run_round(f.w, it);
+            run_round(f.sim, it);
         }
         undo_leaves(f);
     }
 }
 
-/// \return the hosts and waves that are stuck although nothing is wrong any more.
-std::string stranded(const random_fleet& f)
+std::string find_stuck(const random_fleet& f)
 {
     std::string text;
-    for (const auto& view : f.w.kv.pools)
+    for (const auto& view : f.sim.kv.pools)
     {
         text += view.document.released.empty() ? "" : " released from " + view.document.pool;
         const bool spare = view.document.pool == "s";
@@ -395,12 +399,12 @@
             text += lost ? " " + it.id + " (" + state + ")" : "";
         }
     }
-    for (const auto& [id, it] : f.w.platform.hosts)
+    for (const auto& [id, it] : f.sim.platform.hosts)
     {
-        const bool lost = find_host(f.w.kv, id) == nullptr && f.forgotten.count(id) == 0;
+        const bool lost = find_host(f.sim.kv, id) == nullptr && f.removed_hosts.count(id) == 0;
         text += lost ? " " + id + " (in no pool)" : "";
     }
-    for (const auto& view : f.w.kv.waves)
+    for (const auto& view : f.sim.kv.waves)
     {
         const bool ended = is_ended(view.document);
         const auto phase = std::string{name_of(model::wave_phase_names, view.document.phase)};
--- a/testing/fleet_sim/src/store.cpp
+++ b/testing/fleet_sim/src/store.cpp
@@ -26,9 +26,9 @@
     }
     ++s.writes;
     ++s.revision;
-    auto& place = it == table.end() ? table.emplace_back() : *it;
-    place = next;
-    place.revision = s.revision;
+    auto& entry = it == table.end() ? table.emplace_back() : *it;
+    entry = next;
+    entry.revision = s.revision;
     if (s.answers_to_lose > 0)
     {
         --s.answers_to_lose;
