--- a/bench/job_placement/src/class_times.cpp
+++ b/bench/job_placement/src/class_times.cpp
@@ -16,9 +16,9 @@
 {
 
 constexpr int hosts = 50;
-constexpr core::millis tick{20}; ///< a write or an order takes about one
-constexpr double urgent_rate = 0.5;
-constexpr double quick_rate = 2;
+constexpr core::millis tick{20};    // about the duration of a write or an order
+constexpr double urgent_rate = 0.5; // jobs per second
+constexpr double quick_rate = 2;    // jobs per second
 
 struct class_times
 {
@@ -49,34 +49,35 @@
     return job.rfind("job-", 0) != 0;
 }
 
-void count_commands(job_fakes::world& w, class_times& made)
+void count_commands(job_fakes::pool_environment& env, class_times& result)
 {
-    w.on_action = [&](const jobs::action& it)
+    env.on_action = [&](const jobs::action& it)
     {
         if (const auto* c = std::get_if<jobs::command_tasks>(&it))
         {
             const auto n = static_cast<std::int64_t>(c->tasks.size());
-            made.throttles += c->what == ports::task_action::throttle ? n : 0;
-            made.checkpoints += c->what == ports::task_action::checkpoint ? n : 0;
+            result.throttles += c->what == ports::task_action::throttle ? n : 0;
+            result.checkpoints += c->what == ports::task_action::checkpoint ? n : 0;
         }
     };
 }
 
-/// Long jobs fill all hosts and wait by the hundred; urgent and quick ones come now and then.
-class_times measure(std::unique_ptr<scheduler> s, const bench_settings& how)
+/// Measures the time from submission to start of urgent and quick jobs, while long jobs fill all
+/// hosts and hundreds of them wait.
+class_times measure(std::unique_ptr<scheduler> s, const bench_settings& settings)
 {
-    class_times made;
-    made.name = s->name();
-    job_fakes::world w = make_world(hosts, 4, false);
-    w.rounds_per_step = 1;
-    count_commands(w, made);
-    workload load{how.seed, {error_model::none, 120, 1800, 12, false}};
-    w.platform.behaviour = [&](const ports::task_order& it)
+    class_times result;
+    result.name = s->name();
+    job_fakes::pool_environment env = make_environment(hosts, 4, false);
+    env.rounds_per_step = 1;
+    count_commands(env, result);
+    workload load{settings.seed, {error_model::none, 120, 1800, 12, false}};
+    env.platform.behaviour = [&](const ports::task_order& it)
     {
         const std::string job = jobs::job_id_of_task(it.task);
         return is_short(job)
                    ? job_fakes::real_task{{it.processors, it.memory_gb, 0}, it.run_time, {}, false}
-                   : load.real_of(job);
+                   : load.real_task_of(job);
     };
     std::vector<jobs::submission> all;
     all.reserve(600);
@@ -84,51 +85,52 @@
     {
         all.push_back(load.next());
     }
-    s->submit(w, all);
+    s->submit(env, all);
     std::map<std::string, core::mono_time> submitted;
     std::size_t seen = 0;
     int n = 0;
-    const core::mono_time from = w.now + core::millis{60000};
-    const core::mono_time until = from + core::millis{how.quick ? 120000 : 600000};
+    const core::mono_time from = env.now + core::millis{60000};
+    const core::mono_time until = from + core::millis{settings.quick ? 120000 : 600000};
     double next_urgent_s = 0;
     double next_quick_s = 0;
-    while (w.now < until + core::millis{60000})
+    while (env.now < until + core::millis{60000})
     {
-        w.now += tick;
-        job_fakes::advance(w.platform, w.now, tick);
-        const double at_s = std::chrono::duration<double>(w.now - from).count();
+        env.now += tick;
+        job_fakes::advance(env.platform, env.now, tick);
+        const double at_s = std::chrono::duration<double>(env.now - from).count();
         const auto arrive = [&](double& next_s, double rate, jobs::job_class klass)
         {
-            while (at_s >= next_s && w.now < until)
+            while (at_s >= next_s && env.now < until)
             {
                 next_s += load.next_gap_s(rate);
                 const jobs::submission job = make_short(load, ++n, klass);
-                submitted[job.id] = w.now;
-                s->submit(w, {job});
+                submitted[job.id] = env.now;
+                s->submit(env, {job});
             }
         };
         arrive(next_urgent_s, urgent_rate, jobs::job_class::urgent);
         arrive(next_quick_s, quick_rate, jobs::job_class::quick);
-        s->step(w);
-        for (; seen < w.platform.starts.size(); ++seen)
+        s->step(env);
+        for (; seen < env.platform.starts.size(); ++seen)
         {
-            const auto it = submitted.find(w.platform.starts[seen].job);
+            const auto it = submitted.find(env.platform.starts[seen].job);
             if (it == submitted.end())
             {
                 continue;
             }
-            const double ms = std::chrono::duration<double, std::milli>(w.now - it->second).count();
-            (it->first[0] == 'u' ? made.urgent_ms : made.quick_ms).push_back(ms);
+            const double ms =
+                std::chrono::duration<double, std::milli>(env.now - it->second).count();
+            (it->first[0] == 'u' ? result.urgent_ms : result.quick_ms).push_back(ms);
             submitted.erase(it);
         }
     }
-    made.never_started = static_cast<int>(submitted.size());
-    return made;
+    result.never_started = static_cast<int>(submitted.size());
+    return result;
 }
 
 } // namespace
 
-nlohmann::json measure_classes(const bench_settings& how)
+nlohmann::json measure_classes(const bench_settings& settings)
 {
     std::printf("\nsubmission to start beside long jobs on full hosts, 50 workers, ms\n"
                 "%-24s %9s %9s %9s %9s %9s %9s %9s %9s\n",
@@ -143,13 +145,13 @@
         "checkp.");
     auto out = nlohmann::json::array();
     double p99 = 0;
-    std::vector<std::unique_ptr<scheduler>> ways;
-    ways.push_back(make_first_fit(false));
-    ways.push_back(make_first_fit(true));
-    ways.push_back(make_rounds(core::mono_time{core::millis{1'000'000}}));
-    for (auto& it : ways)
+    std::vector<std::unique_ptr<scheduler>> schedulers;
+    schedulers.push_back(make_first_fit(false));
+    schedulers.push_back(make_first_fit(true));
+    schedulers.push_back(make_rounds(core::mono_time{core::millis{1'000'000}}));
+    for (auto& it : schedulers)
     {
-        const class_times t = measure(std::move(it), how);
+        const class_times t = measure(std::move(it), settings);
         p99 = quantile(t.urgent_ms, 0.99);
         std::printf("%-24s %9.0f %9.0f %9.0f %9.0f %9.0f %9d %9lld %9lld\n",
             t.name.c_str(),
--- a/bench/job_placement/src/first_fit.cpp
+++ b/bench/job_placement/src/first_fit.cpp
@@ -8,16 +8,17 @@
 namespace
 {
 
-constexpr int most_tries = 5;
+constexpr int max_attempts = 5;
 constexpr core::millis lease{3600000};
 
 struct queued
 {
     jobs::submission job;
-    int tries = 0;
+    int attempts = 0;
 };
 
-/// Knows what it placed and nothing of what is used; a failed job goes to the end of the queue.
+/// Places jobs by declared size on the first host where they fit. The scheduler has no measurements
+/// of actual use. A failed job goes to the end of the queue.
 class first_fit : public scheduler
 {
 public:
@@ -30,7 +31,7 @@
         return skips_ ? "first fit, skipping" : "first fit, first come";
     }
 
-    void submit(job_fakes::world&, const std::vector<jobs::submission>& all) override
+    void submit(job_fakes::pool_environment&, const std::vector<jobs::submission>& all) override
     {
         for (const auto& it : all)
         {
@@ -38,15 +39,15 @@
         }
     }
 
-    void step(job_fakes::world& w) override
+    void step(job_fakes::pool_environment& env) override
     {
-        collect_ended(w);
-        std::deque<queued> left;
+        collect_ended(env);
+        std::deque<queued> remaining;
         while (!queue_.empty())
         {
             queued it = std::move(queue_.front());
             queue_.pop_front();
-            const bool placed = place(w, it);
+            const bool placed = place(env, it);
             if (!placed && !skips_)
             {
                 queue_.push_front(std::move(it));
@@ -54,10 +55,10 @@
             }
             if (!placed)
             {
-                left.push_back(std::move(it));
+                remaining.push_back(std::move(it));
             }
         }
-        queue_ = std::move(left);
+        queue_ = std::move(remaining);
     }
 
     int waiting() const override
@@ -65,15 +66,15 @@
         return static_cast<int>(queue_.size());
     }
 
-    int given_up() const override
+    int abandoned() const override
     {
-        return given_up_;
+        return abandoned_;
     }
 
 private:
-    void collect_ended(job_fakes::world& w)
+    void collect_ended(job_fakes::pool_environment& env)
     {
-        for (auto& host : w.platform.all)
+        for (auto& host : env.platform.all)
         {
             for (auto it = host.second.tasks.begin(); it != host.second.tasks.end();)
             {
@@ -87,7 +88,7 @@
                 used_[host.first] = used_[host.first] - found->second.job.declared;
                 if (it->second.state != ports::task_state::finished)
                 {
-                    try_again(found->second);
+                    retry(found->second);
                 }
                 running_.erase(found);
                 it = host.second.tasks.erase(it);
@@ -95,40 +96,40 @@
         }
     }
 
-    void try_again(queued it)
+    void retry(queued it)
     {
-        it.tries += 1;
-        if (it.tries < most_tries)
+        it.attempts += 1;
+        if (it.attempts < max_attempts)
         {
             queue_.push_back(std::move(it));
         }
         else
         {
-            given_up_ += 1;
+            abandoned_ += 1;
         }
     }
 
-    bool place(job_fakes::world& w, const queued& it)
+    bool place(job_fakes::pool_environment& env, const queued& it)
     {
-        for (const auto& host : w.hosts.hosts)
+        for (const auto& host : env.hosts.hosts)
         {
-            const jobs::resources room{host.processors, host.memory_gb, host.accelerators};
+            const jobs::resources capacity{host.processors, host.memory_gb, host.accelerators};
             jobs::resources& used = used_[host.id];
-            if (!jobs::fits(used + it.job.declared, room))
+            if (!jobs::fits(used + it.job.declared, capacity))
             {
                 continue;
             }
             used = used + it.job.declared;
             ports::task_order order;
             order.host = host.id;
-            order.task = it.job.id + "/1." + std::to_string(it.tries);
+            order.task = it.job.id + "/1." + std::to_string(it.attempts);
             order.processors = it.job.declared.processors;
             order.memory_gb = it.job.declared.memory_gb;
             order.accelerators = it.job.declared.accelerators;
             order.run_time = it.job.run_time;
             order.lease_ttl = lease;
             running_[order.task] = it;
-            job_fakes::start(w.platform, order, w.now);
+            job_fakes::start(env.platform, order, env.now);
             return true;
         }
         return false;
@@ -136,9 +137,9 @@
 
     bool skips_;
     std::deque<queued> queue_;
-    std::map<std::string, queued> running_;       ///< by task
-    std::map<std::string, jobs::resources> used_; ///< by host, as declared
-    int given_up_ = 0;
+    std::map<std::string, queued> running_;       ///< running jobs by task
+    std::map<std::string, jobs::resources> used_; ///< declared sizes of running jobs by host
+    int abandoned_ = 0;
 };
 
 } // namespace
--- a/bench/job_placement/src/main.cpp
+++ b/bench/job_placement/src/main.cpp
@@ -1,6 +1,5 @@
 /// \file
-/// Measures the placement of jobs on virtual time, beside first fit by declared size in the same
-/// run.
+/// Measures the placement of jobs on virtual time, in comparison with first fit by declared size.
 #include "parts.hpp"
 
 #include <cxxopts.hpp>
@@ -38,15 +37,15 @@
         std::cout << options.help();
         return 0;
     }
-    const bench_settings how{parsed["seed"].as<std::uint64_t>(), parsed.count("quick") > 0};
+    const bench_settings settings{parsed["seed"].as<std::uint64_t>(), parsed.count("quick") > 0};
     const std::string part = parsed["part"].as<std::string>();
     nlohmann::json out;
-    out["seed"] = how.seed;
+    out["seed"] = settings.seed;
     const auto run = [&](const char* name, nlohmann::json (*measure)(const bench_settings&))
     {
         if (part.empty() || part == name)
         {
-            out[name] = measure(how);
+            out[name] = measure(settings);
         }
     };
     run("rounds", measure_rounds);
--- a/bench/job_placement/src/parts.hpp
+++ b/bench/job_placement/src/parts.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The parts of the benchmark. Each prints its table and returns its figures.
+/// The parts of the benchmark. Each part prints a table and returns its measurements as JSON.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -9,26 +9,28 @@
 namespace camphorhitch::bench
 {
 
+/// Settings of all parts.
 struct bench_settings
 {
     std::uint64_t seed = 1;
     bool quick = false; ///< shorter runs
 };
 
-/// Time of a placement round, and jobs decided a second.
-nlohmann::json measure_rounds(const bench_settings& how);
+/// Measures the time of a placement round and the number of jobs decided per second.
+nlohmann::json measure_rounds(const bench_settings& settings);
 
-/// Time from submission to start beside long jobs.
-nlohmann::json measure_classes(const bench_settings& how);
+/// Measures the time from submission to start while long jobs fill the hosts.
+nlohmann::json measure_classes(const bench_settings& settings);
 
-/// Use of the hosts and jobs hurt when declared sizes are off.
-nlohmann::json measure_sizes(const bench_settings& how);
+/// Measures the use of the hosts and the number of killed and slowed jobs when declared sizes are
+/// wrong.
+nlohmann::json measure_sizes(const bench_settings& settings);
 
-/// Writes of documents for 1,000 jobs and 1,000 cancellations.
-nlohmann::json measure_writes(const bench_settings& how);
+/// Counts the writes of documents for 1,000 jobs and 1,000 cancellations.
+nlohmann::json measure_writes(const bench_settings& settings);
 
-/// Starts wasted on a worker that fails everything.
-nlohmann::json measure_faults(const bench_settings& how);
+/// Counts the starts that are wasted on a worker that fails every task.
+nlohmann::json measure_faults(const bench_settings& settings);
 
 /// Prints whether a goal was met.
 void print_goal(const char* what, double measured, const char* relation, double goal, bool met);
--- a/bench/job_placement/src/rounds_scheduler.cpp
+++ b/bench/job_placement/src/rounds_scheduler.cpp
@@ -6,9 +6,10 @@
 namespace
 {
 
-/// Reports of all hosts are read this often.
+/// Interval between polls of all hosts' reports.
 constexpr core::millis poll_interval{2000};
 
+/// The product's scheduler: one member that runs decide_round.
 class rounds_scheduler : public scheduler
 {
 public:
@@ -23,19 +24,19 @@
         return "rounds";
     }
 
-    void submit(job_fakes::world& w, const std::vector<jobs::submission>& all) override
+    void submit(job_fakes::pool_environment& env, const std::vector<jobs::submission>& all) override
     {
-        job_fakes::submit(w, all);
+        job_fakes::submit(env, all);
     }
 
-    void step(job_fakes::world& w) override
+    void step(job_fakes::pool_environment& env) override
     {
-        job_fakes::read_changes(member_, w);
-        if (w.now - member_.polled >= poll_interval)
+        job_fakes::read_changes(member_, env);
+        if (env.now - member_.polled >= poll_interval)
         {
-            job_fakes::poll(member_, w);
+            job_fakes::poll(member_, env);
         }
-        job_fakes::step(member_, w);
+        job_fakes::step(member_, env);
     }
 
     int waiting() const override
@@ -43,7 +44,7 @@
         return count(jobs::job_state::waiting);
     }
 
-    int given_up() const override
+    int abandoned() const override
     {
         return count(jobs::job_state::set_aside) + count(jobs::job_state::failed);
     }
--- a/bench/job_placement/src/scheduler.hpp
+++ b/bench/job_placement/src/scheduler.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Two ways to place the same jobs on the same workers: the product's, and the baseline (first fit
-/// by declared size, first come first served).
+/// The schedulers that are compared on the same jobs and workers: the product's, and the baseline
+/// (first fit by declared size, first come first served).
 #pragma once
 
 #include "job_fakes/member.hpp"
@@ -14,26 +14,31 @@
 namespace camphorhitch::bench
 {
 
+/// A scheduler under test.
 class scheduler
 {
 public:
     virtual ~scheduler() = default;
 
     virtual std::string name() const = 0;
-    virtual void submit(job_fakes::world& w, const std::vector<jobs::submission>& all) = 0;
+    virtual void submit(
+        job_fakes::pool_environment& env, const std::vector<jobs::submission>& all) = 0;
 
-    /// One step at the world's time.
-    virtual void step(job_fakes::world& w) = 0;
+    /// Runs one step at the environment's present time.
+    virtual void step(job_fakes::pool_environment& env) = 0;
 
+    /// \return the number of waiting jobs.
     virtual int waiting() const = 0;
 
-    /// Jobs given up after too many failures.
-    virtual int given_up() const = 0;
+    /// \return the number of jobs that were abandoned after too many failures.
+    virtual int abandoned() const = 0;
 };
 
+/// \return the product's scheduler.
 std::unique_ptr<scheduler> make_rounds(core::mono_time now);
 
-/// \param skips whether a job that doesn't fit lets the next ones go first.
+/// \return the baseline. \param skips whether jobs behind a job that doesn't fit may start before
+/// it.
 std::unique_ptr<scheduler> make_first_fit(bool skips);
 
 } // namespace camphorhitch::bench
--- a/bench/job_placement/src/size_errors.cpp
+++ b/bench/job_placement/src/size_errors.cpp
@@ -22,25 +22,25 @@
 
 struct size_result
 {
-    std::string way;
+    std::string scheduler_name;
     std::string errors;
-    double used = 0;   ///< share of all processors in use
-    double useful = 0; ///< share of all processor time that went into jobs that finished
-    double memory = 0; ///< share of all memory in use
+    double used = 0;   ///< mean share of all processors in use
+    double useful = 0; ///< share of all processor time that was used by jobs that finished
+    double memory = 0; ///< mean share of all memory in use
     int finished = 0;
-    int killed = 0; ///< jobs killed because memory was short, at least once
-    int slowed = 0; ///< jobs that processors were short for, at least once
-    int given_up = 0;
+    int killed = 0; ///< jobs that were killed at least once for lack of memory
+    int slowed = 0; ///< jobs that were slowed at least once by a shortage of processors
+    int abandoned = 0;
 };
 
-struct watcher
+struct outcome_counter
 {
     std::set<std::string> finished;
     std::set<std::string> killed;
     std::set<std::string> slowed;
     double useful_s = 0; ///< processor seconds
 
-    void look(const job_fakes::worker_task& t, const std::string& job, core::mono_time from)
+    void record(const job_fakes::worker_task& t, const std::string& job, core::mono_time from)
     {
         const bool ended_before = t.state != ports::task_state::running && t.ended < from;
         if (ended_before)
@@ -63,16 +63,16 @@
     }
 };
 
-jobs::resources used_now(const job_fakes::world& w)
+jobs::resources used_now(const job_fakes::pool_environment& env)
 {
     jobs::resources sum;
-    for (const auto& host : w.platform.all)
+    for (const auto& host : env.platform.all)
     {
         jobs::resources on_host;
         for (const auto& it : host.second.tasks)
         {
             const bool runs = it.second.state == ports::task_state::running;
-            on_host = on_host + (runs ? job_fakes::use_of(it.second) : jobs::resources{});
+            on_host = on_host + (runs ? job_fakes::current_use(it.second) : jobs::resources{});
         }
         on_host.processors = std::min(on_host.processors, host.second.capacity.processors);
         sum = sum + on_host;
@@ -80,34 +80,35 @@
     return sum;
 }
 
-size_result measure(std::unique_ptr<scheduler> s, error_model errors, const bench_settings& how)
+size_result measure(
+    std::unique_ptr<scheduler> s, error_model errors, const bench_settings& settings)
 {
-    size_result made;
-    made.way = s->name();
-    job_fakes::world w = make_world(hosts, 4, false);
-    w.rules.terminal_job_retention = core::millis{120000};
-    workload load{how.seed, {errors, 30, 600, 12, true}};
-    w.platform.behaviour = [&](const ports::task_order& it)
+    size_result result;
+    result.scheduler_name = s->name();
+    job_fakes::pool_environment env = make_environment(hosts, 4, false);
+    env.rules.terminal_job_retention = core::millis{120000};
+    workload load{settings.seed, {errors, 30, 600, 12, true}};
+    env.platform.behaviour = [&](const ports::task_order& it)
     {
-        return load.real_of(jobs::job_id_of_task(it.task));
+        return load.real_task_of(jobs::job_id_of_task(it.task));
     };
-    const core::mono_time from = w.now + warm_up;
-    const core::mono_time until = from + core::millis{how.quick ? 1800000 : 7200000};
-    const jobs::resources capacity = capacity_of(w);
+    const core::mono_time from = env.now + warm_up;
+    const core::mono_time until = from + core::millis{settings.quick ? 1800000 : 7200000};
+    const jobs::resources capacity = capacity_of(env);
     jobs::resources sum;
     double steps = 0;
-    watcher seen;
-    while (w.now < until)
+    outcome_counter seen;
+    while (env.now < until)
     {
-        w.now += tick;
-        job_fakes::advance(w.platform, w.now, tick);
-        for (const auto& host : w.platform.all)
+        env.now += tick;
+        job_fakes::advance(env.platform, env.now, tick);
+        for (const auto& host : env.platform.all)
         {
             for (const auto& it : host.second.tasks)
             {
-                if (w.now >= from)
+                if (env.now >= from)
                 {
-                    seen.look(it.second, jobs::job_id_of_task(it.first), from);
+                    seen.record(it.second, jobs::job_id_of_task(it.first), from);
                 }
             }
         }
@@ -118,24 +119,24 @@
             {
                 more.push_back(load.next());
             }
-            s->submit(w, more);
+            s->submit(env, more);
         }
-        s->step(w);
-        if (w.now >= from)
+        s->step(env);
+        if (env.now >= from)
         {
-            sum = sum + used_now(w);
+            sum = sum + used_now(env);
             steps += 1;
         }
     }
     const double seconds = steps * std::chrono::duration<double>(tick).count();
-    made.used = sum.processors / steps / capacity.processors;
-    made.memory = sum.memory_gb / steps / capacity.memory_gb;
-    made.useful = seen.useful_s / (capacity.processors * seconds);
-    made.finished = static_cast<int>(seen.finished.size());
-    made.killed = static_cast<int>(seen.killed.size());
-    made.slowed = static_cast<int>(seen.slowed.size());
-    made.given_up = s->given_up();
-    return made;
+    result.used = sum.processors / steps / capacity.processors;
+    result.memory = sum.memory_gb / steps / capacity.memory_gb;
+    result.useful = seen.useful_s / (capacity.processors * seconds);
+    result.finished = static_cast<int>(seen.finished.size());
+    result.killed = static_cast<int>(seen.killed.size());
+    result.slowed = static_cast<int>(seen.slowed.size());
+    result.abandoned = s->abandoned();
+    return result;
 }
 
 void print(const size_result& it)
@@ -143,19 +144,19 @@
     const double thousands = it.finished / 1000.0;
     std::printf("%-8s %-24s %8.1f%% %8.1f%% %8.1f%% %9d %9.1f %9.1f %9d\n",
         it.errors.c_str(),
-        it.way.c_str(),
+        it.scheduler_name.c_str(),
         it.used * 100,
         it.useful * 100,
         it.memory * 100,
         it.finished,
         it.killed / thousands,
         it.slowed / thousands,
-        it.given_up);
+        it.abandoned);
 }
 
 nlohmann::json to_json(const size_result& it)
 {
-    return {{"way", it.way},
+    return {{"way", it.scheduler_name},
         {"errors", it.errors},
         {"processors_used", it.used},
         {"useful", it.useful},
@@ -163,17 +164,17 @@
         {"finished", it.finished},
         {"killed_for_memory", it.killed},
         {"slowed", it.slowed},
-        {"given_up", it.given_up}};
+        {"given_up", it.abandoned}};
 }
 
-double hurt_per_thousand(const size_result& it)
+double affected_per_thousand(const size_result& it)
 {
     return 1000.0 * (it.killed + it.slowed) / it.finished;
 }
 
 } // namespace
 
-nlohmann::json measure_sizes(const bench_settings& how)
+nlohmann::json measure_sizes(const bench_settings& settings)
 {
     std::printf("\ndeclared sizes off by 0.3x to 3x, 50 workers, always 400 jobs waiting; killed "
                 "and slowed "
@@ -193,25 +194,28 @@
     for (const auto& model : models)
     {
         std::vector<size_result> results;
-        std::vector<std::unique_ptr<scheduler>> ways;
-        ways.push_back(make_first_fit(false));
-        ways.push_back(make_first_fit(true));
-        ways.push_back(make_rounds(core::mono_time{core::millis{1'000'000}}));
-        for (auto& it : ways)
+        std::vector<std::unique_ptr<scheduler>> schedulers;
+        schedulers.push_back(make_first_fit(false));
+        schedulers.push_back(make_first_fit(true));
+        schedulers.push_back(make_rounds(core::mono_time{core::millis{1'000'000}}));
+        for (auto& it : schedulers)
         {
-            results.push_back(measure(std::move(it), model.first, how));
+            results.push_back(measure(std::move(it), model.first, settings));
             results.back().errors = model.second;
             print(results.back());
             out.push_back(to_json(results.back()));
         }
         const size_result& base = results.front();
-        const size_result& ours = results.back();
-        const double ratio = ours.useful / base.useful;
+        const size_result& rounds_result = results.back();
+        const double ratio = rounds_result.useful / base.useful;
         print_goal("useful processor time over baseline's", ratio, ">=", 1.25, ratio >= 1.25);
-        const double hurt = hurt_per_thousand(ours);
-        const double base_hurt = hurt_per_thousand(base);
-        print_goal(
-            "jobs hurt per 1000, against baseline's", hurt, "<=", base_hurt, hurt <= base_hurt);
+        const double affected = affected_per_thousand(rounds_result);
+        const double base_affected = affected_per_thousand(base);
+        print_goal("jobs hurt per 1000, against baseline's",
+            affected,
+            "<=",
+            base_affected,
+            affected <= base_affected);
     }
     return out;
 }
--- a/bench/job_placement/src/workload.cpp
+++ b/bench/job_placement/src/workload.cpp
@@ -13,13 +13,14 @@
 namespace
 {
 
-constexpr double smallest_factor = 0.3;
-constexpr double largest_factor = 3.0;
+constexpr double min_factor = 0.3;
+constexpr double max_factor = 3.0;
 
-/// Share of the error's range, as a power, that a job has beside its kind.
-constexpr double own_error = 0.25;
+/// Exponent that narrows the range of the error factor for the part of a job's error that is
+/// independent of its kind.
+constexpr double job_error_share = 0.25;
 
-constexpr double plenty = 1e9;
+constexpr double unlimited_quota = 1e9;
 
 struct size_share
 {
@@ -32,11 +33,12 @@
 
 } // namespace
 
-workload::workload(std::uint64_t seed, const workload_settings& how) : random_(seed), how_(how)
+workload::workload(std::uint64_t seed, const workload_settings& settings)
+    : random_(seed), settings_(settings)
 {
-    for (int i = 0; i < how_.kinds; ++i)
+    for (int i = 0; i < settings_.kinds; ++i)
     {
-        kind_factors_.push_back(log_uniform(smallest_factor, largest_factor));
+        kind_factors_.push_back(log_uniform(min_factor, max_factor));
     }
 }
 
@@ -57,10 +59,10 @@
 
 jobs::submission workload::next()
 {
-    made_ += 1;
+    job_count_ += 1;
     jobs::submission s;
-    const int kind = static_cast<int>(uniform(0, how_.kinds));
-    s.id = "job-" + std::to_string(made_);
+    const int kind = static_cast<int>(uniform(0, settings_.kinds));
+    s.id = "job-" + std::to_string(job_count_);
     s.team = kind % 2 == 0 ? "lens" : "trips";
     s.kind = "kind-" + std::to_string(kind);
     const double share = uniform(0, 1);
@@ -70,29 +72,29 @@
             return share < it.up_to;
         })->processors;
     s.declared.memory_gb = std::round(s.declared.processors * uniform(2, 4));
-    s.run_time = core::millis{
-        static_cast<std::int64_t>(1000 * log_uniform(how_.shortest_s, how_.longest_s))};
-    s.klass = how_.fixed_class ? jobs::job_class::normal : jobs::job_class::long_running;
+    s.run_time = core::millis{static_cast<std::int64_t>(
+        1000 * log_uniform(settings_.min_run_time_s, settings_.max_run_time_s))};
+    s.klass = settings_.fixed_class ? jobs::job_class::normal : jobs::job_class::long_running;
     s.idempotent = true;
     s.payload = "run";
 
     const auto factor = [&]
     {
-        if (how_.errors == error_model::none)
+        if (settings_.errors == error_model::none)
         {
             return 1.0;
         }
-        if (how_.errors == error_model::by_job)
+        if (settings_.errors == error_model::by_job)
         {
-            return log_uniform(smallest_factor, largest_factor);
+            return log_uniform(min_factor, max_factor);
         }
-        const double own =
-            log_uniform(std::pow(smallest_factor, own_error), std::pow(largest_factor, own_error));
+        const double own = log_uniform(
+            std::pow(min_factor, job_error_share), std::pow(max_factor, job_error_share));
         return std::clamp(
-            kind_factors_[static_cast<std::size_t>(kind)] * own, smallest_factor, largest_factor);
+            kind_factors_[static_cast<std::size_t>(kind)] * own, min_factor, max_factor);
     };
     job_fakes::real_task real;
-    // A task can't use more than a whole host: a larger one runs on what there is.
+    // A task uses a whole host at most.
     real.size.processors = std::min(32.0, s.declared.processors * factor());
     real.size.memory_gb = std::min(120.0, s.declared.memory_gb * factor());
     real.run_time =
@@ -102,15 +104,15 @@
     return s;
 }
 
-job_fakes::real_task workload::real_of(const std::string& job) const
+job_fakes::real_task workload::real_task_of(const std::string& job) const
 {
     return real_.at(job);
 }
 
-job_fakes::world make_world(int hosts, int zones, bool accelerators)
+job_fakes::pool_environment make_environment(int hosts, int zones, bool accelerators)
 {
-    job_fakes::world w;
-    w.hosts.pool = "bench";
+    job_fakes::pool_environment env;
+    env.hosts.pool = "bench";
     for (int i = 0; i < hosts; ++i)
     {
         model::host_record h;
@@ -118,18 +120,19 @@
         h.zone = "z" + std::to_string(i % zones);
         h.rack = "r" + std::to_string(i / zones / 4);
         h.accelerators = accelerators && i % 5 == 0 ? 4 : 0;
-        w.platform.all[h.id] = {
+        env.platform.all[h.id] = {
             h.id, {h.processors, h.memory_gb, h.accelerators}, false, true, {}, {}, {}};
-        w.hosts.hosts.push_back(std::move(h));
+        env.hosts.hosts.push_back(std::move(h));
     }
-    w.teams = {{"lens", plenty, plenty, 1000000}, {"trips", plenty, plenty, 1000000}};
-    return w;
+    env.teams = {{"lens", unlimited_quota, unlimited_quota, 1000000},
+        {"trips", unlimited_quota, unlimited_quota, 1000000}};
+    return env;
 }
 
-jobs::resources capacity_of(const job_fakes::world& w)
+jobs::resources capacity_of(const job_fakes::pool_environment& env)
 {
     jobs::resources sum;
-    for (const auto& it : w.platform.all)
+    for (const auto& it : env.platform.all)
     {
         sum = sum + it.second.capacity;
     }
--- a/bench/job_placement/src/write_counts.cpp
+++ b/bench/job_placement/src/write_counts.cpp
@@ -18,18 +18,18 @@
 
 struct write_counter
 {
-    job_fakes::world w = make_world(hosts, 4, false);
+    job_fakes::pool_environment env = make_environment(hosts, 4, false);
     workload load;
-    job_fakes::member m = job_fakes::make_member("bench", 1, "e1", w.now);
+    job_fakes::member m = job_fakes::make_member("bench", 1, "e1", env.now);
 
     explicit write_counter(std::uint64_t seed) : load(seed, {error_model::none, 5, 30, 12, true})
     {
-        m.jobs.predecessor_stopped_at = w.now;
-        w.platform.behaviour = [this](const ports::task_order& it)
+        m.jobs.predecessor_stopped_at = env.now;
+        env.platform.behaviour = [this](const ports::task_order& it)
         {
-            return load.real_of(jobs::job_id_of_task(it.task));
+            return load.real_task_of(jobs::job_id_of_task(it.task));
         };
-        w.kv.on_stored = [this](const jobs::job_document& d)
+        env.kv.on_stored = [this](const jobs::job_document& d)
         {
             bytes += static_cast<std::int64_t>(jobs::encode(d).size());
         };
@@ -37,21 +37,21 @@
 
     std::int64_t bytes = 0;
 
-    void pass()
+    void advance_step()
     {
-        w.now += tick;
-        job_fakes::advance(w.platform, w.now, tick);
-        job_fakes::read_changes(m, w);
-        if (w.now - m.polled >= poll_interval)
+        env.now += tick;
+        job_fakes::advance(env.platform, env.now, tick);
+        job_fakes::read_changes(m, env);
+        if (env.now - m.polled >= poll_interval)
         {
-            job_fakes::poll(m, w);
+            job_fakes::poll(m, env);
         }
-        job_fakes::step(m, w);
+        job_fakes::step(m, env);
     }
 
-    bool all_over() const
+    bool all_ended() const
     {
-        for (const auto& b : w.kv.entries)
+        for (const auto& b : env.kv.entries)
         {
             for (const auto& it : b.document.jobs)
             {
@@ -72,15 +72,16 @@
     std::int64_t bytes = 0;
 };
 
-/// Submission to end of 1,000 jobs, by bursts of \p burst with \p gap between them.
+/// Counts the writes from submission to end of 1,000 jobs, submitted in bursts of \p burst jobs
+/// with \p gap between them.
 write_result count_jobs(const std::string& what, int burst, core::millis gap, std::uint64_t seed)
 {
     write_counter c{seed};
-    core::mono_time next = c.w.now;
-    int left = 1000;
-    while (left > 0 || !c.all_over())
+    core::mono_time next = c.env.now;
+    int remaining = 1000;
+    while (remaining > 0 || !c.all_ended())
     {
-        if (left > 0 && c.w.now >= next)
+        if (remaining > 0 && c.env.now >= next)
         {
             std::vector<jobs::submission> all;
             all.reserve(static_cast<std::size_t>(burst));
@@ -88,16 +89,17 @@
             {
                 all.push_back(c.load.next());
             }
-            job_fakes::submit(c.w, all);
-            left -= burst;
+            job_fakes::submit(c.env, all);
+            remaining -= burst;
             next += gap;
         }
-        c.pass();
+        c.advance_step();
     }
-    return {what, c.w.kv.writes, c.bytes};
+    return {what, c.env.kv.writes, c.bytes};
 }
 
-/// 1,000 jobs in one burst of cancellations, while they wait and run.
+/// Counts the writes for one burst of 1,000 cancellations, while some of the jobs wait and some
+/// run.
 write_result count_cancellations(std::uint64_t seed)
 {
     write_counter c{seed};
@@ -109,30 +111,30 @@
         all.back().run_time = core::millis{600000};
         ids.push_back(all.back().id);
     }
-    job_fakes::submit(c.w, all);
+    job_fakes::submit(c.env, all);
     for (int i = 0; i < 45; ++i)
     {
-        c.pass();
+        c.advance_step();
     }
-    const std::int64_t writes = c.w.kv.writes;
+    const std::int64_t writes = c.env.kv.writes;
     const std::int64_t bytes = c.bytes;
-    job_fakes::cancel(c.w, ids);
+    job_fakes::cancel(c.env, ids);
     for (int i = 0; i < 300; ++i)
     {
-        c.pass();
+        c.advance_step();
     }
-    return {"1000 cancellations in a burst", c.w.kv.writes - writes, c.bytes - bytes};
+    return {"1000 cancellations in a burst", c.env.kv.writes - writes, c.bytes - bytes};
 }
 
 } // namespace
 
-nlohmann::json measure_writes(const bench_settings& how)
+nlohmann::json measure_writes(const bench_settings& settings)
 {
     const std::vector<write_result> results{
-        count_jobs("1000 jobs in one burst", 1000, core::millis{1000}, how.seed),
-        count_jobs("1000 jobs, 10 each second", 10, core::millis{1000}, how.seed),
-        count_jobs("1000 jobs, 1 each second", 1, core::millis{1000}, how.seed),
-        count_cancellations(how.seed),
+        count_jobs("1000 jobs in one burst", 1000, core::millis{1000}, settings.seed),
+        count_jobs("1000 jobs, 10 each second", 10, core::millis{1000}, settings.seed),
+        count_jobs("1000 jobs, 1 each second", 1, core::millis{1000}, settings.seed),
+        count_cancellations(settings.seed),
     };
     std::printf("\nwrites of documents, submission and end included\n%-34s %8s %12s\n",
         "",
--- a/bench/placement_days/src/main.cpp
+++ b/bench/placement_days/src/main.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Compares policies of placement over many days on virtual time.
+/// Compares placement policies over many days on virtual time.
 #include "day_sim/day.hpp"
 
 #include <cxxopts.hpp>
@@ -19,21 +19,22 @@
 
 constexpr int full_days = 40;
 constexpr int quick_days = 2;
-/// A large fleet's day takes as long as many of a small one's.
-constexpr int days_for_a_large_one = 20;
+/// Days of a small fleet per day of a large one; a day of a large fleet takes much longer to
+/// simulate.
+constexpr int small_days_per_large_day = 20;
 constexpr int large_fleet = 100; // hosts
 
-/// One figure of every day, in the order of the seeds.
+/// One measurement for each day, in the order of the seeds.
 using by_day = std::vector<double>;
 
 struct row
 {
     std::string fleet;
     std::string policy;
-    by_day in_time;    ///< share of the day's jobs
-    by_day host_share; ///< of the day that hosts spent in pools
+    by_day in_time;    ///< share of the jobs completed within their objective
+    by_day host_share; ///< share of all host time that hosts spent in pools
     by_day moves;
-    double longest_plan_ms = 0;
+    double max_plan_ms = 0;
 };
 
 double mean(const by_day& all)
@@ -46,7 +47,7 @@
     return all.empty() ? 0 : sum / static_cast<double>(all.size());
 }
 
-/// Mean and standard error of the differences over the same days.
+/// \return mean and standard error of the differences over the same days.
 std::pair<double, double> difference(const by_day& a, const by_day& b)
 {
     by_day d;
@@ -105,7 +106,7 @@
 {
     std::vector<named_shape> all{
         {"48 hosts", {}}, {"48 hosts, 20 crashes", {}}, {"48 hosts, short", {}}};
-    all[1].shape.crashes_a_day = 20;
+    all[1].shape.crashes_per_day = 20;
     all[2].shape.busy_cores = 1300;
     named_shape large{"349 hosts", {}};
     large.shape.hosts = 349;
@@ -115,18 +116,18 @@
     return all;
 }
 
-row play(const named_shape& fleet, const day_policy& policy, int days)
+row run_days(const named_shape& fleet, const day_policy& policy, int days)
 {
     row out{fleet.name, policy.name, {}, {}, {}, 0};
-    const auto played = fleet.shape.length + fleet.shape.rest;
-    const double all_seconds = fleet.shape.hosts * std::chrono::duration<double>(played).count();
+    const auto simulated = fleet.shape.length + fleet.shape.drain_time;
+    const double all_seconds = fleet.shape.hosts * std::chrono::duration<double>(simulated).count();
     for (int i = 1; i <= days; ++i)
     {
-        const auto r = play_day(fleet.shape, policy, static_cast<std::uint64_t>(i));
+        const auto r = simulate_day(fleet.shape, policy, static_cast<std::uint64_t>(i));
         out.in_time.push_back(static_cast<double>(r.in_time) / std::max(r.jobs, 1));
         out.host_share.push_back(r.host_seconds / all_seconds);
         out.moves.push_back(r.moves);
-        out.longest_plan_ms = std::max(out.longest_plan_ms, r.longest_plan_ms);
+        out.max_plan_ms = std::max(out.max_plan_ms, r.max_plan_ms);
     }
     return out;
 }
@@ -142,7 +143,7 @@
         error,
         mean(r.host_share),
         mean(r.moves),
-        r.longest_plan_ms);
+        r.max_plan_ms);
     return {{"fleet", r.fleet},
         {"policy", r.policy},
         {"days", r.in_time.size()},
@@ -151,7 +152,7 @@
         {"standard_error", error},
         {"host_share", mean(r.host_share)},
         {"moves", mean(r.moves)},
-        {"longest_plan_ms", r.longest_plan_ms}};
+        {"longest_plan_ms", r.max_plan_ms}};
 }
 
 } // namespace
@@ -195,8 +196,8 @@
             for (const auto& it : policies())
             {
                 const bool large = fleet.shape.hosts > large_fleet;
-                const int n = large ? std::max(days / days_for_a_large_one, 1) : days;
-                auto r = play(fleet, it, n);
+                const int n = large ? std::max(days / small_days_per_large_day, 1) : days;
+                auto r = run_days(fleet, it, n);
                 base = base.policy.empty() ? r : base;
                 out.push_back(print(r, base));
             }
--- a/libs/jobs/tests/codec_tests.cpp
+++ b/libs/jobs/tests/codec_tests.cpp
@@ -118,7 +118,7 @@
 // would be refused for its size, and with it the changes of all other jobs of the document.
 TEST(codec, an_accepted_job_never_outgrows_its_document)
 {
-    job_fakes::world w = jobs_test::make_world(8);
+    job_fakes::pool_environment w = jobs_test::make_environment(8);
     w.rules.max_document_bytes = 20000;
     std::vector<submission> all;
     for (int i = 0; i < 1000; ++i)
--- a/libs/jobs/tests/fault_tests.cpp
+++ b/libs/jobs/tests/fault_tests.cpp
@@ -10,7 +10,7 @@
 
 TEST_GROUP(faults)
 {
-    job_fakes::world w = make_world(6);
+    job_fakes::pool_environment w = make_environment(6);
     member m = make_member("quotes", 1, "e1", w.now);
 
     void submit(int count, const std::string& prefix, const std::string& kind)
--- a/libs/jobs/tests/fixture.hpp
+++ b/libs/jobs/tests/fixture.hpp
@@ -14,9 +14,9 @@
 inline constexpr core::millis poll_interval{1000};
 
 /// Hosts w0, w1, ... with 8 processors and 32 GB in two zones, two hosts to a rack.
-inline job_fakes::world make_world(int hosts)
+inline job_fakes::pool_environment make_environment(int hosts)
 {
-    job_fakes::world w;
+    job_fakes::pool_environment w;
     w.hosts.pool = "quotes";
     for (int i = 0; i < hosts; ++i)
     {
@@ -54,8 +54,10 @@
 }
 
 /// Advances the time while the member runs its rounds.
-inline void pass_time(
-    job_fakes::member& m, job_fakes::world& w, core::millis time, core::millis every = tick)
+inline void pass_time(job_fakes::member& m,
+    job_fakes::pool_environment& w,
+    core::millis time,
+    core::millis every = tick)
 {
     const core::mono_time until = w.now + time;
     while (w.now < until)
@@ -71,19 +73,19 @@
     }
 }
 
-inline std::string state_of(const job_fakes::world& w, const std::string& id)
+inline std::string state_of(const job_fakes::pool_environment& w, const std::string& id)
 {
     const jobs::job* j = job_fakes::stored_job(w, id);
     return j == nullptr ? "missing" : std::string{core::name_of(jobs::job_state_names, j->state)};
 }
 
-inline std::string host_of(const job_fakes::world& w, const std::string& id)
+inline std::string host_of(const job_fakes::pool_environment& w, const std::string& id)
 {
     const jobs::job* j = job_fakes::stored_job(w, id);
     return j == nullptr ? "" : j->host;
 }
 
-inline int starts_of(const job_fakes::world& w, const std::string& id)
+inline int starts_of(const job_fakes::pool_environment& w, const std::string& id)
 {
     int n = 0;
     for (const auto& it : w.platform.starts)
--- a/libs/jobs/tests/order_tests.cpp
+++ b/libs/jobs/tests/order_tests.cpp
@@ -10,7 +10,7 @@
 
 TEST_GROUP(order)
 {
-    job_fakes::world w = make_world(4);
+    job_fakes::pool_environment w = make_environment(4);
     member m = make_member("quotes", 1, "e1", w.now);
 
     void submit(const submission& s)
@@ -64,7 +64,7 @@
     };
     for (const auto& it : rows)
     {
-        w = make_world(2);
+        w = make_environment(2);
         m = make_member("quotes", 1, "e1", w.now);
         w.platform.behaviour = [&](const ports::task_order& order)
         {
@@ -99,7 +99,7 @@
 // the task, the capacity that the urgent job needs is not free, whatever the record states.
 TEST(order, capacity_counts_only_after_the_worker_has_throttled)
 {
-    w = make_world(1);
+    w = make_environment(1);
     m = make_member("quotes", 1, "e1", w.now);
     fill(job_class::long_running, true);
     w.command_lost = [](const command_tasks& it)
@@ -179,7 +179,7 @@
     quota_document& d = w.quotas["lens"];
     quota_request other{"lens", "other", {1, "x"}, {}, {12, 12, 0}};
     const resources quota{12, 4000, 10};
-    w.wishes_unanswered = true; // stored, but the answer is lost
+    w.quota_requests_unanswered = true; // stored, but the answer is lost
     pass_time(m, w, core::millis{20000});
     adjust_grant(d, other, quota);
     const double left = find_grant(d, other)->processors;
@@ -187,7 +187,7 @@
     submit(make_submission("j3", 8));
     pass_time(m, w, core::millis{3000});
     CHECK_EQUAL(0, starts_of(w, "j3"));
-    w.wishes_unanswered = false;
+    w.quota_requests_unanswered = false;
     adjust_grant(d, {"lens", "other", {1, "x"}, {}, {}}, quota);
     pass_time(m, w, core::millis{10000});
     CHECK_EQUAL(1, starts_of(w, "j3"));
--- a/libs/jobs/tests/pool_simulation.cpp
+++ b/libs/jobs/tests/pool_simulation.cpp
@@ -45,13 +45,13 @@
 
 } // namespace
 
-pool_simulation::pool_simulation() : world_(make_world(hosts))
+pool_simulation::pool_simulation() : environment_(make_environment(hosts))
 {
-    world_.rules.measurement_trust_delay =
+    environment_.rules.measurement_trust_delay =
         core::millis{1'000'000'000}; // so that the reserved sizes are counted
-    world_.teams = {{"lens", 12, 1000, 0}, {"trips", 14, 1000, 0}};
-    world_.platform.behaviour = actual_behaviour;
-    world_.kv.next_fault = [this]
+    environment_.teams = {{"lens", 12, 1000, 0}, {"trips", 14, 1000, 0}};
+    environment_.platform.behaviour = actual_behaviour;
+    environment_.kv.next_fault = [this]
     {
         if (write_faults_left_ <= 0)
         {
@@ -61,30 +61,30 @@
         write_fault_seed_ = write_fault_seed_ * 1664525 + 1013904223;
         return static_cast<job_fakes::write_fault>(write_fault_seed_ / 65536 % 4);
     };
-    world_.command_lost = [this](const jobs::command_tasks&)
+    environment_.command_lost = [this](const jobs::command_tasks&)
     {
         return lost_commands_left_-- > 0;
     };
-    world_.order_fault = [this](const ports::task_order& it)
+    environment_.order_fault = [this](const ports::task_order& it)
     {
         return send_order(it);
     };
-    owners_.push_back(job_fakes::make_member("quotes", epoch_, "e1", world_.now));
-    owners_.back().jobs.predecessor_stopped_at = world_.now;
+    owners_.push_back(job_fakes::make_member("quotes", epoch_, "e1", environment_.now));
+    owners_.back().jobs.predecessor_stopped_at = environment_.now;
 }
 
 ports::platform_status pool_simulation::send_order(const ports::task_order& it)
 {
     if (order_faults_left_ <= 0)
     {
-        return job_fakes::start(world_.platform, it, world_.now);
+        return job_fakes::start(environment_.platform, it, environment_.now);
     }
     order_faults_left_ -= 1;
     order_fault_seed_ = order_fault_seed_ * 1664525 + 1013904223;
     switch (order_fault_seed_ / 65536 % 3)
     {
     case 0: // the answer is lost
-        job_fakes::start(world_.platform, it, world_.now);
+        job_fakes::start(environment_.platform, it, environment_.now);
         return ports::platform_status::unknown;
     case 1: // the order is lost
         return ports::platform_status::unknown;
@@ -95,32 +95,33 @@
 
 job_fakes::worker& pool_simulation::random_worker(std::uint32_t random)
 {
-    return world_.platform.all.at("w" + std::to_string(random % hosts));
+    return environment_.platform.all.at("w" + std::to_string(random % hosts));
 }
 
 void pool_simulation::run_member(job_fakes::member& m)
 {
-    job_fakes::read_changes(m, world_);
-    if (world_.now - m.polled >= poll_interval)
+    job_fakes::read_changes(m, environment_);
+    if (environment_.now - m.polled >= poll_interval)
     {
-        job_fakes::poll(m, world_);
+        job_fakes::poll(m, environment_);
     }
-    job_fakes::step(m, world_);
+    job_fakes::step(m, environment_);
 }
 
 void pool_simulation::advance_time(core::millis time)
 {
-    const core::mono_time until = world_.now + time;
-    while (world_.now < until)
+    const core::mono_time until = environment_.now + time;
+    while (environment_.now < until)
     {
-        world_.now += step_time;
-        job_fakes::advance(world_.platform, world_.now, step_time);
+        environment_.now += step_time;
+        job_fakes::advance(environment_.platform, environment_.now, step_time);
         run_member(owners_.back());
         // Some late writes take effect between two rounds.
-        const auto n = static_cast<std::size_t>(world_.now.time_since_epoch().count() / 500000);
-        if (!world_.kv.late.empty() && n % 3 == 0)
+        const auto n =
+            static_cast<std::size_t>(environment_.now.time_since_epoch().count() / 500000);
+        if (!environment_.kv.late.empty() && n % 3 == 0)
         {
-            job_fakes::arrive(world_.kv, n % world_.kv.late.size());
+            job_fakes::deliver_late_write(environment_.kv, n % environment_.kv.late.size());
         }
     }
 }
@@ -133,7 +134,7 @@
         random = random * 1664525 + 1013904223;
         all.push_back(any_submission(++submitted_, random / 256));
     }
-    const auto outcomes = job_fakes::submit(world_, all);
+    const auto outcomes = job_fakes::submit(environment_, all);
     for (std::size_t i = 0; i < all.size(); ++i)
     {
         if (outcomes[i] && std::holds_alternative<jobs::accepted>(*outcomes[i]))
@@ -152,7 +153,7 @@
         ids.push_back(
             "j" + std::to_string(1 + random / 256 % static_cast<std::uint32_t>(submitted_)));
     }
-    job_fakes::cancel(world_, ids);
+    job_fakes::cancel(environment_, ids);
 }
 
 void pool_simulation::apply(const event& e)
@@ -167,8 +168,8 @@
         epoch_ += 1;
         write_faults_left_ = static_cast<int>(n % 64); // the tokens are stored at different times
         write_fault_seed_ = n;
-        owners_.push_back(
-            job_fakes::make_member("quotes", epoch_, "e" + std::to_string(epoch_), world_.now));
+        owners_.push_back(job_fakes::make_member(
+            "quotes", epoch_, "e" + std::to_string(epoch_), environment_.now));
         break;
     case event_kind::wake_old_owner:
         if (owners_.size() > 1)
@@ -176,14 +177,14 @@
             // The former owner sends its orders although it is not fresh. Other commands are
             // prevented by the check of freshness.
             auto it = std::next(owners_.begin(), n % (owners_.size() - 1));
-            job_fakes::read_changes_but_marks(*it, world_);
-            job_fakes::poll(*it, world_);
-            job_fakes::step_starts_only(*it, world_);
+            job_fakes::read_changes_except_newer_owner(*it, environment_);
+            job_fakes::poll(*it, environment_);
+            job_fakes::step_starts_only(*it, environment_);
         }
         break;
     case event_kind::predecessor_gone:
         owners_.erase(owners_.begin(), std::prev(owners_.end()));
-        owners_.back().jobs.predecessor_stopped_at = world_.now;
+        owners_.back().jobs.predecessor_stopped_at = environment_.now;
         break;
     case event_kind::fault_writes:
         write_faults_left_ = 1 + n % 8;
@@ -201,7 +202,7 @@
         if (!accepted_.empty())
         {
             const auto it = std::next(accepted_.begin(), n % accepted_.size());
-            const auto outcome = job_fakes::submit(world_, {it->second}).front();
+            const auto outcome = job_fakes::submit(environment_, {it->second}).front();
             const auto* again = outcome ? std::get_if<jobs::accepted>(&*outcome) : nullptr;
             expect(
                 !outcome || (again != nullptr && again->is_repeat), "a repeat became another job");
@@ -214,7 +215,7 @@
         random_worker(n).reachable = !random_worker(n).reachable;
         break;
     case event_kind::pause_worker:
-        random_worker(n).paused_until = world_.now + core::millis{n % 90000};
+        random_worker(n).paused_until = environment_.now + core::millis{n % 90000};
         break;
     case event_kind::reboot_worker:
         job_fakes::reboot(random_worker(n));
@@ -224,22 +225,22 @@
         break;
     case event_kind::drain_host:
     {
-        auto& state = world_.hosts.hosts[n % hosts].state;
+        auto& state = environment_.hosts.hosts[n % hosts].state;
         state = state == model::host_state::serving ? model::host_state::draining
                                                     : model::host_state::serving;
         break;
     }
     case event_kind::late_write_arrives:
-        if (!world_.kv.late.empty())
+        if (!environment_.kv.late.empty())
         {
-            job_fakes::arrive(world_.kv, n % world_.kv.late.size());
+            job_fakes::deliver_late_write(environment_.kv, n % environment_.kv.late.size());
         }
         break;
     case event_kind::announce_drain:
-        world_.leaving_in["w" + std::to_string(n % hosts)] = core::millis{n % 60000};
+        environment_.leaving_in["w" + std::to_string(n % hosts)] = core::millis{n % 60000};
         if (n % 3 == 0)
         {
-            world_.leaving_in.clear();
+            environment_.leaving_in.clear();
         }
         break;
     }
@@ -256,7 +257,7 @@
 void pool_simulation::check_starts() const
 {
     std::map<std::string, int> starts;
-    for (const auto& it : world_.platform.starts)
+    for (const auto& it : environment_.platform.starts)
     {
         starts[it.job] += 1;
         const auto job = accepted_.find(it.job);
@@ -269,7 +270,7 @@
 {
     for (const auto& it : accepted_)
     {
-        expect(job_fakes::stored_job(world_, it.first) != nullptr,
+        expect(job_fakes::stored_job(environment_, it.first) != nullptr,
             "an accepted job was lost: " + it.first);
     }
 }
@@ -280,7 +281,7 @@
 /// Calls \p fn for each task that runs under a valid lease. A task whose lease has expired on a
 /// paused worker may run beside others, which can't be prevented.
 template <class Fn>
-void for_each_leased_task(const job_fakes::world& w, Fn fn)
+void for_each_leased_task(const job_fakes::pool_environment& w, Fn fn)
 {
     for (const auto& host : w.platform.all)
     {
@@ -302,13 +303,14 @@
 void pool_simulation::check_quotas() const
 {
     std::map<std::string, jobs::resources> use;
-    for_each_leased_task(world_,
+    for_each_leased_task(environment_,
         [&](const job_fakes::worker&, const job_fakes::worker_task& t)
         {
-            const jobs::job* j = job_fakes::stored_job(world_, jobs::job_id_of_task(t.order.task));
+            const jobs::job* j =
+                job_fakes::stored_job(environment_, jobs::job_id_of_task(t.order.task));
             use[j->team] = use[j->team] + j->declared;
         });
-    for (const auto& it : world_.teams)
+    for (const auto& it : environment_.teams)
     {
         const jobs::resources quota{it.processors, it.memory_gb, it.accelerators};
         expect(jobs::fits(use[it.name], quota), "a team is over its quota: " + it.name);
@@ -318,16 +320,16 @@
 void pool_simulation::check_hosts() const
 {
     std::map<std::string, jobs::resources> use;
-    for_each_leased_task(world_,
+    for_each_leased_task(environment_,
         [&](const job_fakes::worker& w, const job_fakes::worker_task& t)
         {
-            const double share = t.throttled ? world_.rules.throttled_share : 1.0;
+            const double share = t.throttled ? environment_.rules.throttled_share : 1.0;
             use[w.id] =
                 use[w.id] + jobs::resources{t.order.processors * share, t.order.memory_gb, 0};
         });
     for (const auto& it : use)
     {
-        expect(jobs::fits(it.second, world_.platform.all.at(it.first).capacity),
+        expect(jobs::fits(it.second, environment_.platform.all.at(it.first).capacity),
             "a host is over its capacity: " + it.first);
     }
 }
@@ -337,14 +339,14 @@
     write_faults_left_ = 0;
     order_faults_left_ = 0;
     lost_commands_left_ = 0;
-    world_.leaving_in.clear();
-    for (auto& it : world_.platform.all)
+    environment_.leaving_in.clear();
+    for (auto& it : environment_.platform.all)
     {
         it.second.reachable = true;
         it.second.fails_all = false;
         it.second.paused_until = {};
     }
-    for (auto& it : world_.hosts.hosts)
+    for (auto& it : environment_.hosts.hosts)
     {
         it.state = model::host_state::serving;
     }
@@ -355,7 +357,7 @@
         std::string first;
         for (const auto& it : accepted_)
         {
-            const jobs::job* j = job_fakes::stored_job(world_, it.first);
+            const jobs::job* j = job_fakes::stored_job(environment_, it.first);
             // The stop of a cancelled task is stored only with the next change.
             const bool stopping = j->state == jobs::job_state::cancelled &&
                                   jobs::count_tasks_on(owners_.back().jobs, j->host) > 0;
--- a/libs/jobs/tests/pool_simulation.hpp
+++ b/libs/jobs/tests/pool_simulation.hpp
@@ -70,7 +70,7 @@
     void check_quotas() const;
     void check_hosts() const;
 
-    job_fakes::world world_;
+    job_fakes::pool_environment environment_;
     std::list<job_fakes::member> owners_; ///< the newest last
     std::uint64_t epoch_ = 1;
     int write_faults_left_ = 0;
--- a/libs/jobs/tests/start_tests.cpp
+++ b/libs/jobs/tests/start_tests.cpp
@@ -11,7 +11,7 @@
 
 TEST_GROUP(starts)
 {
-    job_fakes::world w = make_world(4);
+    job_fakes::pool_environment w = make_environment(4);
     member m = make_member("quotes", 1, "e1", w.now);
 
     void submit(const submission& s)
@@ -47,7 +47,7 @@
         write_fault::lost_answer, write_fault::no_effect, write_fault::late};
     for (const auto fault : faults)
     {
-        w = make_world(4);
+        w = make_environment(4);
         m = make_member("quotes", 1, "e1", w.now);
         submit(make_submission("j1", 2, job_class::normal, false));
         pass_time(m, w, tick); // writes the fencing tokens
@@ -84,7 +84,7 @@
     };
     for (const auto& it : rows)
     {
-        w = make_world(4);
+        w = make_environment(4);
         m = make_member("quotes", 1, "e1", w.now);
         submit(make_submission("j1", 2, job_class::normal, it.idempotent));
         w.order_fault = [&](const ports::task_order& order)
@@ -138,7 +138,7 @@
 // ends in a conflict and it orders nothing.
 TEST(starts, a_paused_owner_wakes_during_a_take_over)
 {
-    w = make_world(1);
+    w = make_environment(1);
     m = make_member("quotes", 1, "e1", w.now);
     CHECK(bucket_of("a") != bucket_of("bb"));
     submit(make_submission("fence", 1));
@@ -153,7 +153,7 @@
     pass_time(next, w, core::millis{500});
     CHECK_EQUAL(1u, w.platform.starts.size());
     w.kv.refused_bucket = -1;
-    job_fakes::read_changes_but_marks(m, w);
+    job_fakes::read_changes_except_newer_owner(m, w);
     job_fakes::step(m, w);
     CHECK_EQUAL(1, starts_of(w, "a"));
     pass_time(next, w, core::millis{2000});
@@ -161,7 +161,7 @@
 
     submit(make_submission("c", 1));
     const std::size_t starts = w.platform.starts.size();
-    job_fakes::read_changes_but_marks(m, w);
+    job_fakes::read_changes_except_newer_owner(m, w);
     job_fakes::step(m, w);
     CHECK_EQUAL(starts, w.platform.starts.size());
     job_fakes::read_changes(m, w);
@@ -177,7 +177,7 @@
 // document, would share the host with the late job.
 TEST(starts, capacity_that_a_late_write_may_use_stays_reserved)
 {
-    w = make_world(1);
+    w = make_environment(1);
     m = make_member("quotes", 1, "e1", w.now);
     CHECK(bucket_of("late") != bucket_of("urgent"));
     submit(make_submission("fence", 1));
@@ -197,7 +197,7 @@
     m.must_read[static_cast<std::size_t>(bucket_of("late"))] = true; // its next write is slow
     m.jobs.buckets[static_cast<std::size_t>(bucket_of("late"))].need = write_need::none;
     job_fakes::step(m, w);
-    job_fakes::arrive(w.kv, 0);
+    job_fakes::deliver_late_write(w.kv, 0);
     pass_time(m, w, core::millis{500});
     int running = 0;
     for (const auto& it : w.platform.all["w0"].tasks)
--- a/testing/daemon_fakes/src/platform.cpp
+++ b/testing/daemon_fakes/src/platform.cpp
@@ -6,7 +6,7 @@
 namespace
 {
 
-constexpr core::millis worker_step{100};
+constexpr core::millis worker_interval{100};
 
 } // namespace
 
@@ -19,13 +19,13 @@
         out.run_time = order.run_time;
         return out;
     };
-    time_.after(worker_step, [this] { pass(); });
+    time_.after(worker_interval, [this] { pass(); });
 }
 
 void platform::pass()
 {
-    job_fakes::advance(workers, time_.now(), worker_step);
-    time_.after(worker_step, [this] { pass(); });
+    job_fakes::advance(workers, time_.now(), worker_interval);
+    time_.after(worker_interval, [this] { pass(); });
 }
 
 void platform::add_host(
@@ -106,7 +106,7 @@
                            ports::task_action what,
                            std::function<void(ports::platform_status)> done)
     {
-        const auto reply = job_fakes::act(workers, id, tasks, what, time_.now());
+        const auto reply = job_fakes::apply_action(workers, id, tasks, what, time_.now());
         answer([done = std::move(done), reply] { done(reply); });
     };
     out.read_tasks = [this, answer](
--- a/testing/day_sim/src/day.cpp
+++ b/testing/day_sim/src/day.cpp
@@ -21,41 +21,41 @@
 using namespace std::chrono_literals;
 
 constexpr core::millis tick{10};
-constexpr core::millis plan_hosts_every{40};
-constexpr core::millis list_hosts_every{100};
-constexpr core::millis poll_every{500};
-constexpr core::millis list_machines_every{500};
+constexpr core::millis plan_hosts_interval{40};
+constexpr core::millis list_hosts_interval{100};
+constexpr core::millis poll_interval{500};
+constexpr core::millis list_machines_interval{500};
 constexpr std::int64_t host_cpu = 32000;
 constexpr std::int64_t host_memory = 131072;
-constexpr std::int64_t day_begins = 1'700'000'000'000;
+constexpr std::int64_t day_start_unix_ms = 1'700'000'000'000;
 constexpr int tasks_per_step = 8;
 constexpr int steps_per_job = 2;
 constexpr const char* standby = "standby";
 
-/// A machine and the present life of its runner.
+/// A machine and the present incarnation of its runner.
 struct sim_machine
 {
     std::string id;
     std::string pool;
     std::string runner;
-    core::mono_time up_at;     ///< its runner runs from then on
-    core::mono_time listed_at; ///< and is known from then on
+    core::mono_time up_at;     ///< time at which the runner starts
+    core::mono_time listed_at; ///< time from which the host list shows the runner
     core::mono_time polled_at;
-    std::map<std::string, std::pair<std::int64_t, core::mono_time>>
-        runs; ///< number and end, by task
+    /// Run number and end time of each running task, by task name.
+    std::map<std::string, std::pair<std::int64_t, core::mono_time>> runs;
     std::int64_t last_end = 0;
 };
 
-struct sim_arrival
+struct arriving_job
 {
     core::mono_time at;
     workflow::job spec;
 };
 
-class day
+class day_simulation
 {
 public:
-    day(const day_shape& shape, const day_policy& policy, std::uint64_t seed)
+    day_simulation(const day_shape& shape, const day_policy& policy, std::uint64_t seed)
         : shape_(shape), policy_(policy), random_(seed)
     {
         fleet_.settings.placement = policy.placement;
@@ -67,20 +67,20 @@
         make_crashes();
     }
 
-    day_result play()
+    day_result run()
     {
-        const auto end = begin_ + shape_.length + shape_.rest;
+        const auto end = begin_ + shape_.length + shape_.drain_time;
         for (; now_ < end; now_ += tick)
         {
-            crash_due();
-            take_arrivals();
+            apply_due_crashes();
+            submit_due_jobs();
             list_hosts();
             poll_hosts();
             plan_hosts();
             plan_tasks();
-            count_hosts();
+            count_host_seconds();
         }
-        result_.not_done = result_.jobs - result_.in_time - result_.late;
+        result_.unfinished = result_.jobs - result_.in_time - result_.late;
         return result_;
     }
 
@@ -92,10 +92,10 @@
 
     std::int64_t unix_ms() const
     {
-        return day_begins + std::chrono::duration_cast<core::millis>(now_ - begin_).count();
+        return day_start_unix_ms + std::chrono::duration_cast<core::millis>(now_ - begin_).count();
     }
 
-    /// Of all runners.
+    /// \return the clock of all runners in ms.
     std::int64_t clock_ms() const
     {
         return std::chrono::duration_cast<core::millis>(now_.time_since_epoch()).count();
@@ -117,14 +117,14 @@
             sim_machine m;
             m.id = "m" + std::to_string(i);
             m.pool = pools_[static_cast<std::size_t>(i % shape_.pools)].name;
-            begin_life(m, now_);
+            start_incarnation(m, now_);
             machines_.push_back(std::move(m));
         }
     }
 
-    void begin_life(sim_machine& m, core::mono_time at)
+    void start_incarnation(sim_machine& m, core::mono_time at)
     {
-        m.runner = "r" + std::to_string(++last_life_);
+        m.runner = "r" + std::to_string(++last_incarnation_);
         m.up_at = at;
         m.listed_at = at + shape_.list_lag;
         m.polled_at = {};
@@ -134,8 +134,8 @@
 
     double cores_at(int pool, core::mono_time at) const
     {
-        const auto turn = (at - begin_) / core::micros{shape_.turn};
-        return turn % shape_.pools == pool ? shape_.busy_cores : shape_.quiet_cores;
+        const auto period = (at - begin_) / core::micros{shape_.busy_period};
+        return period % shape_.pools == pool ? shape_.busy_cores : shape_.quiet_cores;
     }
 
     void make_arrivals()
@@ -144,7 +144,7 @@
         {
             for (auto at = begin_; at < begin_ + shape_.length;)
             {
-                const double rate = cores_at(p, at) / shape_.job_core_seconds; // jobs a second
+                const double rate = cores_at(p, at) / shape_.job_core_seconds; // jobs per second
                 const auto gap = std::exponential_distribution<double>(rate)(random_);
                 at += core::micros{static_cast<std::int64_t>(gap * 1e6)};
                 arrivals_.push_back({at, make_job(p)});
@@ -183,8 +183,8 @@
         return j;
     }
 
-    /// An image's real run time, the same for all its tasks.
-    core::millis real_time(const workflow::step& s)
+    /// \return the real run time of a step's tasks; all tasks of an image have the same factor.
+    core::millis real_run_time(const workflow::step& s)
     {
         const auto found = factors_.find(s.image);
         const double factor =
@@ -195,12 +195,12 @@
             static_cast<std::int64_t>(static_cast<double>(s.estimated_run_time.count()) * factor)};
     }
 
-    core::millis objective(const workflow::job& j)
+    core::millis time_objective(const workflow::job& j)
     {
         auto steps = j.steps;
         for (auto& it : steps)
         {
-            it.estimated_run_time = real_time(it);
+            it.estimated_run_time = real_run_time(it);
         }
         const auto chain = static_cast<double>(workflow::critical_path(steps).count());
         return core::millis{static_cast<std::int64_t>(chain * j.stretch)} + j.slack;
@@ -209,7 +209,7 @@
     void make_crashes()
     {
         const int n = static_cast<int>(
-            std::poisson_distribution<int>(std::max(shape_.crashes_a_day, 1e-9))(random_));
+            std::poisson_distribution<int>(std::max(shape_.crashes_per_day, 1e-9))(random_));
         for (int i = 0; i < n; ++i)
         {
             const auto ms = uniform(0, static_cast<double>(shape_.length.count()));
@@ -218,7 +218,7 @@
         std::sort(crashes_.begin(), crashes_.end());
     }
 
-    void crash_due()
+    void apply_due_crashes()
     {
         while (!crashes_.empty() && crashes_.front() <= now_)
         {
@@ -226,18 +226,18 @@
             auto& m = machines_[random_() % machines_.size()];
             coordinator::end_host(
                 fleet_, m.runner, coordinator::termination_evidence::other_life, now_, events_);
-            begin_life(m, now_ + 2s);
+            start_incarnation(m, now_ + 2s);
         }
     }
 
-    void take_arrivals()
+    void submit_due_jobs()
     {
         while (next_ < arrivals_.size() && arrivals_[next_].at <= now_)
         {
             auto& it = arrivals_[next_++];
             it.spec.id = "j" + std::to_string(next_);
             it.spec.accepted_unix_ms = unix_ms();
-            due_[it.spec.id] = now_ + objective(it.spec);
+            due_[it.spec.id] = now_ + time_objective(it.spec);
             double work = 0;
             for (const auto& s : it.spec.steps)
             {
@@ -253,7 +253,7 @@
 
     void list_hosts()
     {
-        if (now_ - hosts_listed_ < list_hosts_every)
+        if (now_ - hosts_listed_ < list_hosts_interval)
         {
             return;
         }
@@ -286,7 +286,7 @@
             const bool ends = std::any_of(m.runs.begin(),
                 m.runs.end(),
                 [&](const auto& it) { return it.second.second + shape_.poll_lag <= now_; });
-            if (ends || now_ - m.polled_at >= poll_every)
+            if (ends || now_ - m.polled_at >= poll_interval)
             {
                 poll(m);
             }
@@ -333,7 +333,7 @@
 
     void plan_hosts()
     {
-        if (!policy_.moves || now_ - hosts_planned_ < plan_hosts_every)
+        if (!policy_.moves || now_ - hosts_planned_ < plan_hosts_interval)
         {
             return;
         }
@@ -350,7 +350,7 @@
 
     void list_machines()
     {
-        if (table_.known && now_ - table_.requested_at < list_machines_every)
+        if (table_.known && now_ - table_.requested_at < list_machines_interval)
         {
             return;
         }
@@ -377,15 +377,15 @@
         coordinator::handle_move_answer(
             fleet_, moves_, a.machine, ports::machine_verdict::done, now_, events_);
         m->pool = a.pool;
-        begin_life(*m, now_ + shape_.move_time);
+        start_incarnation(*m, now_ + shape_.move_time);
     }
 
     void plan_tasks()
     {
-        const auto begun = std::clock();
+        const auto started = std::clock();
         const auto plan = coordinator::make_plan(fleet_, now_, unix_ms(), true, events_);
-        const double ms = 1000.0 * static_cast<double>(std::clock() - begun) / CLOCKS_PER_SEC;
-        result_.longest_plan_ms = std::max(result_.longest_plan_ms, ms);
+        const double ms = 1000.0 * static_cast<double>(std::clock() - started) / CLOCKS_PER_SEC;
+        result_.max_plan_ms = std::max(result_.max_plan_ms, ms);
         events_.clear();
         for (const auto& it : plan.starts)
         {
@@ -407,10 +407,10 @@
             events_);
         const auto& s =
             fleet_.jobs.at(a.task.job)->spec.steps[static_cast<std::size_t>(a.task.step)];
-        m->runs[workflow::write_task_name(a.task)] = {a.run, now_ + real_time(s)};
+        m->runs[workflow::write_task_name(a.task)] = {a.run, now_ + real_run_time(s)};
     }
 
-    void count_hosts()
+    void count_host_seconds()
     {
         const double seconds = std::chrono::duration<double>(tick).count();
         for (const auto& m : machines_)
@@ -433,20 +433,20 @@
     coordinator::task_events events_;
     std::vector<coordinator::pool_info> pools_;
     std::vector<sim_machine> machines_;
-    std::vector<sim_arrival> arrivals_;
+    std::vector<arriving_job> arrivals_;
     std::size_t next_ = 0;
     std::vector<core::mono_time> crashes_;
     std::map<std::string, core::mono_time> due_;
     std::map<std::string, double> factors_;
-    int last_life_ = 0;
+    int last_incarnation_ = 0;
     day_result result_;
 };
 
 } // namespace
 
-day_result play_day(const day_shape& shape, const day_policy& policy, std::uint64_t seed)
+day_result simulate_day(const day_shape& shape, const day_policy& policy, std::uint64_t seed)
 {
-    return day(shape, policy, seed).play();
+    return day_simulation(shape, policy, seed).run();
 }
 
 } // namespace camphorhitch::day_sim
--- a/testing/job_fakes/include/job_fakes/member.hpp
+++ b/testing/job_fakes/include/job_fakes/member.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// A member that owns the pool's jobs, or believes it does: drives decide_round between the store
-/// and the workers.
+/// A member that owns the pool's jobs, or still assumes so after it has lost them. It runs
+/// decide_round between the store and the workers.
 #pragma once
 
 #include "job_fakes/store.hpp"
@@ -18,69 +18,78 @@
 namespace camphorhitch::job_fakes
 {
 
-/// What every member sees of the pool beside its jobs.
-struct world
+/// The environment of one pool's members: store, workers, hosts, teams and settings.
+struct pool_environment
 {
     store kv;
     workers platform;
     model::pool_document hosts;
     std::vector<model::team_config> teams;
     std::map<std::string, jobs::quota_document> quotas; ///< by team
-    bool wishes_unanswered = false; ///< wishes are stored and their answers lost
-    std::map<std::string, core::millis> leaving_in;
+    bool quota_requests_unanswered =
+        false; ///< quota requests are stored and their answers are lost
+    std::map<std::string, core::millis> leaving_in; ///< time until a host leaves, by host
     jobs::settings rules;
     core::mono_time now{core::millis{1'000'000}};
-    /// Whether an order's answer is lost; the order may have been carried out or not.
+    /// Replaces the execution of an order and returns the answer; empty: orders are executed.
     std::function<ports::platform_status(const ports::task_order&)> order_fault;
-    std::function<bool(const jobs::command_tasks&)> command_lost; ///< empty: none is
-    std::function<void(const jobs::action&)> on_action;           ///< to count
-    std::function<void()> before_round;                           ///< to time the decision alone
+    /// \return whether a command is lost; empty: no command is lost.
+    std::function<bool(const jobs::command_tasks&)> command_lost;
+    std::function<void(const jobs::action&)> on_action; ///< called with each action, for counts
+    std::function<void()> before_round; ///< with after_round, for timing the decision alone
     std::function<void()> after_round;
-    int rounds_per_step = 6; ///< rounds that follow one another because something ended
-    std::int64_t wall_base_ms = 1'700'000'000'000;
+    int rounds_per_step = 6; ///< bound of consecutive rounds, each of which allows the next
+    std::int64_t wall_base_ms = 1'700'000'000'000; ///< wall time at monotonic time 0
 };
 
-core::wall_time wall_now(const world& w);
+/// \return the wall time.
+core::wall_time wall_now(const pool_environment& env);
 
+/// One member's state.
 struct member
 {
     jobs::pool_jobs jobs;
-    std::array<std::int64_t, jobs::buckets_per_pool> revisions{};
-    std::array<std::int64_t, jobs::buckets_per_pool> tried{}; ///< revision of a write in doubt
+    std::array<std::int64_t, jobs::buckets_per_pool> revisions{}; ///< last read, by bucket
+    /// Revision before a write whose result is unknown, by bucket.
+    std::array<std::int64_t, jobs::buckets_per_pool> uncertain_revisions{};
     std::array<bool, jobs::buckets_per_pool> must_read{};
-    core::mono_time polled{};
-    bool again = false; ///< something ended that the next round may build upon
+    core::mono_time polled{};  ///< time of the last poll
+    bool repeat_round = false; ///< whether a stored result allows another round in the same step
 };
 
+/// \return a member that has read nothing yet.
 member make_member(const std::string& pool,
     std::uint64_t epoch,
     const std::string& incarnation,
     core::mono_time now);
 
-/// Reads every document whose revision has moved, as a watch would tell.
-void read_changes(member& m, world& w);
+/// Reads every document whose revision has changed, as the events of a watch cause it.
+void read_changes(member& m, pool_environment& env);
 
-/// The same but for documents that carry a newer owner's mark, which this member's watch is late to
-/// tell.
-void read_changes_but_marks(member& m, world& w);
+/// Like read_changes(), except documents with the marker of a newer owner: the member's watch has
+/// not delivered these yet.
+void read_changes_except_newer_owner(member& m, pool_environment& env);
 
 /// Reads the reports of every host.
-void poll(member& m, world& w);
+void poll(member& m, pool_environment& env);
 
-/// One round, its actions, and the writes that are due; again while something was stored.
-void step(member& m, world& w);
+/// Runs a round, its actions and the writes that are due, and repeats this while a write was
+/// stored.
+void step(member& m, pool_environment& env);
 
-/// The same with no command to tasks but orders: what a former owner could do at the very worst.
-void step_starts_only(member& m, world& w);
+/// Like step(), but of the actions only start orders are executed: the worst that a previous owner
+/// can do.
+void step_starts_only(member& m, pool_environment& env);
 
-/// Adds submissions as any member would.
-/// \return outcomes in order; nothing where the write got no answer or was in conflict.
+/// Adds submissions as any member does.
+/// \return the outcomes in order; no outcome where the write was not answered or was in conflict.
 std::vector<std::optional<jobs::submit_outcome>> submit(
-    world& w, const std::vector<jobs::submission>& all);
+    pool_environment& env, const std::vector<jobs::submission>& all);
 
-/// Cancels as any member would, with one write for each document.
-void cancel(world& w, const std::vector<std::string>& ids);
+/// Cancels jobs as any member does, with one write for each document.
+void cancel(pool_environment& env, const std::vector<std::string>& ids);
 
-const jobs::job* stored_job(const world& w, const std::string& id);
+/// \return the stored job, or nullptr.
+const jobs::job* stored_job(const pool_environment& env, const std::string& id);
 
 } // namespace camphorhitch::job_fakes
--- a/testing/job_fakes/src/store.cpp
+++ b/testing/job_fakes/src/store.cpp
@@ -54,7 +54,7 @@
     return {jobs::write_result::stored, s.newest_revision};
 }
 
-void arrive(store& s, std::size_t n)
+void deliver_late_write(store& s, std::size_t n)
 {
     const late_write it = s.late.at(n);
     s.late.erase(s.late.begin() + static_cast<std::ptrdiff_t>(n));
--- a/testing/job_fakes/src/workers.cpp
+++ b/testing/job_fakes/src/workers.cpp
@@ -8,30 +8,31 @@
 namespace
 {
 
-/// Share of its run after which a task uses all of its memory.
-constexpr double memory_growth = 0.1;
-constexpr double least_memory = 0.3;
+/// Share of its run time after which a task uses all of its memory.
+constexpr double memory_growth_share = 0.1;
+/// Share of its memory that a task uses at its start.
+constexpr double initial_memory_share = 0.3;
 
-worker* reach(workers& w, const std::string& host)
+worker* find_reachable(workers& w, const std::string& host)
 {
     const auto it = w.all.find(host);
     return it == w.all.end() || !it->second.reachable ? nullptr : &it->second;
 }
 
-bool runs(const worker_task& t)
+bool is_running(const worker_task& t)
 {
     return t.state == ports::task_state::running;
 }
 
-void end(worker_task& t, ports::task_state how, std::string detail)
+void end_task(worker_task& t, ports::task_state how, std::string detail)
 {
     t.state = how;
     t.detail = std::move(detail);
 }
 
-void act_on(worker_task& t, ports::task_action what, core::mono_time now)
+void apply_action_to_task(worker_task& t, ports::task_action what, core::mono_time now)
 {
-    if (!runs(t))
+    if (!is_running(t))
     {
         return;
     }
@@ -50,51 +51,51 @@
         t.throttled = false;
         return;
     case ports::task_action::stop:
-        end(t, ports::task_state::stopped, "on command");
+        end_task(t, ports::task_state::stopped, "on command");
         return;
     }
 }
 
-/// Memory can't be shared out more thinly: the task that uses most beyond its reservation is
-/// killed.
+/// Kills tasks while the host's memory is overcommitted, first the task that exceeds its
+/// reservation most. Unlike processor time, memory can't be divided into smaller shares.
 void kill_for_memory(workers& all, worker& w)
 {
     for (;;)
     {
         double used = 0;
-        worker_task* worst = nullptr;
+        worker_task* largest_excess = nullptr;
         for (auto& it : w.tasks)
         {
-            if (!runs(it.second))
+            if (!is_running(it.second))
             {
                 continue;
             }
-            used += use_of(it.second).memory_gb;
+            used += current_use(it.second).memory_gb;
             const auto excess = [](const worker_task& t)
             {
-                return use_of(t).memory_gb - t.order.memory_gb;
+                return current_use(t).memory_gb - t.order.memory_gb;
             };
-            if (worst == nullptr || excess(it.second) > excess(*worst))
+            if (largest_excess == nullptr || excess(it.second) > excess(*largest_excess))
             {
-                worst = &it.second;
+                largest_excess = &it.second;
             }
         }
-        if (worst == nullptr || used <= w.capacity.memory_gb)
+        if (largest_excess == nullptr || used <= w.capacity.memory_gb)
         {
             return;
         }
-        end(*worst, ports::task_state::failed, "out of memory");
+        end_task(*largest_excess, ports::task_state::failed, "out of memory");
         all.out_of_memory += 1;
     }
 }
 
-void progress(worker_task& t, double speed, core::mono_time now, core::millis step)
+void advance_task(worker_task& t, double speed, core::mono_time now, core::millis step)
 {
-    const auto passed = static_cast<double>(step.count());
-    t.done_ms += passed * speed;
+    const auto elapsed_ms = static_cast<double>(step.count());
+    t.done_ms += elapsed_ms * speed;
     t.slowed = t.slowed || (speed < 0.9 && !t.throttled);
-    t.mean_processors = std::max(t.mean_processors, use_of(t).processors);
-    t.peak_memory = std::max(t.peak_memory, use_of(t).memory_gb);
+    t.mean_processors = std::max(t.mean_processors, current_use(t).processors);
+    t.peak_memory = std::max(t.peak_memory, current_use(t).memory_gb);
     if (t.checkpoint_at != core::mono_time{} && now >= t.checkpoint_at)
     {
         t.checkpoint_ms = t.done_ms;
@@ -103,21 +104,21 @@
     }
     if (t.done_ms >= static_cast<double>(t.real.run_time.count()))
     {
-        end(t, ports::task_state::finished, "");
+        end_task(t, ports::task_state::finished, "");
     }
 }
 
-/// Forgets tasks whose end was reported for long enough.
-void forget_ended(const workers& all, worker& w, core::mono_time now)
+/// Removes tasks that ended more than keep_ended ago.
+void remove_ended_tasks(const workers& all, worker& w, core::mono_time now)
 {
     for (auto it = w.tasks.begin(); it != w.tasks.end();)
     {
         worker_task& t = it->second;
-        if (!runs(t) && t.ended == core::mono_time{})
+        if (!is_running(t) && t.ended == core::mono_time{})
         {
             t.ended = now;
         }
-        const bool old = !runs(t) && now - t.ended > all.keep_ended;
+        const bool old = !is_running(t) && now - t.ended > all.keep_ended;
         it = old ? w.tasks.erase(it) : std::next(it);
     }
 }
@@ -130,22 +131,22 @@
 
 } // namespace
 
-jobs::resources use_of(const worker_task& t)
+jobs::resources current_use(const worker_task& t)
 {
     const double full = static_cast<double>(std::max<std::int64_t>(1, t.real.run_time.count()));
-    const double grown =
-        std::min(1.0, least_memory + (1 - least_memory) * t.done_ms / full / memory_growth);
+    const double grown = std::min(1.0,
+        initial_memory_share + (1 - initial_memory_share) * t.done_ms / full / memory_growth_share);
     return {t.real.size.processors, t.real.size.memory_gb * grown, t.real.size.accelerators};
 }
 
 ports::platform_status start(workers& all, const ports::task_order& order, core::mono_time now)
 {
-    worker* w = reach(all, order.host);
+    worker* w = find_reachable(all, order.host);
     if (w == nullptr)
     {
         return ports::platform_status::unknown;
     }
-    if (!w->known_names.insert(order.task).second)
+    if (!w->started_names.insert(order.task).second)
     {
         return ports::platform_status::ok;
     }
@@ -159,20 +160,20 @@
     t.checkpoint = order.checkpoint;
     if (w->fails_all || t.real.fails)
     {
-        end(t, ports::task_state::failed, w->fails_all ? "worker fault" : "job fault");
+        end_task(t, ports::task_state::failed, w->fails_all ? "worker fault" : "job fault");
         all.wasted_starts += w->fails_all ? 1 : 0;
     }
     w->tasks[order.task] = std::move(t);
     return ports::platform_status::ok;
 }
 
-ports::platform_status act(workers& all,
+ports::platform_status apply_action(workers& all,
     const std::string& host,
     const std::vector<std::string>& tasks,
     ports::task_action what,
     core::mono_time now)
 {
-    worker* w = reach(all, host);
+    worker* w = find_reachable(all, host);
     if (w == nullptr)
     {
         return ports::platform_status::unknown;
@@ -181,7 +182,7 @@
     {
         if (const auto found = w->tasks.find(it); found != w->tasks.end())
         {
-            act_on(found->second, what, now);
+            apply_action_to_task(found->second, what, now);
         }
     }
     return ports::platform_status::ok;
@@ -189,18 +190,18 @@
 
 ports::task_reports read_tasks(const workers& all, const std::string& host, core::mono_time now)
 {
-    ports::task_reports made;
+    ports::task_reports reports;
     const auto it = all.all.find(host);
     if (it == all.all.end() || !it->second.reachable)
     {
-        return made;
+        return reports;
     }
-    made.known = true;
+    reports.known = true;
     for (const auto& entry : it->second.tasks)
     {
         const worker_task& t = entry.second;
-        const bool measured = now - t.started >= all.usage_lag || !runs(t);
-        made.tasks.push_back({host,
+        const bool measured = now - t.started >= all.usage_lag || !is_running(t);
+        reports.tasks.push_back({host,
             entry.first,
             t.state,
             measured ? t.mean_processors : 0,
@@ -208,7 +209,7 @@
             t.checkpoint,
             t.detail});
     }
-    return made;
+    return reports;
 }
 
 void advance(workers& all, core::mono_time now, core::millis step)
@@ -220,32 +221,32 @@
         for (const auto& it : w.tasks)
         {
             const double share = it.second.throttled ? all.throttled_share : 1.0;
-            wanted += runs(it.second) ? use_of(it.second).processors * share : 0;
+            wanted += is_running(it.second) ? current_use(it.second).processors * share : 0;
         }
         const double speed = wanted > w.capacity.processors ? w.capacity.processors / wanted : 1.0;
         const bool paused = now < w.paused_until;
         for (auto& it : w.tasks)
         {
             worker_task& t = it.second;
-            if (!runs(t))
+            if (!is_running(t))
             {
                 continue;
             }
-            progress(t, speed * (t.throttled ? all.throttled_share : 1.0), now, step);
-            if (runs(t) && !paused && now > t.lease_until)
+            advance_task(t, speed * (t.throttled ? all.throttled_share : 1.0), now, step);
+            if (is_running(t) && !paused && now > t.lease_until)
             {
-                end(t, ports::task_state::lapsed, "no renewal");
+                end_task(t, ports::task_state::lapsed, "no renewal");
             }
         }
         kill_for_memory(all, w);
-        forget_ended(all, w, now);
+        remove_ended_tasks(all, w, now);
     }
 }
 
 void reboot(worker& w)
 {
     w.tasks.clear();
-    w.known_names.clear();
+    w.started_names.clear();
 }
 
 } // namespace camphorhitch::job_fakes
