--- a/bench/claim_table/src/main.cpp
+++ b/bench/claim_table/src/main.cpp
@@ -1,6 +1,7 @@
 /// \file
-/// Measures the claims' decisions alone: memory for each remembered key, processor time of a
-/// request at its two holders, and of taking all slots over. No network, no threads.
+/// Measures the decisions of the claim table without network and threads: memory for each
+/// remembered key, processor time of a request at the two holders of its key, and time of a
+/// takeover of all slots.
 #include "claims/claim_table.hpp"
 
 #include <cxxopts.hpp>
@@ -18,12 +19,12 @@
 
 using namespace camphorhitch;
 using namespace camphorhitch::claims;
-using wall = std::chrono::steady_clock;
+using bench_clock = std::chrono::steady_clock;
 
 constexpr core::mono_time start{};
-constexpr int key_length = 36; ///< of a UUID, as callers send them
+constexpr int key_length = 36; // length of a UUID, the keys that callers send
 
-struct figures
+struct measurements
 {
     std::size_t answer_bytes = 0;
     double bytes_per_key = 0;
@@ -34,9 +35,10 @@
 };
 
 template <class Duration>
-double since(wall::time_point begin)
+double since(bench_clock::time_point begin)
 {
-    return std::chrono::duration<double, typename Duration::period>(wall::now() - begin).count();
+    return std::chrono::duration<double, typename Duration::period>(bench_clock::now() - begin)
+        .count();
 }
 
 model::member_record member(int n)
@@ -51,11 +53,11 @@
     return std::string(key_length - digits.size(), 'k') + digits;
 }
 
-/// Two holders; copies reach the other one at once.
-class pair_of_holders
+/// Two holders of all keys; copies reach the other holder without delay.
+class holder_pair
 {
 public:
-    explicit pair_of_holders(std::size_t keys)
+    explicit holder_pair(std::size_t keys)
     {
         roster_.epoch = 1;
         roster_.members = {member(0), member(1)};
@@ -76,7 +78,7 @@
         const auto executor = membership::process_name(roster_.members[0]);
         const auto number = static_cast<std::uint64_t>(n);
         const ports::claim_request request{1, key, 7, executor, number};
-        act(first, on_claim(tables_[first], number, request, true, start));
+        deliver_copies(first, on_claim(tables_[first], number, request, true, start));
         ports::claim_finish finish;
         finish.epoch = 1;
         finish.key = key;
@@ -86,11 +88,11 @@
         finish.entry.status = 200;
         finish.entry.answer_kept = true;
         finish.entry.body = body;
-        act(first, on_finish(tables_[first], number, finish, start));
+        deliver_copies(first, on_finish(tables_[first], number, finish, start));
     }
 
-    /// The first of the two leaves, a third comes; it pulls all slots from the second.
-    void take_over(figures& found)
+    /// Replaces the first holder by a third member, which pulls all slots from the second holder.
+    void measure_takeover(measurements& result)
     {
         auto next = roster_;
         next.epoch = 2;
@@ -99,10 +101,10 @@
         on_roster(tables_[1], next, start);
         claim_table third;
         third.self = next.members[1];
-        auto begin = wall::now();
+        auto begin = bench_clock::now();
         const auto actions = on_roster(third, next, start);
-        found.adopt_ms = since<std::chrono::milliseconds>(begin);
-        begin = wall::now();
+        result.adopt_ms = since<std::chrono::milliseconds>(begin);
+        begin = bench_clock::now();
         for (const auto& it : actions)
         {
             const auto* pull = std::get_if<send_pull>(&it);
@@ -110,21 +112,21 @@
             {
                 const auto reply = on_pull(tables_[1], pull->pull, start);
                 on_pull_result(third, *pull, ports::peer_status::ok, reply, start);
-                ++found.pulls;
+                ++result.pulls;
             }
         }
-        found.pull_ms = since<std::chrono::milliseconds>(begin);
+        result.pull_ms = since<std::chrono::milliseconds>(begin);
     }
 
 private:
-    void act(int at, const claim_actions& actions)
+    void deliver_copies(int at, const claim_actions& actions)
     {
         for (const auto& it : actions)
         {
             if (const auto* copy = std::get_if<send_copy>(&it))
             {
                 const auto ack = on_copy(tables_[1 - at], copy->copy, start);
-                act(at,
+                deliver_copies(at,
                     on_copy_result(tables_[at], copy->number, ports::peer_status::ok, ack, true));
             }
         }
@@ -134,22 +136,22 @@
     std::array<claim_table, 2> tables_;
 };
 
-figures measure(int keys, std::size_t answer_bytes)
+measurements measure(int keys, std::size_t answer_bytes)
 {
-    figures found;
-    found.answer_bytes = answer_bytes;
-    pair_of_holders holders{static_cast<std::size_t>(keys)};
+    measurements result;
+    result.answer_bytes = answer_bytes;
+    holder_pair holders{static_cast<std::size_t>(keys)};
     const std::string body(answer_bytes, 'x');
     const auto memory = mallinfo2().uordblks;
-    const auto begin = wall::now();
+    const auto begin = bench_clock::now();
     for (int n = 0; n < keys; ++n)
     {
         holders.run_request(n, body);
     }
-    found.request_us = since<std::chrono::microseconds>(begin) / keys;
-    found.bytes_per_key = static_cast<double>(mallinfo2().uordblks - memory) / 2.0 / keys;
-    holders.take_over(found);
-    return found;
+    result.request_us = since<std::chrono::microseconds>(begin) / keys;
+    result.bytes_per_key = static_cast<double>(mallinfo2().uordblks - memory) / 2.0 / keys;
+    holders.measure_takeover(result);
+    return result;
 }
 
 } // namespace
@@ -166,7 +168,7 @@
         std::cout << options.help();
         return 0;
     }
-    const int most = parsed["keys"].as<int>();
+    const int max_keys = parsed["keys"].as<int>();
     nlohmann::json all = nlohmann::json::array();
     std::printf("%8s %8s %14s %12s %10s %8s %10s\n",
         "keys",
@@ -176,7 +178,7 @@
         "adopt ms",
         "pulls",
         "pull ms");
-    for (const int keys : {most / 10, most})
+    for (const int keys : {max_keys / 10, max_keys})
     {
         for (const std::size_t answer_bytes : {0U, 300U, 2000U})
         {
--- a/bench/dispatch_policy/src/main.cpp
+++ b/bench/dispatch_policy/src/main.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Measures the ways to share the targets' slots on virtual time: same load, same seeds.
+/// Compares policies that share the targets' slots, on virtual time with the same load and seed.
 #include "policies.hpp"
 
 #include <cxxopts.hpp>
@@ -40,7 +40,7 @@
         {"load", it.load},
         {"quick", to_json(it.quick)},
         {"long", to_json(it.long_running)},
-        {"most_at_once", it.most_at_once},
+        {"most_at_once", it.max_at_once},
         {"useful_share", it.useful_share},
         {"sends", it.sends},
         {"sends_to_failing", it.sends_to_failing}};
@@ -67,7 +67,7 @@
         ms(quantile(l.latencies_us, 0.5)),
         per_thousand(l.refused, l.offered),
         per_thousand(l.failed, l.offered),
-        it.most_at_once,
+        it.max_at_once,
         it.useful_share * 100);
 }
 
@@ -112,7 +112,7 @@
     return out;
 }
 
-/// Nearly all work is quick and has to be answered within a few times its run time.
+/// Most work is quick and has a deadline of a few times its run time.
 load_settings urgent(load_settings it)
 {
     it.quick_work = 0.95;
@@ -120,17 +120,17 @@
     return it;
 }
 
-/// One target fails all it gets, at once.
+/// One target fails every request immediately.
 load_settings failing(load_settings it)
 {
     it.failing_targets = 1;
     return it;
 }
 
-/// One connection in twenty goes silent, and a connection carries some fifty requests in its life.
+/// One connection in twenty stops answering; a connection carries about fifty requests.
 load_settings silent(load_settings it)
 {
-    it.silent_share = 0.05 / 50;
+    it.lost_send_share = 0.05 / 50;
     return it;
 }
 
@@ -156,7 +156,7 @@
         measure("silent",
             silent(load),
             {0.3, 0.7},
-            {run_permits, run_permits_patient, run_target_queues, run_baseline}));
+            {run_permits, run_permits_without_timeouts, run_target_queues, run_baseline}));
     if (options.count("json") > 0)
     {
         std::ofstream{options["json"].as<std::string>()} << out.dump(2) << "\n";
--- a/bench/dispatch_policy/src/permits_policy.cpp
+++ b/bench/dispatch_policy/src/permits_policy.cpp
@@ -38,18 +38,19 @@
     core::mono_time timer = core::mono_time::max();
 };
 
-/// Senders and owners joined by delayed messages. One owner for all, or one for each sender.
-class permit_world
+/// Senders and pool owners connected by delayed messages. There is one owner for all senders, or
+/// one for each sender.
+class permit_simulation
 {
 public:
-    permit_world(const load_settings& load, const sender_settings& settings, bool own_subsets)
-        : world_{load}, subsets_{own_subsets}
+    permit_simulation(const load_settings& load, const sender_settings& settings, bool own_subsets)
+        : simulation_{load}, subsets_{own_subsets}
     {
         const int owners = own_subsets ? load.senders : 1;
         for (int i = 0; i < owners; ++i)
         {
-            auto made = dispatcher_builder{}.pool(pool_for(load)).epoch(1).build();
-            owners_.push_back(std::get<pool_dispatcher>(std::move(made)));
+            auto built = dispatcher_builder{}.pool(pool_for(load)).epoch(1).build();
+            owners_.push_back(std::get<pool_dispatcher>(std::move(built)));
             ticks_.push_back(core::mono_time::max());
             set_hosts(owners_.back(), hosts_of(i), {}, {});
         }
@@ -67,13 +68,13 @@
 
     run_result run(const std::string& name)
     {
-        return offer_load(world_, name, [this](const offered& it) { arrive(it); });
+        return offer_load(simulation_, name, [this](const offered& it) { start_request(it); });
     }
 
 private:
     model::pool_document hosts_of(int owner) const
     {
-        const auto& load = world_.settings;
+        const auto& load = simulation_.settings;
         model::pool_document out;
         for (int i = 0; i < load.targets; ++i)
         {
@@ -87,10 +88,11 @@
         return out;
     }
 
-    /// All slots in a row are cut into one piece a sender.
+    /// \return the number of the target's slots in a sender's subset. The sequence of all slots is
+    /// divided into one contiguous part per sender.
     int slots_in_subset(int owner, int target_index) const
     {
-        const auto& load = world_.settings;
+        const auto& load = simulation_.settings;
         const int all = load.targets * load.slots;
         int n = 0;
         for (int i = 0; i < load.slots; ++i)
@@ -100,17 +102,17 @@
         return n;
     }
 
-    void arrive(const offered& request)
+    void start_request(const offered& request)
     {
         const auto id = next_++;
         auto& it = requests_[id];
         it.request = request;
-        caller_request asked;
-        asked.pool = pool_name;
-        asked.klass = request.klass;
-        asked.idempotent = request.idempotent;
-        asked.time_left = request.deadline;
-        act(id, start_flow(it.flow, sender_of(it), asked, world_.events.now()));
+        caller_request flow_request;
+        flow_request.pool = pool_name;
+        flow_request.klass = request.klass;
+        flow_request.idempotent = request.idempotent;
+        flow_request.time_left = request.deadline;
+        execute_all(id, start_flow(it.flow, sender_of(it), flow_request, simulation_.events.now()));
     }
 
     request_sender& sender_of(const request_state& it)
@@ -126,14 +128,14 @@
     core::micros delay_to_owner(int sender) const
     {
         const bool itself = subsets_ || sender == 0;
-        return itself ? core::micros{0} : world_.settings.message_delay;
+        return itself ? core::micros{0} : simulation_.settings.message_delay;
     }
 
-    void act(std::uint64_t id, const flow_actions& actions)
+    void execute_all(std::uint64_t id, const flow_actions& actions)
     {
         for (const auto& it : actions)
         {
-            std::visit([&](const auto& action) { perform(id, action); }, it);
+            std::visit([&](const auto& action) { execute(id, action); }, it);
         }
         const auto at = requests_.find(id);
         if (at != requests_.end() && has_ended(at->second.flow))
@@ -155,100 +157,105 @@
             return;
         }
         it.timer = when;
-        world_.events.at(when,
+        simulation_.events.at(when,
             [this, id]
             {
                 const auto at = requests_.find(id);
                 if (at != requests_.end())
                 {
                     at->second.timer = core::mono_time::max();
-                    act(id, on_timer(at->second.flow, sender_of(at->second), world_.events.now()));
+                    execute_all(id,
+                        on_timer(at->second.flow, sender_of(at->second), simulation_.events.now()));
                 }
             });
     }
 
-    void perform(std::uint64_t id, const request_permit& action)
+    void execute(std::uint64_t id, const request_permit& action)
     {
         const auto sender = requests_.at(id).request.sender;
-        asks_[{std::to_string(sender), "1", action.message.request}] = id;
-        world_.events.after(delay_to_owner(sender),
+        permit_requests_[{std::to_string(sender), "1", action.message.request}] = id;
+        simulation_.events.after(delay_to_owner(sender),
             [this, sender, message = action.message]
             {
                 const auto owner = owner_of(sender);
-                deliver(owner, on_request(owners_[owner], message, world_.events.now()));
+                deliver(owner, on_request(owners_[owner], message, simulation_.events.now()));
             });
     }
 
-    void perform(std::uint64_t id, const return_permit& action)
+    void execute(std::uint64_t id, const return_permit& action)
     {
         const auto sender = requests_.at(id).request.sender;
-        world_.events.after(delay_to_owner(sender),
+        simulation_.events.after(delay_to_owner(sender),
             [this, sender, message = action.message]
             {
                 const auto owner = owner_of(sender);
-                deliver(owner, on_return(owners_[owner], message, world_.events.now()));
+                deliver(owner, on_return(owners_[owner], message, simulation_.events.now()));
             });
     }
 
-    void perform(std::uint64_t id, const send_request& action)
+    void execute(std::uint64_t id, const send_request& action)
     {
         const auto& it = requests_.at(id);
         const auto index = std::stoi(action.host);
-        const auto ask = it.flow.permit_request_id;
-        world_.count_send(index);
-        world_.events.after(action.total_timeout,
-            [this, id, ask] { end_call(id, ask, ports::call_end::interrupted, {}); });
-        if (world_.is_swallowed(action.fresh_connection))
+        const auto permit_request = it.flow.permit_request_id;
+        simulation_.count_send(index);
+        simulation_.events.after(action.total_timeout,
+            [this, id, permit_request]
+            { end_call(id, permit_request, ports::call_end::interrupted, {}); });
+        if (simulation_.is_lost(action.fresh_connection))
         {
             return;
         }
-        world_.events.after(world_.settings.message_delay,
-            [this, id, ask, index, service = it.request.service]
+        simulation_.events.after(simulation_.settings.message_delay,
+            [this, id, permit_request, index, service = it.request.service]
             {
-                world_.targets[static_cast<std::size_t>(index)].submit(service,
-                    [this, id, ask](target_result result)
+                simulation_.targets[static_cast<std::size_t>(index)].submit(service,
+                    [this, id, permit_request](target_result result)
                     {
-                        world_.events.after(world_.settings.message_delay,
-                            [this, id, ask, result]
-                            { end_call(id, ask, ports::call_end::answered, result); });
+                        simulation_.events.after(simulation_.settings.message_delay,
+                            [this, id, permit_request, result]
+                            { end_call(id, permit_request, ports::call_end::answered, result); });
                     });
             });
     }
 
-    void end_call(
-        std::uint64_t id, std::uint64_t ask, ports::call_end end, const target_result& result)
+    void end_call(std::uint64_t id,
+        std::uint64_t permit_request,
+        ports::call_end end,
+        const target_result& result)
     {
         const auto at = requests_.find(id);
         if (at == requests_.end() || at->second.flow.phase != flow_phase::sending ||
-            at->second.flow.permit_request_id != ask)
+            at->second.flow.permit_request_id != permit_request)
         {
             return;
         }
         ports::http_outcome it;
         it.end = end;
         it.response.status = result.status;
-        it.elapsed = world_.events.now() - at->second.flow.sent_at;
-        act(id, on_outcome(at->second.flow, sender_of(at->second), it, world_.events.now()));
+        it.elapsed = simulation_.events.now() - at->second.flow.sent_at;
+        execute_all(
+            id, on_outcome(at->second.flow, sender_of(at->second), it, simulation_.events.now()));
     }
 
-    void perform(std::uint64_t id, const answer_caller& action)
+    void execute(std::uint64_t id, const answer_caller& action)
     {
         const auto& request = requests_.at(id).request;
         const bool ok = action.outcome == caller_outcome::answered && action.response.status < 500;
         const auto other =
-            action.outcome == caller_outcome::not_run ? ending::refused : ending::failed;
-        world_.ended(request, ok ? ending::answered : other);
+            action.outcome == caller_outcome::not_run ? request_end::refused : request_end::failed;
+        simulation_.ended(request, ok ? request_end::answered : other);
     }
 
-    void perform(std::uint64_t, const cancel_send&)
+    void execute(std::uint64_t, const cancel_send&)
     {
     }
 
-    void perform(std::uint64_t, const request_claim&)
+    void execute(std::uint64_t, const request_claim&)
     {
     }
 
-    void perform(std::uint64_t, const finish_claim&)
+    void execute(std::uint64_t, const finish_claim&)
     {
     }
 
@@ -256,36 +263,36 @@
     {
         for (const auto& it : answers)
         {
-            const auto ask = asks_.find(it.to);
-            if (ask == asks_.end())
+            const auto permit_request = permit_requests_.find(it.to);
+            if (permit_request == permit_requests_.end())
             {
                 continue;
             }
-            const auto id = ask->second;
-            asks_.erase(ask);
-            world_.events.after(
-                delay_to_owner(std::stoi(it.to.member)), [this, id, it] { take_permit(id, it); });
+            const auto id = permit_request->second;
+            permit_requests_.erase(permit_request);
+            simulation_.events.after(
+                delay_to_owner(std::stoi(it.to.member)), [this, id, it] { handle_permit(id, it); });
         }
-        set_tick(owner);
+        schedule_tick(owner);
     }
 
-    void take_permit(std::uint64_t id, const permit_answer& answer)
+    void handle_permit(std::uint64_t id, const permit_answer& answer)
     {
         const auto at = requests_.find(id);
         if (at != requests_.end())
         {
-            act(id,
+            execute_all(id,
                 on_permit(at->second.flow,
                     sender_of(at->second),
                     answer.to.request,
                     ports::peer_status::ok,
                     answer.reply,
                     true,
-                    world_.events.now()));
+                    simulation_.events.now()));
         }
     }
 
-    void set_tick(std::size_t owner)
+    void schedule_tick(std::size_t owner)
     {
         const auto when = next_wakeup(owners_[owner]);
         if (when >= ticks_[owner])
@@ -293,21 +300,21 @@
             return;
         }
         ticks_[owner] = when;
-        world_.events.at(when,
+        simulation_.events.at(when,
             [this, owner]
             {
                 ticks_[owner] = core::mono_time::max();
-                deliver(owner, on_tick(owners_[owner], world_.events.now()));
+                deliver(owner, on_tick(owners_[owner], simulation_.events.now()));
             });
     }
 
-    world world_;
+    simulation simulation_;
     bool subsets_;
     std::vector<pool_dispatcher> owners_;
     std::vector<core::mono_time> ticks_;
     std::vector<request_sender> senders_;
     std::map<std::uint64_t, request_state> requests_;
-    std::map<permit_request_key, std::uint64_t> asks_;
+    std::map<permit_request_key, std::uint64_t> permit_requests_;
     std::uint64_t next_ = 1;
 };
 
@@ -315,19 +322,19 @@
 
 run_result run_permits(const load_settings& load)
 {
-    return permit_world{load, sender_settings{}, false}.run("permits");
+    return permit_simulation{load, sender_settings{}, false}.run("permits");
 }
 
-run_result run_permits_patient(const load_settings& load)
+run_result run_permits_without_timeouts(const load_settings& load)
 {
     sender_settings settings;
     settings.min_timeout_samples = std::numeric_limits<std::uint64_t>::max();
-    return permit_world{load, settings, false}.run("patient");
+    return permit_simulation{load, settings, false}.run("patient");
 }
 
 run_result run_subsets(const load_settings& load)
 {
-    return permit_world{load, sender_settings{}, true}.run("subsets");
+    return permit_simulation{load, sender_settings{}, true}.run("subsets");
 }
 
 } // namespace camphorhitch::bench
--- a/bench/dispatch_policy/src/policies.hpp
+++ b/bench/dispatch_policy/src/policies.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The ways to share the targets' slots that are measured against each other.
+/// The policies for sharing the targets' slots that are compared.
 #pragma once
 
 #include "dispatch/settings.hpp"
@@ -8,20 +8,21 @@
 namespace camphorhitch::bench
 {
 
-/// Permits from the pool's owner, and real request flows at the senders.
+/// Permits from the pool's owner, with the product's request flows at the senders.
 run_result run_permits(const load_settings& load);
 
-/// The same, but no call is given up before its deadline.
-run_result run_permits_patient(const load_settings& load);
+/// Like run_permits(), but no call is timed out before its deadline.
+run_result run_permits_without_timeouts(const load_settings& load);
 
-/// Each sender owns a fixed subset of the slots and schedules them alone, without messages.
+/// Each sender owns a fixed subset of the slots and schedules them without messages.
 run_result run_subsets(const load_settings& load);
 
-/// Round robin per sender, no limits, three retries, each attempt with a share of the deadline.
+/// Round robin per sender, without limits, with three retries; each attempt has an equal share of
+/// the deadline.
 run_result run_baseline(const load_settings& load);
 
-/// Each sender picks the target with the fewest requests of its own; targets queue and refuse when
-/// their queue is full; one retry elsewhere.
+/// Each sender chooses the target with the fewest of the sender's own requests. Targets queue
+/// requests and refuse them when the queue is full; the sender then retries once.
 run_result run_target_queues(const load_settings& load);
 
 } // namespace camphorhitch::bench
--- a/bench/dispatch_policy/src/simulation.cpp
+++ b/bench/dispatch_policy/src/simulation.cpp
@@ -10,7 +10,8 @@
 namespace
 {
 
-constexpr double quick_sigma = 0.5; // of the logarithm of service times
+// Standard deviations of the logarithm of service times.
+constexpr double quick_sigma = 0.5;
 constexpr double long_sigma = 1.0;
 constexpr core::micros failing_service{1000};
 constexpr int status_failed = 500;
@@ -18,11 +19,11 @@
 class load_generator
 {
 public:
-    load_generator(world& w, submit policy)
-        : world_{w}, policy_{std::move(policy)}, random_{w.settings.seed}
+    load_generator(simulation& sim, submit policy)
+        : simulation_{sim}, policy_{std::move(policy)}, random_{sim.settings.seed}
     {
-        const auto& s = w.settings;
-        const auto work_us = s.load * s.targets * s.slots; // busy microseconds in a microsecond
+        const auto& s = sim.settings;
+        const auto work_us = s.load * s.targets * s.slots; // microseconds of work per microsecond
         const auto quick_us = static_cast<double>(s.quick_service.count());
         const auto long_us = static_cast<double>(s.long_service.count());
         quick_rate_ = work_us * s.quick_work / quick_us;
@@ -41,17 +42,17 @@
         const bool quick = klass == ports::request_class::quick;
         std::exponential_distribution<double> gap{quick ? quick_rate_ : long_rate_};
         const core::micros wait{static_cast<std::int64_t>(gap(random_))};
-        world_.events.after(wait,
+        simulation_.events.after(wait,
             [this, klass]
             {
-                policy_(make(klass));
+                policy_(make_request(klass));
                 next(klass);
             });
     }
 
-    offered make(ports::request_class klass)
+    offered make_request(ports::request_class klass)
     {
-        const auto& s = world_.settings;
+        const auto& s = simulation_.settings;
         const bool quick = klass == ports::request_class::quick;
         const double mean = static_cast<double>((quick ? s.quick_service : s.long_service).count());
         const double sigma = quick ? quick_sigma : long_sigma;
@@ -62,11 +63,11 @@
         out.idempotent = std::bernoulli_distribution{s.idempotent}(random_);
         out.service = core::micros{static_cast<std::int64_t>(service(random_))};
         out.deadline = quick ? s.quick_deadline : s.long_deadline;
-        out.arrived = world_.events.now();
+        out.arrived = simulation_.events.now();
         return out;
     }
 
-    world& world_;
+    simulation& simulation_;
     submit policy_;
     std::mt19937_64 random_;
     double quick_rate_ = 0;
@@ -113,7 +114,7 @@
 void target::submit(core::micros service, std::function<void(target_result)> on_end)
 {
     job it{failing_ ? failing_service : service, std::move(on_end)};
-    most_ = std::max(most_, at_once() + 1);
+    max_at_once_ = std::max(max_at_once_, at_once() + 1);
     if (running_ < slots_)
     {
         start(std::move(it));
@@ -139,14 +140,14 @@
         });
 }
 
-void target::fail_all()
+void target::fail_all_requests()
 {
     failing_ = true;
 }
 
-int target::most_at_once() const
+int target::max_at_once() const
 {
-    return most_;
+    return max_at_once_;
 }
 
 int target::at_once() const
@@ -154,7 +155,7 @@
     return running_ + static_cast<int>(queue_.size());
 }
 
-world::world(const load_settings& from) : settings{from}, silence_{from.seed}
+simulation::simulation(const load_settings& from) : settings{from}, loss_random_{from.seed}
 {
     targets.reserve(static_cast<std::size_t>(from.targets));
     for (int i = 0; i < from.targets; ++i)
@@ -162,23 +163,23 @@
         targets.emplace_back(events, from.slots);
         if (i < from.failing_targets)
         {
-            targets.back().fail_all();
+            targets.back().fail_all_requests();
         }
     }
 }
 
-void world::count_send(int target_index)
+void simulation::count_send(int target_index)
 {
     result.sends += 1;
     result.sends_to_failing += target_index < settings.failing_targets ? 1 : 0;
 }
 
-bool world::is_swallowed(bool fresh_connection)
+bool simulation::is_lost(bool fresh_connection)
 {
-    return !fresh_connection && std::bernoulli_distribution{settings.silent_share}(silence_);
+    return !fresh_connection && std::bernoulli_distribution{settings.lost_send_share}(loss_random_);
 }
 
-void world::ended(const offered& request, ending how)
+void simulation::ended(const offered& request, request_end how)
 {
     if (events.now() < core::mono_time{settings.warm_up})
     {
@@ -188,12 +189,12 @@
     auto& out = quick ? result.quick : result.long_running;
     const auto latency = events.now() - request.arrived;
     out.offered += 1;
-    if (how == ending::refused)
+    if (how == request_end::refused)
     {
         out.refused += 1;
         return;
     }
-    if (how == ending::failed || latency > request.deadline)
+    if (how == request_end::failed || latency > request.deadline)
     {
         out.failed += 1;
         return;
@@ -203,23 +204,23 @@
     out.useful_work_us += static_cast<double>(request.service.count());
 }
 
-run_result offer_load(world& w, const std::string& name, const submit& policy)
+run_result offer_load(simulation& sim, const std::string& name, const submit& policy)
 {
-    load_generator load{w, policy};
+    load_generator load{sim, policy};
     load.start();
-    const core::mono_time end{w.settings.warm_up + w.settings.measured};
-    w.events.run_until(end);
-    w.result.policy = name;
-    w.result.load = w.settings.load;
-    for (const auto& it : w.targets)
+    const core::mono_time end{sim.settings.warm_up + sim.settings.measured};
+    sim.events.run_until(end);
+    sim.result.policy = name;
+    sim.result.load = sim.settings.load;
+    for (const auto& it : sim.targets)
     {
-        w.result.most_at_once = std::max(w.result.most_at_once, it.most_at_once());
+        sim.result.max_at_once = std::max(sim.result.max_at_once, it.max_at_once());
     }
-    const auto work = w.result.quick.useful_work_us + w.result.long_running.useful_work_us;
-    const auto slots = w.settings.targets * w.settings.slots;
-    w.result.useful_share =
-        work / (static_cast<double>(core::micros{w.settings.measured}.count()) * slots);
-    return w.result;
+    const auto work = sim.result.quick.useful_work_us + sim.result.long_running.useful_work_us;
+    const auto slots = sim.settings.targets * sim.settings.slots;
+    sim.result.useful_share =
+        work / (static_cast<double>(core::micros{sim.settings.measured}.count()) * slots);
+    return sim.result;
 }
 
 std::int64_t quantile(std::vector<std::int64_t> values, double share)
