--- a/testing/caller_load/src/caller.cpp
+++ b/testing/caller_load/src/caller.cpp
@@ -20,13 +20,13 @@
     int retry_after_s = 0;
 };
 
-std::size_t take_body(char* data, std::size_t size, std::size_t count, void* to)
+std::size_t append_body(char* data, std::size_t size, std::size_t count, void* to)
 {
     static_cast<raw_answer*>(to)->body.append(data, size * count);
     return size * count;
 }
 
-void take_field(const std::string& line, const std::string& name, std::string& to)
+void read_field(const std::string& line, const std::string& name, std::string& to)
 {
     if (line.size() > name.size() + 1 &&
         curl_strnequal(line.c_str(), name.c_str(), name.size()) != 0 && line[name.size()] == ':')
@@ -37,13 +37,13 @@
     }
 }
 
-std::size_t take_line(char* data, std::size_t size, std::size_t count, void* to)
+std::size_t read_header_line(char* data, std::size_t size, std::size_t count, void* to)
 {
     auto* out = static_cast<raw_answer*>(to);
     const std::string line(data, size * count);
-    take_field(line, "Camphorhitch-Outcome", out->outcome);
-    take_field(line, "Camphorhitch-Attempt", out->attempt);
-    take_field(line, "Camphorhitch-Reason", out->reason);
+    read_field(line, "Camphorhitch-Outcome", out->outcome);
+    read_field(line, "Camphorhitch-Attempt", out->attempt);
+    read_field(line, "Camphorhitch-Reason", out->reason);
     return size * count;
 }
 
@@ -58,7 +58,7 @@
     return std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - t).count();
 }
 
-curl_slist* fields_of(const plan& p, const planned& one)
+curl_slist* fields_of(const plan& p, const planned_request& one)
 {
     curl_slist* list = curl_slist_append(nullptr, ("Request-Id: " + one.id).c_str());
     list =
@@ -91,7 +91,7 @@
     }
 }
 
-void recorder::add(const planned& p, const call_record& c)
+void recorder::add(const planned_request& p, const call_record& c)
 {
     const json line = {{"id", c.id},
         {"class", p.type->name},
@@ -139,7 +139,7 @@
     curl_easy_cleanup(easy_);
 }
 
-call_record caller::call(const planned& p, const std::string& entry, int repeat)
+call_record caller::call(const planned_request& p, const std::string& entry, int repeat)
 {
     call_record out{p.id, entry, repeat, 0, "broken", "", "", true, wall_ms(), 0};
     const auto begin = std::chrono::steady_clock::now();
@@ -155,9 +155,9 @@
     curl_easy_setopt(easy_, CURLOPT_MAXCONNECTS, static_cast<long>(plan_.entries.size()));
     curl_easy_setopt(easy_, CURLOPT_HTTPHEADER, list);
     curl_easy_setopt(easy_, CURLOPT_TIMEOUT_MS, static_cast<long>(plan_.timeout_ms));
-    curl_easy_setopt(easy_, CURLOPT_WRITEFUNCTION, take_body);
+    curl_easy_setopt(easy_, CURLOPT_WRITEFUNCTION, append_body);
     curl_easy_setopt(easy_, CURLOPT_WRITEDATA, &raw);
-    curl_easy_setopt(easy_, CURLOPT_HEADERFUNCTION, take_line);
+    curl_easy_setopt(easy_, CURLOPT_HEADERFUNCTION, read_header_line);
     curl_easy_setopt(easy_, CURLOPT_HEADERDATA, &raw);
     if (p.keyed)
     {
@@ -183,26 +183,26 @@
     return out;
 }
 
-void caller::run(const planned& p)
+void caller::run(const planned_request& p)
 {
     request_record total{p.type->name, p.keyed, "", false, 0, 0};
-    for (int repeat = 0; repeat <= plan_.most_repeats; ++repeat)
+    for (int repeat = 0; repeat <= plan_.max_repeats; ++repeat)
     {
         const auto& entry = plan_.entries[(p.first_entry + repeat) % plan_.entries.size()];
         const auto one = call(p, entry, repeat);
         recorder_.add(p, one);
         total.outcome = one.outcome;
-        total.good = one.outcome == "answered" && one.status == 200;
+        total.successful = one.outcome == "answered" && one.status == 200;
         ++total.calls;
-        // A request without a key may be repeated when it certainly was not run, or is a GET; all
-        // of ours without a key are GETs.
+        // A request without a key may be repeated if it did not run for certain, or if it is a GET.
+        // All requests without a key here are GETs.
         const bool failed_direct = plan_.direct && one.status >= 500;
         if (one.outcome == "answered" && !failed_direct)
         {
             break;
         }
         std::this_thread::sleep_for(
-            std::chrono::milliseconds{plan_.repeat_pause_ms * (repeat + 1)});
+            std::chrono::milliseconds{plan_.repeat_delay_ms * (repeat + 1)});
     }
     total.elapsed_ms = ms_since(p.due);
     recorder_.add(total);
--- a/testing/caller_load/src/caller.hpp
+++ b/testing/caller_load/src/caller.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// One caller: sends a request and its repeats, and judges the answers.
+/// A caller that sends requests and their repeats and checks the answers.
 #pragma once
 
 #include "plan.hpp"
@@ -17,50 +17,52 @@
 {
 
 /// One request of the schedule.
-struct planned
+struct planned_request
 {
     std::string id;
-    const kind* type = nullptr;
+    const request_kind* type = nullptr;
     std::string service;
     bool keyed = false;
-    std::size_t first_entry = 0;
+    std::size_t first_entry = 0; ///< index of the first entry to call; repeats use the next ones
     std::chrono::steady_clock::time_point due;
 };
 
-/// How one call of a request ended.
+/// Result of one call of a request.
 struct call_record
 {
     std::string id;
     std::string entry;
     int repeat = 0;
     int status = 0;      ///< 0: no HTTP answer
-    std::string outcome; ///< as told; "broken" when no whole HTTP answer came
+    std::string outcome; ///< outcome field of the answer; "broken" without a complete HTTP answer
     std::string attempt; ///< "not-sent" or empty
     std::string reason;
-    bool own_answer = true; ///< an answered body carried this request's id
-    long begin_ms = 0;      ///< wall time
-    double elapsed_ms = 0;  ///< of this call
+    bool own_answer = true; ///< false if an answered body did not carry this request's id
+    long begin_ms = 0;      ///< wall time in ms since 1970
+    double elapsed_ms = 0;  ///< duration of this call
 };
 
-/// How a request ended after its repeats.
+/// Result of a request after its repeats.
 struct request_record
 {
     std::string type;
     bool keyed = false;
     std::string outcome;
-    bool good = false; ///< answered with 200
+    bool successful = false; ///< answered with 200
     int calls = 0;
-    double elapsed_ms = 0; ///< from when it was due to its last answer
+    double elapsed_ms = 0; ///< time from the scheduled start to the last answer
 };
 
-/// Collects records of all threads.
+/// Collects the records of all threads.
 class recorder
 {
 public:
+    /// \param file receives one JSON line per call; empty: no file
     explicit recorder(const std::string& file);
-    void add(const planned& p, const call_record& c);
+    void add(const planned_request& p, const call_record& c);
     void add(request_record r);
     const std::vector<request_record>& requests() const;
+    /// \return the number of answers that did not carry their request's id.
     std::size_t foreign_answers() const;
 
 private:
@@ -70,6 +72,7 @@
     std::size_t foreign_answers_ = 0;
 };
 
+/// One caller with its connections.
 class caller
 {
 public:
@@ -77,10 +80,11 @@
     ~caller();
     caller(const caller&) = delete;
     caller& operator=(const caller&) = delete;
-    void run(const planned& p);
+    /// Sends a request, and repeats it until it is answered or the repeats are used up.
+    void run(const planned_request& p);
 
 private:
-    call_record call(const planned& p, const std::string& entry, int repeat);
+    call_record call(const planned_request& p, const std::string& entry, int repeat);
 
     const plan& plan_;
     recorder& recorder_;
--- a/testing/caller_load/src/main.cpp
+++ b/testing/caller_load/src/main.cpp
@@ -21,7 +21,7 @@
 using namespace camphorhitch::load;
 using json = nlohmann::json;
 
-std::vector<planned> make_schedule(const plan& p)
+std::vector<planned_request> make_schedule(const plan& p)
 {
     boost::random::mt19937_64 random(p.seed);
     boost::random::uniform_real_distribution<double> unit(0.0, 1.0);
@@ -33,7 +33,7 @@
     boost::random::discrete_distribution<std::size_t> pick(weights);
     const auto begin = std::chrono::steady_clock::now() + std::chrono::milliseconds{50};
     const auto n = static_cast<std::size_t>(p.rate * p.seconds);
-    std::vector<planned> all(n);
+    std::vector<planned_request> all(n);
     for (std::size_t i = 0; i < n; ++i)
     {
         auto& it = all[i];
@@ -41,7 +41,8 @@
         it.type = &p.kinds[pick(random)];
         it.keyed = unit(random) < p.keyed;
         it.service = p.services.empty() ? std::string{} : p.services[i % p.services.size()];
-        // A balancer picks entry hosts by chance; callers without one go round robin.
+        // A load balancer selects entry hosts at random; direct callers use the targets round
+        // robin.
         const auto picked = static_cast<std::size_t>(unit(random) * 1e6);
         it.first_entry = p.direct ? i : picked;
         const double offset_s = static_cast<double>(i) / p.rate;
@@ -50,16 +51,18 @@
     return all;
 }
 
-bool asked_to_stop(const plan& p)
+bool stop_requested(const plan& p)
 {
     return !p.stop_file.empty() && std::filesystem::exists(p.stop_file);
 }
 
-void work(
-    const plan& p, const std::vector<planned>& all, std::atomic<std::size_t>& next, recorder& r)
+void run_requests(const plan& p,
+    const std::vector<planned_request>& all,
+    std::atomic<std::size_t>& next,
+    recorder& r)
 {
     caller one(p, r);
-    for (std::size_t i = next++; i < all.size() && !asked_to_stop(p); i = next++)
+    for (std::size_t i = next++; i < all.size() && !stop_requested(p); i = next++)
     {
         std::this_thread::sleep_until(all[i].due);
         one.run(all[i]);
@@ -99,11 +102,11 @@
     std::map<std::string, int> by_class;
     std::map<std::string, std::vector<double>> by_key;
     std::size_t calls = 0;
-    std::size_t good = 0;
+    std::size_t successful = 0;
     for (const auto& it : all)
     {
         ++by_class[it.type + " " + it.outcome];
-        good += it.good ? 1 : 0;
+        successful += it.successful ? 1 : 0;
         ++outcomes[(it.keyed ? "keyed " : "plain ") + it.outcome];
         calls += static_cast<std::size_t>(it.calls);
         if (it.outcome == "answered")
@@ -113,7 +116,7 @@
         }
     }
     return {{"requests", all.size()},
-        {"good", good},
+        {"good", successful},
         {"calls", calls},
         {"outcomes", outcomes},
         {"classes", by_class},
@@ -131,17 +134,17 @@
     threads.reserve(static_cast<std::size_t>(p.threads));
     for (int i = 0; i < p.threads; ++i)
     {
-        threads.emplace_back([&] { work(p, all, next, r); });
+        threads.emplace_back([&] { run_requests(p, all, next, r); });
     }
     for (auto& it : threads)
     {
         it.join();
     }
-    const std::chrono::duration<double> took = std::chrono::steady_clock::now() - begin;
+    const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - begin;
     auto out = summary_of(r.requests());
     out["foreign_answers"] = r.foreign_answers();
-    out["seconds"] = took.count();
-    out["requests_per_s"] = static_cast<double>(r.requests().size()) / took.count();
+    out["seconds"] = elapsed.count();
+    out["requests_per_s"] = static_cast<double>(r.requests().size()) / elapsed.count();
     std::cout << out.dump(2) << '\n';
     return r.foreign_answers() == 0 ? 0 : 1;
 }
--- a/testing/caller_load/src/plan.cpp
+++ b/testing/caller_load/src/plan.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-cxxopts::Options describe()
+cxxopts::Options make_options()
 {
     cxxopts::Options options("caller_load", "A bounded load of callers.");
     auto add = options.add_options();
@@ -36,7 +36,7 @@
     return options;
 }
 
-bool read_kind(const std::string& text, kind& out)
+bool read_kind(const std::string& text, request_kind& out)
 {
     std::istringstream in(text);
     char at = 0;
@@ -52,7 +52,7 @@
     out.kinds.clear();
     for (const auto& it : given["mix"].as<std::vector<std::string>>())
     {
-        kind one;
+        request_kind one;
         if (!read_kind(it, one))
         {
             wrong.push_back({{"--mix", "", 0, 0}, "not class=weight@delay_ms: " + it, ""});
@@ -61,7 +61,7 @@
     }
 }
 
-parsed_plan take(const cxxopts::ParseResult& given)
+parsed_plan to_plan(const cxxopts::ParseResult& given)
 {
     plan out;
     core::findings wrong;
@@ -82,9 +82,9 @@
     out.rate = given["rate"].as<double>();
     out.seconds = given["seconds"].as<double>();
     out.threads = given["threads"].as<int>();
-    out.most_repeats = given["repeats"].as<int>();
+    out.max_repeats = given["repeats"].as<int>();
     out.timeout_ms = given["timeout-ms"].as<int>();
-    out.repeat_pause_ms = given["repeat-pause-ms"].as<int>();
+    out.repeat_delay_ms = given["repeat-pause-ms"].as<int>();
     out.id_prefix = given["id-prefix"].as<std::string>();
     out.direct = given.count("direct") > 0;
     out.seed = given["seed"].as<std::uint64_t>();
@@ -110,7 +110,7 @@
 
 parsed_plan read_plan(int argc, char** argv)
 {
-    auto options = describe();
+    auto options = make_options();
     try
     {
         const auto given = options.parse(argc, argv);
@@ -118,7 +118,7 @@
         {
             return options.help();
         }
-        return take(given);
+        return to_plan(given);
     }
     catch (const cxxopts::exceptions::exception& ec)
     {
--- a/testing/standin_kv/src/control.cpp
+++ b/testing/standin_kv/src/control.cpp
@@ -37,7 +37,7 @@
     all["watches"] = watches_.size();
     all["connections"] = port_->counts().open;
     all["lost_answers"] = gate_.lost_answers();
-    all["out"] = gate_.is_out();
+    all["out"] = gate_.has_outage();
     return json_response(200, all);
 }
 
--- a/testing/standin_kv/src/counts.cpp
+++ b/testing/standin_kv/src/counts.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-kind_counts& of(call_counts& c, call_kind kind)
+kind_counts& counts_of(call_counts& c, call_kind kind)
 {
     return c.kinds.at(static_cast<std::size_t>(kind));
 }
@@ -21,18 +21,18 @@
         std::chrono::duration_cast<std::chrono::seconds>(now.time_since_epoch()).count();
     c.now = c.second == second ? c.now + 1 : 1;
     c.second = second;
-    c.most = std::max(c.most, c.now);
+    c.max = std::max(c.max, c.now);
 }
 
-bool take(rate_limiter::bucket& b, std::int64_t limit, core::mono_time now)
+bool take_token(rate_limiter::bucket& b, std::int64_t limit, core::mono_time now)
 {
     if (limit == 0)
     {
         return true;
     }
     const auto rate = static_cast<double>(limit);
-    const std::chrono::duration<double> passed = now - b.filled;
-    b.tokens = b.used ? std::min(rate, b.tokens + passed.count() * rate) : rate;
+    const std::chrono::duration<double> elapsed = now - b.filled;
+    b.tokens = b.used ? std::min(rate, b.tokens + elapsed.count() * rate) : rate;
     b.used = true;
     b.filled = now;
     if (b.tokens < 1)
@@ -47,7 +47,7 @@
 
 void count_call(call_counts& c, call_kind kind, std::size_t bytes_in, core::mono_time now)
 {
-    auto& counts = of(c, kind);
+    auto& counts = counts_of(c, kind);
     ++counts.calls;
     counts.bytes_in += static_cast<std::int64_t>(bytes_in);
     count_second(is_write(kind) ? c.writes : c.reads, now);
@@ -55,7 +55,7 @@
 
 void count_answer(call_counts& c, call_kind kind, std::size_t bytes_out)
 {
-    of(c, kind).bytes_out += static_cast<std::int64_t>(bytes_out);
+    counts_of(c, kind).bytes_out += static_cast<std::int64_t>(bytes_out);
 }
 
 nlohmann::json to_json(const call_counts& c)
@@ -75,19 +75,19 @@
     all["total_calls"] = sum.calls;
     all["bytes_in"] = sum.bytes_in;
     all["bytes_out"] = sum.bytes_out;
-    all["most_reads_per_second"] = c.reads.most;
-    all["most_writes_per_second"] = c.writes.most;
+    all["most_reads_per_second"] = c.reads.max;
+    all["most_writes_per_second"] = c.writes.max;
     all["conflicts"] = c.conflicts;
     all["rate_limited"] = c.limited;
     all["stale_reads"] = c.stale;
-    all["most_watches"] = c.most_watches;
+    all["most_watches"] = c.max_watches;
     return all;
 }
 
 bool admit(rate_limiter& r, call_kind kind, core::mono_time now)
 {
-    return is_write(kind) ? take(r.writes, r.limits.writes, now)
-                          : take(r.reads, r.limits.reads, now);
+    return is_write(kind) ? take_token(r.writes, r.limits.writes, now)
+                          : take_token(r.reads, r.limits.reads, now);
 }
 
 } // namespace camphorhitch::standin_kv
--- a/testing/standin_kv/src/service.cpp
+++ b/testing/standin_kv/src/service.cpp
@@ -30,20 +30,21 @@
     return std::chrono::duration_cast<std::chrono::seconds>(ms).count();
 }
 
-/// No base64 text holds an underscore, so these names stand for members only.
+/// \return whether the transaction has no write. Base64 text contains no underscore, so these names
+/// can only be names of members.
 bool is_check(call_kind kind, const std::string& body)
 {
     return kind == call_kind::transaction && body.find("request_put") == std::string::npos &&
            body.find("request_delete_range") == std::string::npos;
 }
 
-/// \return what was asked for, or nullptr when it was refused.
+/// \return the parsed request, or nullptr if it is invalid; it has then been answered.
 template <class T>
-const T* accepted(const exchange_ptr& held, const parsed<T>& request)
+const T* valid_request(const exchange_ptr& pending, const parsed<T>& request)
 {
     if (const auto* const wrong = std::get_if<core::findings>(&request))
     {
-        held->respond(gateway_error(*wrong));
+        pending->respond(gateway_error(*wrong));
         return nullptr;
     }
     return &std::get<T>(request);
@@ -61,11 +62,11 @@
                                             [this]
                                             {
                                                 extend_all(store_, standin_.loop.now());
-                                                pump();
+                                                send_all_changes();
                                             }),
-      dice_(s.settings.seed)
+      random_(s.settings.seed)
 {
-    store_.most_kept_bytes = settings.history_bytes;
+    store_.max_kept_bytes = settings.history_bytes;
     limiter_.limits = settings.limits;
     port_ = &gate_.listen(standin_support::make_router(s.settings.token,
         {
@@ -90,51 +91,52 @@
 }
 
 standin_support::route service::counted(
-    call_kind kind, std::string path, void (service::*act)(const exchange_ptr&))
+    call_kind kind, std::string path, void (service::*handler)(const exchange_ptr&))
 {
-    const auto serve = [this, path_kind = kind, act](const exchange_ptr& held, const path_parts&)
+    const auto serve = [this, path_kind = kind, handler](
+                           const exchange_ptr& pending, const path_parts&)
     {
-        const auto kind = is_check(path_kind, held->request.body) ? call_kind::check : path_kind;
+        const auto kind = is_check(path_kind, pending->request.body) ? call_kind::check : path_kind;
         const auto now = standin_.loop.now();
-        count_call(counts_, kind, held->request.body.size(), now);
+        count_call(counts_, kind, pending->request.body.size(), now);
         if (!admit(limiter_, kind, now))
         {
             ++counts_.limited;
-            held->respond(gateway_error(429, grpc_exhausted, "etcdserver: too many requests"));
+            pending->respond(gateway_error(429, grpc_exhausted, "etcdserver: too many requests"));
             return;
         }
-        // A lease whose time is over is gone for this call too, though the tick hasn't come yet.
+        // Expired leases must not be visible to this call, even before the next tick.
         expire(store_, now, standin_support::unix_ms());
-        (this->*act)(held);
-        pump();
+        (this->*handler)(pending);
+        send_all_changes();
     };
     return {"POST", std::move(path), serve};
 }
 
 std::int64_t service::read_revision()
 {
-    if (!dice_.chance(stale_reads_))
+    if (!random_.chance(stale_reads_))
     {
         return store_.revision;
     }
     ++counts_.stale;
     const auto oldest =
         std::max({store_.compacted + 1, store_.revision - stale_revisions_, std::int64_t{1}});
-    return dice_.between(std::min(oldest, store_.revision), store_.revision);
+    return random_.between(std::min(oldest, store_.revision), store_.revision);
 }
 
-void service::on_range(const exchange_ptr& held)
+void service::on_range(const exchange_ptr& pending)
 {
-    const auto request = parse_range(held->request.body);
-    const auto* const wanted = accepted(held, request);
-    if (wanted == nullptr)
+    const auto request = parse_range(pending->request.body);
+    const auto* const parameters = valid_request(pending, request);
+    if (parameters == nullptr)
     {
         return;
     }
-    const auto& r = *wanted;
+    const auto& r = *parameters;
     if (r.revision != 0 && (r.revision <= store_.compacted || r.revision > store_.revision))
     {
-        held->respond(gateway_error(
+        pending->respond(gateway_error(
             400, grpc_out_of_range, "etcdserver: mvcc: required revision is not available"));
         return;
     }
@@ -145,7 +147,7 @@
         static_cast<std::size_t>(r.limit));
     const auto answer = json_response(200, range_json(revision, found, r.keys_only));
     count_answer(counts_, call_kind::range, answer.body.size());
-    held->respond(answer);
+    pending->respond(answer);
 }
 
 ports::http_response service::transaction_answer(const transaction& t, verdict v)
@@ -178,54 +180,54 @@
     return json_response(200, all);
 }
 
-void service::on_transaction(const exchange_ptr& held)
+void service::on_transaction(const exchange_ptr& pending)
 {
-    const auto request = parse_transaction(held->request.body, settings_.largest_value);
-    const auto* const wanted = accepted(held, request);
-    if (wanted == nullptr)
+    const auto request = parse_transaction(pending->request.body, settings_.max_value_bytes);
+    const auto* const parameters = valid_request(pending, request);
+    if (parameters == nullptr)
     {
         return;
     }
-    const auto& t = *wanted;
+    const auto& t = *parameters;
     const auto v = apply(store_, t, standin_support::unix_ms());
     const auto answer = v == verdict::no_lease ? no_lease() : transaction_answer(t, v);
     if (t.does == effect::none)
     {
         count_answer(counts_, call_kind::check, answer.body.size());
-        held->respond(answer);
+        pending->respond(answer);
         return;
     }
     count_answer(counts_, call_kind::transaction, answer.body.size());
-    gate_.answer_write(held, t.key, answer);
+    gate_.answer_write(pending, t.key, answer);
 }
 
-void service::on_grant(const exchange_ptr& held)
+void service::on_grant(const exchange_ptr& pending)
 {
-    const auto request = parse_grant(held->request.body);
-    const auto* const wanted = accepted(held, request);
-    if (wanted == nullptr)
+    const auto request = parse_grant(pending->request.body);
+    const auto* const parameters = valid_request(pending, request);
+    if (parameters == nullptr)
     {
         return;
     }
-    const auto ttl = *wanted;
+    const auto ttl = *parameters;
     const auto id = grant(store_, ttl, standin_.loop.now());
     const auto answer = json_response(200,
         {{"header", header_json(store_.revision)},
             {"ID", std::to_string(id)},
             {"TTL", std::to_string(to_seconds(ttl))}});
     count_answer(counts_, call_kind::grant, answer.body.size());
-    gate_.answer_write(held, "", answer);
+    gate_.answer_write(pending, "", answer);
 }
 
-void service::on_keep_alive(const exchange_ptr& held)
+void service::on_keep_alive(const exchange_ptr& pending)
 {
-    const auto request = parse_lease_id(held->request.body);
-    const auto* const wanted = accepted(held, request);
-    if (wanted == nullptr)
+    const auto request = parse_lease_id(pending->request.body);
+    const auto* const parameters = valid_request(pending, request);
+    if (parameters == nullptr)
     {
         return;
     }
-    const auto id = *wanted;
+    const auto id = *parameters;
     const auto ttl = keep_alive(store_, id, standin_.loop.now());
     json result = {{"header", header_json(store_.revision)}, {"ID", std::to_string(id)}};
     if (ttl)
@@ -234,38 +236,39 @@
     }
     const auto answer = json_response(200, {{"result", result}});
     count_answer(counts_, call_kind::keep_alive, answer.body.size());
-    held->respond(answer);
+    pending->respond(answer);
 }
 
-void service::on_revoke(const exchange_ptr& held)
+void service::on_revoke(const exchange_ptr& pending)
 {
-    const auto request = parse_lease_id(held->request.body);
-    const auto* const wanted = accepted(held, request);
-    if (wanted == nullptr)
+    const auto request = parse_lease_id(pending->request.body);
+    const auto* const parameters = valid_request(pending, request);
+    if (parameters == nullptr)
     {
         return;
     }
-    const auto known = revoke(store_, *wanted, standin_support::unix_ms());
+    const auto known = revoke(store_, *parameters, standin_support::unix_ms());
     const auto answer =
         known ? json_response(200, {{"header", header_json(store_.revision)}}) : no_lease();
     count_answer(counts_, call_kind::revoke, answer.body.size());
-    gate_.answer_write(held, "", answer);
+    gate_.answer_write(pending, "", answer);
 }
 
-void service::on_watch(const exchange_ptr& held)
+void service::on_watch(const exchange_ptr& pending)
 {
-    const auto request = parse_watch(held->request.body);
-    const auto* const wanted = accepted(held, request);
-    if (wanted == nullptr)
+    const auto request = parse_watch(pending->request.body);
+    const auto* const parameters = valid_request(pending, request);
+    if (parameters == nullptr)
     {
         return;
     }
-    const auto start = wanted->start_revision == 0 ? store_.revision + 1 : wanted->start_revision;
+    const auto start =
+        parameters->start_revision == 0 ? store_.revision + 1 : parameters->start_revision;
     auto it = std::make_shared<watch>();
-    it->request = held->request;
-    it->range = wanted->range;
+    it->request = pending->request;
+    it->range = parameters->range;
     it->next = position_of(store_, start);
-    it->stream = held->stream(200, "application/json");
+    it->stream = pending->stream(200, "application/json");
     json created = {{"header", header_json(store_.revision)}, {"created", true}};
     it->stream->write(line(created));
     if (start <= store_.compacted)
@@ -280,35 +283,37 @@
     const std::weak_ptr<watch> weak = it;
     it->stream->on_end = [this, weak]
     {
-        std::erase_if(watches_, [gone = weak.lock()](const auto& w) { return w == gone; });
+        std::erase_if(
+            watches_, [ended_watch = weak.lock()](const auto& w) { return w == ended_watch; });
     };
     watches_.push_back(it);
-    counts_.most_watches = std::max(counts_.most_watches, watches_.size());
+    counts_.max_watches = std::max(counts_.max_watches, watches_.size());
 }
 
 void service::tick()
 {
-    if (!gate_.is_out())
+    if (!gate_.has_outage())
     {
         expire(store_, standin_.loop.now(), standin_support::unix_ms());
-        pump();
+        send_all_changes();
     }
 }
 
-void service::pump()
+void service::send_all_changes()
 {
-    // A copy: writing to a stream whose caller is gone takes the watch out of the list.
+    // Iterates over a copy: a write to a stream whose caller has closed it removes the watch from
+    // the list.
     const auto all = watches_;
     for (const auto& it : all)
     {
         if (it->next < store_.history.size() && !gate_.is_partitioned(it->request))
         {
-            pump_one(*it);
+            send_changes(*it);
         }
     }
 }
 
-void service::pump_one(watch& w)
+void service::send_changes(watch& w)
 {
     const auto newest = standin_support::unix_ms() - watch_lag_.count();
     json events;
--- a/testing/standin_kv/src/service.hpp
+++ b/testing/standin_kv/src/service.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The service around the store: routes, watches, counts, limits and faults.
+/// The HTTP service of the store: routes, watches, counts, limits and faults.
 #pragma once
 
 #include "counts.hpp"
@@ -13,13 +13,15 @@
 namespace camphorhitch::standin_kv
 {
 
+/// Settings of the service.
 struct service_settings
 {
-    std::size_t largest_value = 1u << 20;   ///< bytes
-    std::size_t history_bytes = 512u << 20; ///< values kept for replay and the checker
+    std::size_t max_value_bytes = 1u << 20; ///< bytes
+    std::size_t history_bytes = 512u << 20; ///< bytes of values kept for replay and the checker
     rate_limits limits;
 };
 
+/// The service on its two ports.
 class service
 {
 public:
@@ -48,20 +50,20 @@
 
     standin_support::route counted(call_kind kind,
         std::string path,
-        void (service::*act)(const standin_support::exchange_ptr&));
-    void on_range(const standin_support::exchange_ptr& held);
-    void on_transaction(const standin_support::exchange_ptr& held);
-    void on_grant(const standin_support::exchange_ptr& held);
-    void on_keep_alive(const standin_support::exchange_ptr& held);
-    void on_revoke(const standin_support::exchange_ptr& held);
-    void on_watch(const standin_support::exchange_ptr& held);
+        void (service::*handler)(const standin_support::exchange_ptr&));
+    void on_range(const standin_support::exchange_ptr& pending);
+    void on_transaction(const standin_support::exchange_ptr& pending);
+    void on_grant(const standin_support::exchange_ptr& pending);
+    void on_keep_alive(const standin_support::exchange_ptr& pending);
+    void on_revoke(const standin_support::exchange_ptr& pending);
+    void on_watch(const standin_support::exchange_ptr& pending);
     ports::http_response transaction_answer(const transaction& t, verdict v);
     std::int64_t read_revision();
 
     void tick();
-    /// Sends each watch what has come since it was last looked at.
-    void pump();
-    void pump_one(watch& w);
+    /// Sends each watch the changes that it has not received yet.
+    void send_all_changes();
+    void send_changes(watch& w);
     void end_partitioned_watches();
 
     ports::http_response on_control(const ports::http_request& r);
@@ -71,13 +73,13 @@
     standin_support::standin& standin_;
     service_settings settings_;
     standin_support::fault_gate gate_;
-    standin_support::dice dice_;
+    standin_support::random_source random_;
     store store_;
     call_counts counts_;
     rate_limiter limiter_;
     std::vector<std::shared_ptr<watch>> watches_;
     double stale_reads_ = 0;
-    std::int64_t stale_revisions_ = 20; ///< how far back a stale read may be
+    std::int64_t stale_revisions_ = 20; ///< maximum lag of a stale read, in revisions
     core::millis watch_lag_{0};
     standin_support::listener* port_ = nullptr;
     standin_support::listener* control_port_ = nullptr;
--- a/testing/standin_kv/src/store.cpp
+++ b/testing/standin_kv/src/store.cpp
@@ -16,10 +16,10 @@
     return s.versions.at(s.history[index].now.key).back() == index;
 }
 
-/// Drops the oldest values of the history that no key holds any more, to bound our memory.
-void trim(store& s)
+/// Removes the oldest values from the history, except present values of keys, to limit the memory.
+void trim_history(store& s)
 {
-    while (s.kept_bytes > s.most_kept_bytes && s.first_kept + 1 < s.history.size())
+    while (s.kept_bytes > s.max_kept_bytes && s.first_kept + 1 < s.history.size())
     {
         auto& oldest = s.history[s.first_kept];
         if (!is_current(s, s.first_kept))
@@ -38,7 +38,7 @@
     s.kept_bytes += c.now.value.size();
     s.versions[c.now.key].push_back(s.history.size());
     s.history.push_back(std::move(c));
-    trim(s);
+    trim_history(s);
 }
 
 void detach(store& s, const record& r)
@@ -71,15 +71,15 @@
     append(s, {false, std::move(r), at_ms, false});
 }
 
-/// One revision for all keys that go together, as in etcd.
-void remove(store& s, const std::vector<record>& gone, std::int64_t at_ms)
+/// Deletes keys. Keys that are deleted together get the same revision, as in etcd.
+void remove(store& s, const std::vector<record>& removed, std::int64_t at_ms)
 {
-    if (gone.empty())
+    if (removed.empty())
     {
         return;
     }
     ++s.revision;
-    for (const auto& it : gone)
+    for (const auto& it : removed)
     {
         detach(s, it);
         record r;
@@ -187,26 +187,26 @@
     }
     const auto keys = std::move(it->second.keys);
     s.leases.erase(it);
-    std::vector<record> gone;
+    std::vector<record> removed;
     for (const auto& key : keys)
     {
-        gone.push_back(read_one(s, key).value());
+        removed.push_back(read_one(s, key).value());
     }
-    remove(s, gone, at_ms);
+    remove(s, removed, at_ms);
     return true;
 }
 
 void expire(store& s, core::mono_time now, std::int64_t at_ms)
 {
-    std::vector<std::int64_t> over;
+    std::vector<std::int64_t> expired_leases;
     for (const auto& [id, it] : s.leases)
     {
         if (it.expires <= now)
         {
-            over.push_back(id);
+            expired_leases.push_back(id);
         }
     }
-    for (const auto id : over)
+    for (const auto id : expired_leases)
     {
         revoke(s, id, at_ms);
     }
--- a/testing/standin_kv/src/wire.cpp
+++ b/testing/standin_kv/src/wire.cpp
@@ -76,7 +76,7 @@
     }
 }
 
-void parse_success(object_reader& reader, transaction& t, std::size_t largest_value)
+void parse_success(object_reader& reader, transaction& t, std::size_t max_value_bytes)
 {
     if (!reader.has("success"))
     {
@@ -103,7 +103,7 @@
     read_key(*put, t.key);
     put->read_base64("value", t.value);
     put->read("lease", t.lease);
-    if (t.value.size() > largest_value)
+    if (t.value.size() > max_value_bytes)
     {
         put->add_finding("value", "is too large");
     }
@@ -159,12 +159,12 @@
     return finished(reader, std::move(r));
 }
 
-parsed<transaction> parse_transaction(const std::string& body, std::size_t largest_value)
+parsed<transaction> parse_transaction(const std::string& body, std::size_t max_value_bytes)
 {
     object_reader reader(body);
     transaction t;
     parse_compare(reader, t);
-    parse_success(reader, t, largest_value);
+    parse_success(reader, t, max_value_bytes);
     parse_failure(reader, t);
     return finished(reader, std::move(t));
 }
--- a/testing/standin_kv/tests/service_tests.cpp
+++ b/testing/standin_kv/tests/service_tests.cpp
@@ -60,7 +60,7 @@
         STRCMP_EQUAL("200 {}\n", driver.call("POST", "/control", body).c_str());
     }
 
-    /// On a connection of its own, since some faults close it.
+    /// Calls on a new connection, because some faults close the connection.
     std::string call_anew(
         const std::string& path, const std::string& body, const std::string& fields = "")
     {
@@ -69,7 +69,7 @@
     }
 };
 
-TEST(kv_service, put_then_conflict_shows_what_stands_there)
+TEST(kv_service, conflict_returns_the_present_value)
 {
     STRCMP_CONTAINS("\"succeeded\":true", txn(put_if("k", "mine", 0)).c_str());
     const auto lost = txn(put_if("k", "other", 0));
@@ -120,9 +120,9 @@
     STRCMP_CONTAINS("\"most_writes_per_second\":0", stats.c_str());
 }
 
-// A member that lost its stream reads, and watches from the revision after its read: what was
-// written in between must come too, in order and once.
-TEST(kv_service, watch_replays_from_its_start_and_goes_on)
+// A member whose stream has ended reads, and watches from the revision after its read. Changes
+// written between the read and the watch must be delivered too, in order and once.
+TEST(kv_service, watch_replays_from_its_start_and_continues)
 {
     txn(put_if("w/1", "old", 0));
     txn(put_if("w/1", "replayed", 2));
@@ -137,15 +137,15 @@
     STRCMP_CONTAINS(to_base64("live").c_str(), watcher.read_through("}}\n").c_str());
     STRCMP_CONTAINS("\"watches\":1", driver.call("GET", "/control/stats").c_str());
     watcher.close();
-    CHECK(standin_support::turn_until(host.loop,
+    CHECK(standin_support::run_until(host.loop,
         [this] {
             return driver.call("GET", "/control/stats").find("\"watches\":0") != std::string::npos;
         }));
 }
 
-// The caller sees its connection close after a write, as after a failure, but the write stands. A
-// repeat with the same expectation must see the conflict with its own value.
-TEST(kv_service, lost_answer_leaves_the_write_standing)
+// The connection of a caller closes after a write, as in a failure, but the write has taken effect.
+// A repeat with the same expectation must get a conflict with its own value.
+TEST(kv_service, write_with_lost_answer_takes_effect)
 {
     control(R"({"lose_next":1,"lose_prefix":"pools/"})");
     STRCMP_CONTAINS("200", call_anew("/v3/kv/txn", put_if("other", "v", 0)).c_str());
@@ -156,7 +156,7 @@
     STRCMP_CONTAINS("\"lost_answers\":1", driver.call("GET", "/control/stats").c_str());
 }
 
-TEST(kv_service, what_callers_see_of_an_outage)
+TEST(kv_service, outage_modes_as_callers_see_them)
 {
     struct row
     {
@@ -191,15 +191,15 @@
         "200", call_anew("/v3/kv/range", range_of("k"), "Camphorhitch-Member: e2\r\n").c_str());
 }
 
-// The service hangs: requests are taken in and nothing ever comes back, and then it recovers.
-TEST(kv_service, hanging_outage_answers_nothing_and_cuts_at_its_end)
+// The service hangs, so that requests are accepted and never answered, and then recovers.
+TEST(kv_service, hanging_outage_answers_nothing_and_closes_connections_at_its_end)
 {
     txn(put_if("k", "v", 0));
     test_client waiting(host.loop, kv.port().port());
     control(R"({"outage_ms":60000,"outage_mode":"hang"})");
     waiting.send("POST", "/v3/kv/range", range_of("k"));
     client.send("POST", "/v3/kv/range", range_of("k"));
-    CHECK(standin_support::turn_until(host.loop, [this] { return kv.port().counts().open == 2; }));
+    CHECK(standin_support::run_until(host.loop, [this] { return kv.port().counts().open == 2; }));
     control(R"({"outage_ms":0})");
     STRCMP_EQUAL("closed", waiting.read_answer().c_str());
     STRCMP_EQUAL("closed", client.read_answer().c_str());
@@ -223,7 +223,7 @@
     STRCMP_CONTAINS("\"stale_reads\":30", driver.call("GET", "/control/stats").c_str());
 }
 
-TEST(kv_service, history_names_every_write)
+TEST(kv_service, history_contains_every_write)
 {
     txn(put_if("a/1", "one", 0));
     txn(put_if("b/1", "two", 0));
--- a/testing/standin_kv/tests/store_tests.cpp
+++ b/testing/standin_kv/tests/store_tests.cpp
@@ -63,8 +63,8 @@
     {
         transaction t;
         verdict expected;
-        std::int64_t revision; ///< of the store afterwards
-        std::int64_t modified; ///< of the key afterwards
+        std::int64_t revision; ///< revision of the store afterwards
+        std::int64_t modified; ///< mod_revision of the key afterwards
         std::int64_t version;
     };
     const row rows[] = {
@@ -121,7 +121,7 @@
     }
 }
 
-TEST(kv_store, lease_lapses_and_takes_its_keys_in_one_revision)
+TEST(kv_store, expired_lease_deletes_its_keys_in_one_revision)
 {
     const auto id = grant(s, core::millis{1000}, at(0));
     apply(s, put_under("a", id), 0);
@@ -146,9 +146,9 @@
     STRCMP_EQUAL("mine", read_one(s, "a")->value.c_str());
 }
 
-// The service is out for longer than a lease: its holder could not renew it. As after a change of
-// leader in etcd, the lease gets its whole time again when the service is back.
-TEST(kv_store, leases_get_their_whole_time_after_an_outage)
+// An outage of the service lasts longer than a lease, so the holder can't renew the lease. The
+// lease must get its full time again at the end of the outage, as after a change of leader in etcd.
+TEST(kv_store, leases_get_their_full_time_after_an_outage)
 {
     const auto id = grant(s, core::millis{1000}, at(0));
     extend_all(s, at(9000));
@@ -160,7 +160,7 @@
 
 TEST(kv_store, history_drops_old_values_but_never_current_ones)
 {
-    s.most_kept_bytes = 250;
+    s.max_kept_bytes = 250;
     apply(s, put("kept", std::string(100, 'k'), 0), 0);
     std::int64_t modified = 0;
     for (int i = 0; i < 10; ++i)
--- a/testing/standin_livelist/src/lagging_list.cpp
+++ b/testing/standin_livelist/src/lagging_list.cpp
@@ -17,11 +17,11 @@
     std::vector<ports::live_host> all;
     for (const auto& [id, states] : l.hosts)
     {
-        const auto had_begun = [then](const dated_state& it)
+        const auto has_started = [then](const dated_state& it)
         {
             return it.since <= then;
         };
-        const auto newest = std::find_if(states.rbegin(), states.rend(), had_begun);
+        const auto newest = std::find_if(states.rbegin(), states.rend(), has_started);
         if (newest != states.rend())
         {
             all.push_back(newest->host);
--- a/testing/standin_livelist/src/lagging_list.hpp
+++ b/testing/standin_livelist/src/lagging_list.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The list of hosts as readers see it: as it was a while ago. Time is passed in.
+/// The list of hosts as of an earlier time, which is what readers see. Callers pass the time.
 #pragma once
 
 #include "core/time.hpp"
@@ -12,20 +12,24 @@
 namespace camphorhitch::standin_livelist
 {
 
+/// A host's state and the time from which it applies.
 struct dated_state
 {
     core::mono_time since;
     ports::live_host host;
 };
 
+/// The history of all hosts' states.
 struct lagging_list
 {
-    std::map<std::string, std::vector<dated_state>> hosts; ///< states in order of time
+    /// States of each host in the order of time, by host.
+    std::map<std::string, std::vector<dated_state>> hosts;
 };
 
+/// Records a host's new state.
 void set_state(lagging_list& l, ports::live_host host, core::mono_time now);
 
-/// \return the hosts as they were at \p then; a host that came later isn't among them.
+/// \return the states of the hosts at the time \p then, without hosts that were added later.
 std::vector<ports::live_host> read(const lagging_list& l, core::mono_time then);
 
 } // namespace camphorhitch::standin_livelist
--- a/testing/standin_livelist/src/service.cpp
+++ b/testing/standin_livelist/src/service.cpp
@@ -23,10 +23,10 @@
     };
     port_ = &gate_.listen(standin_support::make_router(
         s.settings.token, {simple_route("GET", "/v1/hosts", read_lagging)}));
-    // Updates come by the control port, so that they get through while readers see an outage.
-    const auto set = [this](const exchange_ptr& held, const path_parts& parts)
+    // Updates use the control port, so that they succeed during an outage for readers.
+    const auto set = [this](const exchange_ptr& pending, const path_parts& parts)
     {
-        on_set_state(held, parts);
+        on_set_state(pending, parts);
     };
     control_port_ = &s.server.listen(s.settings.control_port,
         standin_support::make_router(s.settings.token,
@@ -56,9 +56,9 @@
     return json_response(200, {{"hosts", all}});
 }
 
-void service::on_set_state(const exchange_ptr& held, const path_parts& parts)
+void service::on_set_state(const exchange_ptr& pending, const path_parts& parts)
 {
-    object_reader body(held->request.body);
+    object_reader body(pending->request.body);
     ports::live_host host;
     host.id = parts.front();
     std::string state;
@@ -71,12 +71,12 @@
     }
     if (const auto wrong = standin_support::refusal(body))
     {
-        held->respond(*wrong);
+        pending->respond(*wrong);
         return;
     }
     host.state = *known;
     set_state(list_, std::move(host), standin_.loop.now());
-    held->respond(json_response(200, json::object()));
+    pending->respond(json_response(200, json::object()));
 }
 
 ports::http_response service::on_control(const ports::http_request& r)
--- a/testing/standin_livelist/src/service.hpp
+++ b/testing/standin_livelist/src/service.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The live list's two ports: readers on the one, the platform's own updates on the other.
+/// The live list's two ports: one for readers, one for control and the platform's updates.
 #pragma once
 
 #include "lagging_list.hpp"
@@ -8,6 +8,7 @@
 namespace camphorhitch::standin_livelist
 {
 
+/// The service on its two ports.
 class service
 {
 public:
@@ -28,7 +29,7 @@
 private:
     ports::http_response hosts(core::mono_time then) const;
     void on_set_state(
-        const standin_support::exchange_ptr& held, const standin_support::path_parts& parts);
+        const standin_support::exchange_ptr& pending, const standin_support::path_parts& parts);
     ports::http_response on_control(const ports::http_request& r);
 
     standin_support::standin& standin_;
--- a/testing/standin_livelist/tests/livelist_tests.cpp
+++ b/testing/standin_livelist/tests/livelist_tests.cpp
@@ -9,7 +9,7 @@
 
 TEST_GROUP(livelist){};
 
-TEST(livelist, readers_see_the_states_of_then)
+TEST(livelist, readers_get_lagging_states)
 {
     const auto at = [](int ms)
     {
@@ -44,8 +44,9 @@
     }
 }
 
-// Readers see an outage while the platform's own updates go on, as the state changes all the same.
-TEST(livelist, updates_get_through_an_outage_of_readers)
+// The platform's own updates must succeed during an outage for readers, because hosts change their
+// states meanwhile.
+TEST(livelist, updates_succeed_during_an_outage_for_readers)
 {
     standin_support::standin host{{}};
     service list(host, core::millis{0});
--- a/testing/standin_support/include/standin_support/event_loop.hpp
+++ b/testing/standin_support/include/standin_support/event_loop.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// One thread's loop over descriptors and timers. A stand-in does all its work on it, so that its
-/// state needs no lock.
+/// A single-threaded loop over descriptors and timers. A stand-in does all its work on one loop, so
+/// its state needs no locks.
 #pragma once
 
 #include "core/time.hpp"
@@ -14,11 +14,12 @@
 namespace camphorhitch::standin_support
 {
 
+/// The loop.
 class event_loop
 {
 public:
     using action = std::function<void()>;
-    /// \param events the epoll events that came.
+    /// \param events the epoll events that occurred
     using descriptor_action = std::function<void(std::uint32_t events)>;
 
     event_loop();
@@ -28,28 +29,32 @@
 
     core::mono_time now() const;
 
-    /// Runs \p act once, \p delay from now; equal times run in the order of the calls.
-    void after(core::millis delay, action act);
+    /// Runs \p callback once, \p delay from now. Actions of the same time run in the order of the
+    /// calls.
+    void after(core::millis delay, action callback);
 
-    /// Runs \p act every \p interval for as long as the loop lives.
-    void every(core::millis interval, action act);
+    /// Runs \p callback every \p interval until the loop is destroyed.
+    void every(core::millis interval, action callback);
 
-    /// Calls \p act when one of \p events (epoll's bits) comes to \p fd.
-    void watch(int fd, std::uint32_t events, descriptor_action act);
-    void forget(int fd);
+    /// Calls \p callback when one of \p events (epoll's bits) occurs on \p fd.
+    void watch(int fd, std::uint32_t events, descriptor_action callback);
+    /// Ends the watch of \p fd, if there is one.
+    void unwatch(int fd);
 
-    /// A library with a loop of its own.
+    /// Hooks of a library that needs to run in each iteration.
     struct driver
     {
-        action run;                                           ///< called at every turn
-        std::function<std::optional<core::millis>()> timeout; ///< longest sleep that it allows
+        action run; ///< called in each iteration
+        /// \return the longest time that the loop may sleep, or nothing for no limit
+        std::function<std::optional<core::millis>()> timeout;
     };
     void set_driver(driver d);
 
-    /// One turn: sleeps up to \p longest for the next event, then does what is due.
-    void turn(core::millis longest);
+    /// Runs one iteration: waits for the next event, at most \p max_wait, then runs all due
+    /// actions.
+    void run_once(core::millis max_wait);
 
-    /// Turns until stop().
+    /// Runs iterations until stop().
     void run();
     void stop();
 
@@ -57,10 +62,10 @@
     struct watched
     {
         int fd = -1;
-        descriptor_action act;
+        descriptor_action callback;
     };
 
-    int sleep_bound(core::millis longest) const;
+    int sleep_bound(core::millis max_wait) const;
     void run_due();
 
     int epoll_ = -1;
--- a/testing/standin_support/include/standin_support/faults.hpp
+++ b/testing/standin_support/include/standin_support/faults.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Faults that any of the platform's services may show, and the gate that requests pass.
+/// Faults common to the platform's services, and the gate through which requests pass.
 #pragma once
 
 #include "core/names.hpp"
@@ -12,12 +12,12 @@
 namespace camphorhitch::standin_support
 {
 
-/// What callers see of a service that is out.
+/// Behaviour of a service during an outage, as callers see it.
 enum class outage_mode
 {
     close,  ///< connections are accepted and closed without an answer
     refuse, ///< connections are refused
-    hang    ///< requests are taken in and never answered
+    hang    ///< requests are accepted and never answered
 };
 
 inline constexpr core::name_table<outage_mode, 3> outage_mode_names{{
@@ -26,60 +26,63 @@
     {outage_mode::hang, "hang"},
 }};
 
-/// Name of the header by which a member of the system tells who it is.
+/// Header field with the id of the sending member of the system.
 inline constexpr const char* member_header = "Camphorhitch-Member";
 
-/// Stands between a service's port and its routes.
+/// Applies the faults between a service's port and its routes.
 class fault_gate
 {
 public:
-    /// \param on_outage_end called when an outage is over.
+    /// \param on_outage_end called at the end of an outage
     fault_gate(standin& s, std::function<void()> on_outage_end);
 
-    /// \param inner serves the requests that pass.
+    /// Listens on the service's port. \param inner handles the requests that pass the gate
     listener& listen(exchange_handler inner);
 
-    /// Takes the gate's members of a control command.
+    /// Reads and applies the gate's members of a control command.
     void control(object_reader& command);
 
-    /// Answers, or loses the answer to a write on \p key that has taken effect.
+    /// Answers a write on \p key that has taken effect, or closes the connection if the answer is
+    /// to be lost.
     void answer_write(
-        const exchange_ptr& held, const std::string& key, const ports::http_response& r);
+        const exchange_ptr& pending, const std::string& key, const ports::http_response& r);
 
-    /// Whether the service is out for all.
-    bool is_out() const
+    /// \return whether an outage affects all callers.
+    bool has_outage() const
     {
-        return out_;
+        return in_outage_;
     }
 
-    /// Whether the member that sent \p r is cut off.
+    /// \return whether the member that sent \p r is partitioned from the service.
     bool is_partitioned(const ports::http_request& r) const;
 
-    /// Whether cut-off members hear nothing at all, rather than that their connections end.
+    /// \return whether requests of partitioned members hang; else their connections are closed.
     bool partition_hangs() const
     {
         return partition_mode_ == outage_mode::hang;
     }
 
+    /// \return the number of lost answers.
     std::uint64_t lost_answers() const
     {
         return lost_answers_;
     }
 
 private:
-    void admit(const exchange_ptr& held);
+    void admit(const exchange_ptr& pending);
     void begin_outage(core::millis length, outage_mode mode);
     void end_outage();
-    void fail(const exchange_ptr& held, outage_mode mode);
-    bool loses(const std::string& key);
+    void fail(const exchange_ptr& pending, outage_mode mode);
+    bool loses_answer(const std::string& key);
 
     standin& standin_;
     std::function<void()> on_outage_end_;
     exchange_handler inner_;
     listener* port_ = nullptr;
-    dice dice_;
-    bool out_ = false;
-    std::uint64_t outage_ = 0; ///< number of the newest one: an older one's end is void
+    random_source random_;
+    bool in_outage_ = false;
+    std::uint64_t last_outage_ =
+        0; ///< number of the newest outage; timers of earlier ones are ignored
     outage_mode mode_ = outage_mode::close;
     core::millis slow_{0};
     double lose_answers_ = 0;
--- a/testing/standin_support/include/standin_support/http_server.hpp
+++ b/testing/standin_support/include/standin_support/http_server.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A small HTTP server on an event loop. Each request is an exchange that is answered now or
+/// A small HTTP server on an event loop. Each request is an exchange that is answered at once or
 /// later, or ended in one of the ways in which real services fail.
 #pragma once
 
@@ -24,21 +24,22 @@
 class http_server;
 class listener;
 
-/// The body of an answer that is written bit by bit.
+/// The body of an answer that is written in parts.
 class byte_stream
 {
 public:
+    /// Appends bytes to the body.
     void write(const std::string& bytes);
-    /// Ends the answer once all that was written is sent.
+    /// Ends the answer after all written bytes have been sent.
     void finish();
-    /// Cuts the connection.
+    /// Closes the connection at once.
     void cut();
     bool is_open() const
     {
         return open_;
     }
 
-    std::function<void()> on_end; ///< called once, when either side has ended it
+    std::function<void()> on_end; ///< called once, when either side has ended the stream
 
 private:
     friend struct server_callbacks;
@@ -54,34 +55,37 @@
     bool finishing_ = false;
 };
 
-/// One request and the ways to end it. Whoever holds it may end it once; later ends do nothing.
+/// One request and the ways to end it. The first end takes effect; later ones are ignored.
 class exchange
 {
 public:
     ports::http_request request;
-    std::function<void()> on_gone; ///< the caller closed its connection before the answer
+    std::function<void()> on_gone; ///< called if the caller closes its connection before the answer
 
+    /// Answers the request.
     void respond(ports::http_response r);
-    /// Announces all of \p r, sends half of its body and closes the connection.
+    /// Sends the head of \p r and half of its body, and closes the connection.
     void truncate(ports::http_response r);
-    /// Sends \p bytes as they are and closes the connection.
+    /// Sends \p bytes without an HTTP head and closes the connection.
     void send_raw(const std::string& bytes);
     /// Closes the connection without an answer.
     void cut();
     /// Starts an answer of unknown length.
     std::shared_ptr<byte_stream> stream(int status, const std::string& content_type);
 
+    /// \return whether the exchange has not been ended.
     bool is_open() const
     {
-        return how_ == ending::open;
+        return how_ == end_kind::open;
     }
 
+    /// \return whether the caller closed its connection before the answer.
     bool is_gone() const
     {
         return gone_;
     }
 
-    /// Whether its connection was told to swallow all that comes.
+    /// \return whether the connection discards all input and sends nothing (listener::silence()).
     bool is_silent() const;
 
 private:
@@ -89,7 +93,7 @@
     friend class http_server;
     friend class listener;
 
-    enum class ending
+    enum class end_kind
     {
         open,
         answer,
@@ -98,13 +102,13 @@
         stream
     };
 
-    void end(ending how);
+    void end(end_kind how);
     void wake();
 
-    connection* wire_ = nullptr; ///< nullptr once the exchange has left the server
+    connection* wire_ = nullptr; ///< nullptr after the server has completed the exchange
     ports::http_response response_;
     std::shared_ptr<byte_stream> stream_;
-    ending how_ = ending::open;
+    end_kind how_ = end_kind::open;
     bool dispatched_ = false;
     bool suspended_ = false;
     bool too_large_ = false;
@@ -118,11 +122,11 @@
 struct connection_counts
 {
     std::size_t open = 0;
-    std::size_t most = 0;
-    std::uint64_t total = 0;
+    std::size_t max_open = 0; ///< maximum of open
+    std::uint64_t total = 0;  ///< connections accepted since the start
 };
 
-/// One port of 127.0.0.1.
+/// A listening port on 127.0.0.1.
 class listener
 {
 public:
@@ -141,15 +145,15 @@
         return counts_;
     }
 
-    /// Listens (again) on its port.
+    /// Starts listening on the port, also again after close().
     void open();
-    /// Refuses new connections; those that are open go on.
+    /// Refuses new connections; open connections stay.
     void close();
-    /// Closes all connections, those with a request in flight too.
+    /// Closes all connections, including those with a request in flight.
     void cut_connections();
-    /// From now on each open connection for which \p chosen says so swallows all that comes and
-    /// sends nothing any more.
-    /// \return how many.
+    /// Makes open connections discard all input and send nothing from now on. \p chosen is called
+    /// for each open connection and returns whether it is affected. \return the number of affected
+    /// connections.
     std::size_t silence(const std::function<bool()>& chosen);
 
 private:
@@ -160,22 +164,24 @@
 
     http_server& server_;
     exchange_handler handler_;
-    int holder_ = -1; ///< bound and never listening: keeps the port ours while closed
+    int reserving_socket_ =
+        -1; ///< bound socket that never listens; it reserves the port while closed
     int socket_ = -1;
     std::uint16_t port_ = 0;
     connection_counts counts_;
 };
 
+/// The server of all listeners on one loop.
 class http_server
 {
 public:
-    /// \param largest_body bytes; a larger request gets 413.
-    http_server(event_loop& loop, std::size_t largest_body);
+    /// \param max_body bytes; a larger request is answered with 413
+    http_server(event_loop& loop, std::size_t max_body_bytes);
     ~http_server();
     http_server(const http_server&) = delete;
     http_server& operator=(const http_server&) = delete;
 
-    /// \param port 0 takes a free one.
+    /// Adds a listener. \param port 0: a free port is chosen
     listener& listen(std::uint16_t port, exchange_handler handler);
 
 private:
@@ -186,7 +192,7 @@
     void on_peer_closed(int fd);
 
     event_loop& loop_;
-    std::size_t largest_body_;
+    std::size_t max_body_bytes_;
     MHD_Daemon* daemon_ = nullptr;
     std::vector<std::unique_ptr<listener>> listeners_;
     std::map<int, std::unique_ptr<connection>> connections_;
--- a/testing/standin_support/include/standin_support/json.hpp
+++ b/testing/standin_support/include/standin_support/json.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// JSON in requests and answers. A reader collects all findings and refuses what it doesn't know,
-/// so that a driver's typing error is seen.
+/// JSON in requests and answers. A reader collects all findings and rejects unknown members, so
+/// that a misspelt member in a driver's command is reported.
 #pragma once
 
 #include "core/findings.hpp"
@@ -17,41 +17,46 @@
 namespace camphorhitch::standin_support
 {
 
+/// \return an answer with the body as JSON.
 ports::http_response json_response(int status, const nlohmann::json& body);
 /// \return {"error": \p text}.
 ports::http_response error_response(int status, const std::string& text);
 
-/// Reads the members of one JSON object. Readers of the objects inside share its findings.
+/// Reads the members of one JSON object. Readers of nested objects share its findings.
 class object_reader
 {
 public:
-    /// \param text a whole document, or empty for {}.
+    /// \param text a JSON document, or empty for {}
     explicit object_reader(const std::string& text);
     ~object_reader();
     object_reader(object_reader&&) noexcept;
     object_reader& operator=(object_reader&&) noexcept;
 
+    /// \return whether the object has the member.
     bool has(const char* name) const;
 
-    /// Each read leaves \p to as it is when the member is missing.
-    /// \return whether it was there and of the right type.
+    /// Reads a member. \p to is unchanged if the member is missing.
+    /// \return whether the member is present and of the right type.
     bool read(const char* name, std::string& to);
     bool read(const char* name, bool& to);
     bool read(const char* name, int& to);
     bool read(const char* name, double& to);
-    /// Takes a number, or a string of digits as protobuf's JSON writes it.
+    /// Accepts a number, or a string of digits as in protobuf's JSON encoding.
     bool read(const char* name, std::int64_t& to);
     bool read(const char* name, std::vector<std::string>& to);
     bool read_base64(const char* name, std::string& to);
-    /// A number from 0 to 1.
+    /// Reads a number from 0 to 1.
     bool read_share(const char* name, double& to);
 
+    /// \return a reader of a nested object, or nothing if it is missing or not an object.
     std::optional<object_reader> object(const char* name);
+    /// \return readers of the objects in an array; empty if it is missing or not an array.
     std::vector<object_reader> objects(const char* name);
 
+    /// Adds a finding for a member.
     void add_finding(const char* name, const std::string& text);
 
-    /// Adds a finding for each member that nobody read, in this object and those inside.
+    /// Adds a finding for each member that was not read, in this object and the nested ones.
     /// \return all findings.
     core::findings finish();
 
@@ -69,12 +74,12 @@
     node* here_ = nullptr;
 };
 
-/// Finishes a body.
-/// \return 400 with all findings, or nothing when there are none.
+/// Finishes reading a request body.
+/// \return an answer with 400 and all findings, or nothing if there are none.
 std::optional<ports::http_response> refusal(object_reader& body);
 
-/// Finishes a control command.
-/// \return 200, or 400 with all findings.
+/// Finishes reading a control command.
+/// \return an answer with 200, or with 400 and all findings.
 ports::http_response control_answer(object_reader& command);
 
 } // namespace camphorhitch::standin_support
--- a/testing/standin_support/include/standin_support/program.hpp
+++ b/testing/standin_support/include/standin_support/program.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What every stand-in's main() does: options, the loop, the two ports, SIGTERM.
+/// The common parts of the stand-ins' main(): options, the loop, the two ports and SIGTERM.
 #pragma once
 
 #include "standin_support/event_loop.hpp"
@@ -17,6 +17,7 @@
 namespace camphorhitch::standin_support
 {
 
+/// Settings that all stand-ins have.
 struct common_settings
 {
     std::uint16_t port = 0;
@@ -25,11 +26,11 @@
     std::uint64_t seed = 1;
 };
 
-/// A seeded source of chance.
-class dice
+/// A seeded random number generator.
+class random_source
 {
 public:
-    explicit dice(std::uint64_t seed) : engine_(seed)
+    explicit random_source(std::uint64_t seed) : engine_(seed)
     {
     }
 
@@ -38,28 +39,29 @@
         engine_.seed(seed);
     }
 
-    /// \param share from 0 to 1.
+    /// \return true with probability \p share, 0 to 1.
     bool chance(double share)
     {
         return share > 0 && std::uniform_real_distribution<>(0, 1)(engine_) < share;
     }
 
-    std::int64_t between(std::int64_t least, std::int64_t most)
+    /// \return a uniformly distributed integer, bounds included.
+    std::int64_t between(std::int64_t min, std::int64_t max)
     {
-        return std::uniform_int_distribution<std::int64_t>(least, most)(engine_);
+        return std::uniform_int_distribution<std::int64_t>(min, max)(engine_);
     }
 
 private:
     std::mt19937_64 engine_;
 };
 
-/// Milliseconds since 1970, for records.
+/// \return the wall time in ms since 1970, for records.
 std::int64_t unix_ms();
 
 /// One running stand-in.
 struct standin
 {
-    static constexpr std::size_t largest_body = 8u << 20; ///< bytes
+    static constexpr std::size_t max_body_bytes = 8u << 20; ///< bytes
 
     explicit standin(common_settings s) : settings(std::move(s))
     {
@@ -67,22 +69,22 @@
 
     common_settings settings;
     event_loop loop;
-    http_server server{loop, largest_body};
+    http_server server{loop, max_body_bytes};
 
-    /// Prints the line by which a driver learns that this program is ready, and runs the loop
-    /// until SIGTERM or SIGINT.
+    /// Prints the line that tells a driver that the program is ready, and runs the loop until
+    /// SIGTERM or SIGINT.
     void serve(const listener& service, const listener& control);
 };
 
-/// One command line option; all have a value.
+/// One command line option. All options have a value.
 struct option
 {
     std::string name;
     std::string help;
-    std::string standard; ///< value when it isn't given
+    std::string default_value; ///< default value
 };
 
-/// The command line, read.
+/// The parsed command line.
 class option_values
 {
 public:
@@ -90,16 +92,18 @@
     {
     }
 
+    /// \return the value of an option that exists.
     const std::string& text(const std::string& name) const;
-    /// \return the value; throws std::invalid_argument when it is no whole number from 0 on.
+    /// \return the value as a number.
+    /// \throw std::invalid_argument if the value is not a non-negative integer
     std::int64_t number(const std::string& name) const;
 
 private:
     std::map<std::string, std::string> values_;
 };
 
-/// Reads the command line (the common options and \p own) and runs \p body.
-/// \return the program's exit code: 0, or 2 for wrong options.
+/// Parses the command line (the common options and \p own) and runs \p body.
+/// \return the program's exit code: 0, or 2 for invalid options.
 int run_standin(int argc,
     char** argv,
     const std::string& about,
--- a/testing/standin_support/include/standin_support/test_client.hpp
+++ b/testing/standin_support/include/standin_support/test_client.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// A raw HTTP client for the stand-ins' own tests. It turns the server's loop while it waits, so
-/// that a test needs one thread only and sees each byte.
+/// A raw HTTP client for the stand-ins' own tests. The client runs the server's loop while it
+/// waits, so that a test needs only one thread and can check each byte.
 #pragma once
 
 #include "standin_support/event_loop.hpp"
@@ -11,6 +11,7 @@
 namespace camphorhitch::standin_support
 {
 
+/// One client connection.
 class test_client
 {
 public:
@@ -19,25 +20,25 @@
     test_client(const test_client&) = delete;
     test_client& operator=(const test_client&) = delete;
 
-    /// Whether the connection was accepted.
+    /// \return whether the connection was accepted.
     bool is_connected() const
     {
         return connected_;
     }
 
-    /// \param fields whole lines, each with its CR LF.
+    /// Sends a request. \param fields complete header lines, each with its CR LF
     void send(const std::string& method,
         const std::string& path,
         const std::string& body = "",
         const std::string& fields = "");
 
-    /// Turns the loop until \p text has come; what came up to its end is taken.
-    /// \return what came, or an empty string when the connection was closed before or nothing
-    /// came for too long.
+    /// Runs the loop until \p text has been received, and removes everything up to the end of
+    /// \p text from the received bytes.
+    /// \return the removed bytes; empty if the connection was closed before, or after a time-out.
     std::string read_through(const std::string& text);
 
     /// Reads one answer with a Content-Length.
-    /// \return its status and body, as "200 {...}", or "closed", or "silent".
+    /// \return status and body, as "200 {...}", or "closed", or "silent" after a time-out.
     std::string read_answer();
 
     /// send() and read_answer().
@@ -46,25 +47,26 @@
         const std::string& body = "",
         const std::string& fields = "");
 
-    /// Waits until the other side closes the connection.
-    /// \return false when it doesn't.
+    /// Waits until the server closes the connection.
+    /// \return false after a time-out.
     bool is_closed();
 
     void close();
 
 private:
-    /// Turns the loop once and takes what has come.
-    void turn();
-    bool wait_for(const std::function<bool()>& holds);
+    /// Reads the bytes that are available.
+    void receive_available();
+    bool wait_for(const std::function<bool()>& condition);
 
     event_loop& loop_;
     int fd_ = -1;
     bool connected_ = false;
     bool ended_ = false;
-    std::string come_;
+    std::string received_;
 };
 
-/// Turns \p loop until \p holds, for at most a few seconds.
-bool turn_until(event_loop& loop, const std::function<bool()>& holds);
+/// Runs \p loop until \p condition is true, for at most a few seconds.
+/// \return whether \p condition became true.
+bool run_until(event_loop& loop, const std::function<bool()>& condition);
 
 } // namespace camphorhitch::standin_support
--- a/testing/standin_support/src/answers.cpp
+++ b/testing/standin_support/src/answers.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-ssize_t read_half(void* cls, std::uint64_t at, char* buf, std::size_t room)
+ssize_t read_half(void* cls, std::uint64_t at, char* buf, std::size_t max_size)
 {
     const auto& body = *static_cast<std::string*>(cls);
     const auto end = body.size() / 2;
@@ -17,7 +17,7 @@
     {
         return MHD_CONTENT_READER_END_WITH_ERROR;
     }
-    const auto n = std::min(room, end - static_cast<std::size_t>(at));
+    const auto n = std::min(max_size, end - static_cast<std::size_t>(at));
     std::memcpy(buf, body.data() + at, n);
     return static_cast<ssize_t>(n);
 }
--- a/testing/standin_support/src/event_loop.cpp
+++ b/testing/standin_support/src/event_loop.cpp
@@ -15,8 +15,8 @@
 namespace
 {
 
-constexpr int events_per_turn = 256;
-constexpr core::millis longest_sleep{1000};
+constexpr int events_per_iteration = 256;
+constexpr core::millis max_sleep{1000};
 
 } // namespace
 
@@ -36,25 +36,25 @@
     return core::mono_time{std::chrono::duration_cast<core::micros>(t)};
 }
 
-void event_loop::after(core::millis delay, action act)
+void event_loop::after(core::millis delay, action callback)
 {
-    timers_.emplace(now() + delay, std::move(act));
+    timers_.emplace(now() + delay, std::move(callback));
 }
 
-void event_loop::every(core::millis interval, action act)
+void event_loop::every(core::millis interval, action callback)
 {
     after(interval,
-        [this, interval, act = std::move(act)]
+        [this, interval, callback = std::move(callback)]
         {
-            act();
-            every(interval, act);
+            callback();
+            every(interval, callback);
         });
 }
 
-void event_loop::watch(int fd, std::uint32_t events, descriptor_action act)
+void event_loop::watch(int fd, std::uint32_t events, descriptor_action callback)
 {
     const auto token = ++last_token_;
-    watched_[token] = std::make_shared<watched>(watched{fd, std::move(act)});
+    watched_[token] = std::make_shared<watched>(watched{fd, std::move(callback)});
     tokens_[fd] = token;
     epoll_event event{};
     event.events = events;
@@ -62,7 +62,7 @@
     core::require(epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &event) == 0, "epoll_ctl failed");
 }
 
-void event_loop::forget(int fd)
+void event_loop::unwatch(int fd)
 {
     const auto it = tokens_.find(fd);
     if (it == tokens_.end())
@@ -79,13 +79,13 @@
     driver_ = std::move(d);
 }
 
-int event_loop::sleep_bound(core::millis longest) const
+int event_loop::sleep_bound(core::millis max_wait) const
 {
-    auto bound = longest;
+    auto bound = max_wait;
     if (!timers_.empty())
     {
-        const auto left = std::chrono::ceil<core::millis>(timers_.begin()->first - now());
-        bound = std::min(bound, std::max(left, core::millis{0}));
+        const auto remaining = std::chrono::ceil<core::millis>(timers_.begin()->first - now());
+        bound = std::min(bound, std::max(remaining, core::millis{0}));
     }
     if (driver_.timeout)
     {
@@ -104,20 +104,20 @@
     }
 }
 
-void event_loop::turn(core::millis longest)
+void event_loop::run_once(core::millis max_wait)
 {
-    std::array<epoll_event, events_per_turn> events{};
-    const int n = epoll_wait(epoll_, events.data(), events_per_turn, sleep_bound(longest));
+    std::array<epoll_event, events_per_iteration> events{};
+    const int n = epoll_wait(epoll_, events.data(), events_per_iteration, sleep_bound(max_wait));
     for (int i = 0; i < n; ++i)
     {
         const auto& event = events[static_cast<std::size_t>(i)];
-        // A token, not the descriptor: an action before this one may have closed the descriptor,
-        // and its number may stand for a newer connection by now.
+        // Events are identified by a token instead of the descriptor: an earlier action of this
+        // iteration may have closed the descriptor, and a newer connection may have its number now.
         const auto it = watched_.find(event.data.u64);
         if (it != watched_.end())
         {
             const auto kept = it->second;
-            kept->act(event.events);
+            kept->callback(event.events);
         }
     }
     run_due();
@@ -131,7 +131,7 @@
 {
     while (!stopped_)
     {
-        turn(longest_sleep);
+        run_once(max_sleep);
     }
 }
 
--- a/testing/standin_support/src/exchange.cpp
+++ b/testing/standin_support/src/exchange.cpp
@@ -10,10 +10,11 @@
 namespace
 {
 
-/// Calls \p act at most once, also when it comes back here.
-void call_once(std::function<void()>& act)
+/// Calls \p callback at most once, even if the call leads to another call_once() of the same
+/// function.
+void call_once(std::function<void()>& callback)
 {
-    const auto taken = std::exchange(act, nullptr);
+    const auto taken = std::exchange(callback, nullptr);
     if (taken)
     {
         taken();
@@ -63,13 +64,13 @@
 void exchange::respond(ports::http_response r)
 {
     response_ = std::move(r);
-    end(ending::answer);
+    end(end_kind::answer);
 }
 
 void exchange::truncate(ports::http_response r)
 {
     response_ = std::move(r);
-    end(ending::truncated);
+    end(end_kind::truncated);
 }
 
 void exchange::send_raw(const std::string& bytes)
@@ -78,12 +79,12 @@
     {
         ::send(wire_->fd, bytes.data(), bytes.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
     }
-    end(ending::cut);
+    end(end_kind::cut);
 }
 
 void exchange::cut()
 {
-    end(ending::cut);
+    end(end_kind::cut);
 }
 
 std::shared_ptr<byte_stream> exchange::stream(int status, const std::string& content_type)
@@ -91,7 +92,7 @@
     stream_ = std::make_shared<byte_stream>();
     response_.status = status;
     response_.fields = {{"Content-Type", content_type}};
-    end(ending::stream);
+    end(end_kind::stream);
     return stream_;
 }
 
@@ -100,9 +101,9 @@
     return wire_ != nullptr && wire_->silent;
 }
 
-void exchange::end(ending how)
+void exchange::end(end_kind how)
 {
-    if (how_ == ending::open)
+    if (how_ == end_kind::open)
     {
         how_ = how;
         wake();
--- a/testing/standin_support/src/faults.cpp
+++ b/testing/standin_support/src/faults.cpp
@@ -27,7 +27,7 @@
 } // namespace
 
 fault_gate::fault_gate(standin& s, std::function<void()> on_outage_end)
-    : standin_(s), on_outage_end_(std::move(on_outage_end)), dice_(s.settings.seed)
+    : standin_(s), on_outage_end_(std::move(on_outage_end)), random_(s.settings.seed)
 {
 }
 
@@ -35,7 +35,7 @@
 {
     inner_ = std::move(inner);
     port_ = &standin_.server.listen(
-        standin_.settings.port, [this](const exchange_ptr& held) { admit(held); });
+        standin_.settings.port, [this](const exchange_ptr& pending) { admit(pending); });
     return *port_;
 }
 
@@ -45,53 +45,53 @@
     return member != nullptr && partition_.contains(*member);
 }
 
-void fault_gate::admit(const exchange_ptr& held)
+void fault_gate::admit(const exchange_ptr& pending)
 {
-    if (out_)
+    if (in_outage_)
     {
-        fail(held, mode_);
+        fail(pending, mode_);
         return;
     }
-    if (is_partitioned(held->request))
+    if (is_partitioned(pending->request))
     {
-        fail(held, partition_mode_);
+        fail(pending, partition_mode_);
         return;
     }
-    if (dice_.chance(drop_requests_))
+    if (random_.chance(drop_requests_))
     {
-        held->cut();
+        pending->cut();
         return;
     }
     if (slow_ == core::millis{0})
     {
-        inner_(held);
+        inner_(pending);
         return;
     }
-    // A caller that gives up while it waits here gets its write done all the same, as in a real
-    // service whose queue is long.
-    const auto serve_late = [this, held]
+    // A write is done even if its caller has closed the connection during the delay, as in a real
+    // service with a long queue.
+    const auto serve_late = [this, pending]
     {
-        if (out_)
+        if (in_outage_)
         {
-            fail(held, mode_);
+            fail(pending, mode_);
             return;
         }
-        inner_(held);
+        inner_(pending);
     };
     standin_.loop.after(slow_, serve_late);
 }
 
-void fault_gate::fail(const exchange_ptr& held, outage_mode mode)
+void fault_gate::fail(const exchange_ptr& pending, outage_mode mode)
 {
     if (mode == outage_mode::hang)
     {
-        hung_.push_back(held);
+        hung_.push_back(pending);
         return;
     }
-    held->cut();
+    pending->cut();
 }
 
-bool fault_gate::loses(const std::string& key)
+bool fault_gate::loses_answer(const std::string& key)
 {
     if (!key.starts_with(lose_prefix_))
     {
@@ -102,26 +102,26 @@
         --lose_next_;
         return true;
     }
-    return dice_.chance(lose_answers_);
+    return random_.chance(lose_answers_);
 }
 
 void fault_gate::answer_write(
-    const exchange_ptr& held, const std::string& key, const ports::http_response& r)
+    const exchange_ptr& pending, const std::string& key, const ports::http_response& r)
 {
-    if (loses(key))
+    if (loses_answer(key))
     {
         ++lost_answers_;
-        held->cut();
+        pending->cut();
         return;
     }
-    held->respond(r);
+    pending->respond(r);
 }
 
 void fault_gate::begin_outage(core::millis length, outage_mode mode)
 {
-    out_ = true;
+    in_outage_ = true;
     mode_ = mode;
-    const auto number = ++outage_;
+    const auto number = ++last_outage_;
     if (mode == outage_mode::hang)
     {
         port_->silence([] { return true; });
@@ -136,7 +136,7 @@
     }
     const auto end = [this, number]
     {
-        if (number == outage_)
+        if (number == last_outage_)
         {
             end_outage();
         }
@@ -146,7 +146,7 @@
 
 void fault_gate::end_outage()
 {
-    out_ = false;
+    in_outage_ = false;
     for (const auto& it : std::exchange(hung_, {}))
     {
         it->cut();
@@ -170,9 +170,9 @@
         {
             begin_outage(core::millis{outage_ms}, mode);
         }
-        else if (out_)
+        else if (in_outage_)
         {
-            ++outage_;
+            ++last_outage_;
             end_outage();
         }
     }
@@ -194,7 +194,7 @@
     std::int64_t seed = 0;
     if (command.read("seed", seed))
     {
-        dice_.reseed(static_cast<std::uint64_t>(seed));
+        random_.reseed(static_cast<std::uint64_t>(seed));
     }
 }
 
--- a/testing/standin_support/src/http_server.cpp
+++ b/testing/standin_support/src/http_server.cpp
@@ -17,7 +17,7 @@
 namespace
 {
 
-constexpr unsigned most_connections = 15000;
+constexpr unsigned max_connections = 15000;
 
 MHD_Result add_field(void* cls, MHD_ValueKind, const char* name, const char* text)
 {
@@ -28,7 +28,7 @@
 
 } // namespace
 
-/// libmicrohttpd's callbacks, gathered so that the classes need one friend only.
+/// All callbacks of libmicrohttpd, in one struct so that the classes need only one friend.
 struct server_callbacks
 {
     static connection* connection_of(http_server& server, MHD_Connection* wire)
@@ -53,7 +53,7 @@
             return;
         }
         --c->owner->counts_.open;
-        server.loop_.forget(c->fd);
+        server.loop_.unwatch(c->fd);
         server.connections_.erase(c->fd);
     }
 
@@ -78,103 +78,103 @@
         std::size_t* size,
         void** state)
     {
-        const auto held = *static_cast<exchange_ptr*>(*state);
-        if (held->wire_->silent)
+        const auto pending = *static_cast<exchange_ptr*>(*state);
+        if (pending->wire_->silent)
         {
-            return suspend(wire, *held);
+            return suspend(wire, *pending);
         }
-        if (held->how_ != exchange::ending::open)
+        if (pending->how_ != exchange::end_kind::open)
         {
-            return finish(wire, held);
+            return finish(wire, pending);
         }
-        if (held->request.method.empty())
+        if (pending->request.method.empty())
         {
-            held->request.method = method;
-            MHD_get_connection_values(wire, MHD_HEADER_KIND, &add_field, &held->request.fields);
+            pending->request.method = method;
+            MHD_get_connection_values(wire, MHD_HEADER_KIND, &add_field, &pending->request.fields);
             return MHD_YES;
         }
         if (*size != 0)
         {
-            add_body(*static_cast<http_server*>(cls), *held, {upload, *size});
+            add_body(*static_cast<http_server*>(cls), *pending, {upload, *size});
             *size = 0;
             return MHD_YES;
         }
-        return dispatch(wire, held);
+        return dispatch(wire, pending);
     }
 
-    static void add_body(http_server& server, exchange& held, std::string_view bytes)
+    static void add_body(http_server& server, exchange& pending, std::string_view bytes)
     {
-        held.too_large_ =
-            held.too_large_ || held.request.body.size() + bytes.size() > server.largest_body_;
-        if (!held.too_large_)
+        pending.too_large_ = pending.too_large_ ||
+                             pending.request.body.size() + bytes.size() > server.max_body_bytes_;
+        if (!pending.too_large_)
         {
-            held.request.body += bytes;
+            pending.request.body += bytes;
         }
     }
 
-    static MHD_Result dispatch(MHD_Connection* wire, const exchange_ptr& held)
+    static MHD_Result dispatch(MHD_Connection* wire, const exchange_ptr& pending)
     {
-        if (held->too_large_)
+        if (pending->too_large_)
         {
-            held->respond({413, {}, "{\"error\":\"the request is too large\"}\n"});
+            pending->respond({413, {}, "{\"error\":\"the request is too large\"}\n"});
         }
-        else if (!std::exchange(held->dispatched_, true))
+        else if (!std::exchange(pending->dispatched_, true))
         {
-            held->wire_->owner->handler_(held);
+            pending->wire_->owner->handler_(pending);
         }
-        if (held->how_ == exchange::ending::open || held->wire_->silent)
+        if (pending->how_ == exchange::end_kind::open || pending->wire_->silent)
         {
-            if (!held->wire_->peer_closed)
+            if (!pending->wire_->peer_closed)
             {
-                return suspend(wire, *held);
+                return suspend(wire, *pending);
             }
-            held->cut();
+            pending->cut();
         }
-        return finish(wire, held);
+        return finish(wire, pending);
     }
 
-    static MHD_Result suspend(MHD_Connection* wire, exchange& held)
+    static MHD_Result suspend(MHD_Connection* wire, exchange& pending)
     {
-        if (!std::exchange(held.suspended_, true))
+        if (!std::exchange(pending.suspended_, true))
         {
             MHD_suspend_connection(wire);
         }
         return MHD_YES;
     }
 
-    static MHD_Result finish(MHD_Connection* wire, const exchange_ptr& held)
+    static MHD_Result finish(MHD_Connection* wire, const exchange_ptr& pending)
     {
-        switch (held->how_)
+        switch (pending->how_)
         {
-        case exchange::ending::answer:
-            return queue_whole(wire, held->response_);
-        case exchange::ending::truncated:
-            return queue_truncated(wire, held->response_);
-        case exchange::ending::stream:
-            return start_stream(wire, held);
-        case exchange::ending::open:
-        case exchange::ending::cut:
+        case exchange::end_kind::answer:
+            return queue_whole(wire, pending->response_);
+        case exchange::end_kind::truncated:
+            return queue_truncated(wire, pending->response_);
+        case exchange::end_kind::stream:
+            return start_stream(wire, pending);
+        case exchange::end_kind::open:
+        case exchange::end_kind::cut:
             break;
         }
         return MHD_NO;
     }
 
-    static MHD_Result start_stream(MHD_Connection* wire, const exchange_ptr& held)
+    static MHD_Result start_stream(MHD_Connection* wire, const exchange_ptr& pending)
     {
-        held->stream_->wire_ = wire;
+        pending->stream_->wire_ = wire;
         auto* const response = MHD_create_response_from_callback(MHD_SIZE_UNKNOWN,
             answer_block_size,
             &read_stream,
-            new exchange_ptr(held),
+            new exchange_ptr(pending),
             [](void* cls) { delete static_cast<exchange_ptr*>(cls); });
-        return queue(wire, held->response_, response);
+        return queue(wire, pending->response_, response);
     }
 
-    static ssize_t read_stream(void* cls, std::uint64_t, char* buf, std::size_t room)
+    static ssize_t read_stream(void* cls, std::uint64_t, char* buf, std::size_t max_size)
     {
-        const auto& held = *static_cast<exchange_ptr*>(cls);
-        auto& stream = *held->stream_;
-        if (!stream.open_ || (held->wire_ != nullptr && held->wire_->peer_closed))
+        const auto& pending = *static_cast<exchange_ptr*>(cls);
+        auto& stream = *pending->stream_;
+        if (!stream.open_ || (pending->wire_ != nullptr && pending->wire_->peer_closed))
         {
             return MHD_CONTENT_READER_END_WITH_ERROR;
         }
@@ -182,13 +182,13 @@
         {
             return MHD_CONTENT_READER_END_OF_STREAM;
         }
-        if (stream.pending_.empty() || held->is_silent())
+        if (stream.pending_.empty() || pending->is_silent())
         {
             stream.waiting_ = true;
             MHD_suspend_connection(stream.wire_);
             return 0;
         }
-        const auto n = stream.pending_.copy(buf, room);
+        const auto n = stream.pending_.copy(buf, max_size);
         stream.pending_.erase(0, n);
         return static_cast<ssize_t>(n);
     }
@@ -200,30 +200,30 @@
         {
             return;
         }
-        const auto held = std::move(*holder);
+        const auto pending = std::move(*holder);
         delete holder;
         *state = nullptr;
-        if (held->wire_ != nullptr)
+        if (pending->wire_ != nullptr)
         {
-            held->wire_->current.reset();
-            held->wire_ = nullptr;
+            pending->wire_->current.reset();
+            pending->wire_ = nullptr;
         }
-        if (held->stream_)
+        if (pending->stream_)
         {
-            held->stream_->end();
+            pending->stream_->end();
         }
-        tell_gone(*held);
+        notify_gone(*pending);
     }
 
-    static void tell_gone(exchange& held)
+    static void notify_gone(exchange& pending)
     {
-        if (held.how_ != exchange::ending::open)
+        if (pending.how_ != exchange::end_kind::open)
         {
             return;
         }
-        held.how_ = exchange::ending::cut;
-        held.gone_ = true;
-        const auto tell = std::exchange(held.on_gone, nullptr);
+        pending.how_ = exchange::end_kind::cut;
+        pending.gone_ = true;
+        const auto tell = std::exchange(pending.on_gone, nullptr);
         if (tell)
         {
             tell();
@@ -231,8 +231,8 @@
     }
 };
 
-http_server::http_server(event_loop& loop, std::size_t largest_body)
-    : loop_(loop), largest_body_(largest_body)
+http_server::http_server(event_loop& loop, std::size_t max_body_bytes)
+    : loop_(loop), max_body_bytes_(max_body_bytes)
 {
     daemon_ = MHD_start_daemon(MHD_USE_EPOLL | MHD_USE_NO_LISTEN_SOCKET | MHD_ALLOW_SUSPEND_RESUME,
         0,
@@ -241,7 +241,7 @@
         &server_callbacks::on_access,
         this,
         MHD_OPTION_CONNECTION_LIMIT,
-        most_connections,
+        max_connections,
         MHD_OPTION_URI_LOG_CALLBACK,
         &server_callbacks::on_uri,
         this,
@@ -269,7 +269,7 @@
 
 http_server::~http_server()
 {
-    // The services are gone by now: nothing may call back into them.
+    // The services have been destroyed already, so their callbacks must not be called any more.
     for (auto& [fd, it] : connections_)
     {
         if (it->current)
@@ -287,7 +287,7 @@
         it->cut_connections();
     }
     loop_.set_driver({});
-    loop_.forget(MHD_get_daemon_info(daemon_, MHD_DAEMON_INFO_EPOLL_FD)->epoll_fd);
+    loop_.unwatch(MHD_get_daemon_info(daemon_, MHD_DAEMON_INFO_EPOLL_FD)->epoll_fd);
     MHD_stop_daemon(daemon_);
 }
 
@@ -306,7 +306,7 @@
     auto& counts = owner.counts_;
     ++counts.total;
     ++counts.open;
-    counts.most = std::max(counts.most, counts.open);
+    counts.max_open = std::max(counts.max_open, counts.open);
     loop_.watch(fd, EPOLLRDHUP | EPOLLET, [this, fd](std::uint32_t) { on_peer_closed(fd); });
     sockaddr_in peer{};
     socklen_t n = sizeof peer;
@@ -315,14 +315,14 @@
     if (ec != MHD_YES && connections_.contains(fd))
     {
         --counts.open;
-        loop_.forget(fd);
+        loop_.unwatch(fd);
         connections_.erase(fd);
     }
 }
 
-// libmicrohttpd doesn't look at a suspended connection, so a caller that went away would hold its
-// descriptor and its watch for ever; we look ourselves and wake the connection, and then
-// libmicrohttpd sees the end.
+// libmicrohttpd does not check suspended connections, so the descriptor and the watch of a caller
+// that has closed its connection would be held forever. The server therefore detects the close and
+// resumes the connection; libmicrohttpd then ends it.
 void http_server::on_peer_closed(int fd)
 {
     const auto found = connections_.find(fd);
@@ -333,17 +333,17 @@
     auto& c = *found->second;
     c.peer_closed = true;
     c.silent = false;
-    const auto held = c.current;
-    if (!held || !held->suspended_)
+    const auto pending = c.current;
+    if (!pending || !pending->suspended_)
     {
-        if (held && held->stream_)
+        if (pending && pending->stream_)
         {
-            held->stream_->cut();
+            pending->stream_->cut();
         }
         return;
     }
-    server_callbacks::tell_gone(*held);
-    held->wake();
+    server_callbacks::notify_gone(*pending);
+    pending->wake();
 }
 
 } // namespace camphorhitch::standin_support
--- a/testing/standin_support/src/listener.cpp
+++ b/testing/standin_support/src/listener.cpp
@@ -48,8 +48,8 @@
 } // namespace
 
 listener::listener(http_server& server, std::uint16_t port, exchange_handler handler)
-    : server_(server), handler_(std::move(handler)), holder_(bound_socket(port)),
-      port_(port_of(holder_))
+    : server_(server), handler_(std::move(handler)), reserving_socket_(bound_socket(port)),
+      port_(port_of(reserving_socket_))
 {
     open();
 }
@@ -57,7 +57,7 @@
 listener::~listener()
 {
     close();
-    ::close(holder_);
+    ::close(reserving_socket_);
 }
 
 void listener::open()
@@ -75,7 +75,7 @@
 {
     if (socket_ >= 0)
     {
-        server_.loop_.forget(socket_);
+        server_.loop_.unwatch(socket_);
         ::close(std::exchange(socket_, -1));
     }
 }
@@ -105,13 +105,13 @@
         }
         it->silent = false;
         ::shutdown(fd, SHUT_RDWR);
-        if (const auto held = it->current)
+        if (const auto pending = it->current)
         {
-            held->end(exchange::ending::cut);
-            held->wake();
-            if (held->stream_)
+            pending->end(exchange::end_kind::cut);
+            pending->wake();
+            if (pending->stream_)
             {
-                held->stream_->cut();
+                pending->stream_->cut();
             }
         }
     }
--- a/testing/standin_support/src/program.cpp
+++ b/testing/standin_support/src/program.cpp
@@ -18,7 +18,7 @@
 
 constexpr int exit_usage = 2;
 
-/// Blocks the signals that end a stand-in, in this thread and those that it starts later.
+/// Blocks the signals that stop a stand-in, in this thread and in threads that it starts later.
 sigset_t block_stop_signals()
 {
     sigset_t stops;
@@ -62,7 +62,7 @@
     std::cout << "event=listening port=" << service.port() << " control_port=" << control.port()
               << std::endl;
     loop.run();
-    loop.forget(fd);
+    loop.unwatch(fd);
     close(fd);
 }
 
@@ -95,8 +95,9 @@
     options.add_options()("help", "print this");
     for (const auto& it : own)
     {
-        // All as text: cxxopts' own reading of numbers gives a false warning with g++ 12.
-        const auto value = cxxopts::value<std::string>()->default_value(it.standard);
+        // All values are read as text, because cxxopts' number parser causes a false warning with
+        // g++ 12.
+        const auto value = cxxopts::value<std::string>()->default_value(it.default_value);
         options.add_options()(it.name, it.help, value);
     }
     try
--- a/testing/standin_support/src/router.cpp
+++ b/testing/standin_support/src/router.cpp
@@ -31,11 +31,12 @@
 
 } // namespace
 
-route simple_route(std::string method, std::string pattern, simple_action act)
+route simple_route(std::string method, std::string pattern, simple_action handler)
 {
-    const auto answer = [act = std::move(act)](const exchange_ptr& held, const path_parts&)
+    const auto answer = [handler = std::move(handler)](
+                            const exchange_ptr& pending, const path_parts&)
     {
-        held->respond(act(held->request));
+        pending->respond(handler(pending->request));
     };
     return {std::move(method), std::move(pattern), answer};
 }
@@ -65,23 +66,24 @@
 
 exchange_handler make_router(std::string token, std::vector<route> routes)
 {
-    return [token = std::move(token), routes = std::move(routes)](const exchange_ptr& held)
+    return [token = std::move(token), routes = std::move(routes)](const exchange_ptr& pending)
     {
-        if (!is_authorized(held->request, token))
+        if (!is_authorized(pending->request, token))
         {
-            held->respond(error_response(401, "no or wrong token"));
+            pending->respond(error_response(401, "no or wrong token"));
             return;
         }
         path_parts parts;
         for (const auto& it : routes)
         {
-            if (it.method == held->request.method && matches(it.pattern, held->request.path, parts))
+            if (it.method == pending->request.method &&
+                matches(it.pattern, pending->request.path, parts))
             {
-                it.act(held, parts);
+                it.handler(pending, parts);
                 return;
             }
         }
-        held->respond(error_response(404, "no such path"));
+        pending->respond(error_response(404, "no such path"));
     };
 }
 
--- a/testing/standin_support/src/test_client.cpp
+++ b/testing/standin_support/src/test_client.cpp
@@ -12,12 +12,12 @@
 namespace
 {
 
-constexpr core::millis longest_wait{5000};
-constexpr core::millis turn_wait{20};
+constexpr core::millis max_wait{5000};
+constexpr core::millis iteration_wait{20};
 constexpr std::string_view head_end = "\r\n\r\n";
 constexpr std::string_view length_field = "Content-Length: ";
 
-/// \return the body's length that \p head announces.
+/// \return the length of the body according to \p head; 0 without Content-Length.
 std::size_t announced_length(const std::string& head)
 {
     std::size_t n = 0;
@@ -31,16 +31,16 @@
 
 } // namespace
 
-bool turn_until(event_loop& loop, const std::function<bool()>& holds)
+bool run_until(event_loop& loop, const std::function<bool()>& condition)
 {
-    const auto last = loop.now() + longest_wait;
-    while (!holds())
+    const auto last = loop.now() + max_wait;
+    while (!condition())
     {
         if (loop.now() > last)
         {
             return false;
         }
-        loop.turn(turn_wait);
+        loop.run_once(iteration_wait);
     }
     return true;
 }
@@ -84,39 +84,39 @@
         sent += n > 0 ? static_cast<std::size_t>(n) : 0;
         return sent == text.size();
     };
-    turn_until(loop_, send_some);
+    run_until(loop_, send_some);
 }
 
-void test_client::turn()
+void test_client::receive_available()
 {
     std::array<char, 65536> buf{};
     const auto n = ::recv(fd_, buf.data(), buf.size(), MSG_DONTWAIT);
     if (n > 0)
     {
-        come_.append(buf.data(), static_cast<std::size_t>(n));
+        received_.append(buf.data(), static_cast<std::size_t>(n));
     }
     ended_ = ended_ || n == 0 || (n < 0 && errno != EAGAIN);
 }
 
-bool test_client::wait_for(const std::function<bool()>& holds)
+bool test_client::wait_for(const std::function<bool()>& condition)
 {
-    const auto held = [&]
+    const auto is_done = [&]
     {
-        turn();
-        return holds() || ended_;
+        receive_available();
+        return condition() || ended_;
     };
-    return turn_until(loop_, held) && holds();
+    return run_until(loop_, is_done) && condition();
 }
 
 std::string test_client::read_through(const std::string& text)
 {
-    if (!wait_for([&] { return come_.find(text) != std::string::npos; }))
+    if (!wait_for([&] { return received_.find(text) != std::string::npos; }))
     {
         return "";
     }
-    const auto end = come_.find(text) + text.size();
-    auto taken = come_.substr(0, end);
-    come_.erase(0, end);
+    const auto end = received_.find(text) + text.size();
+    auto taken = received_.substr(0, end);
+    received_.erase(0, end);
     return taken;
 }
 
@@ -128,12 +128,12 @@
         return ended_ ? "closed" : "silent";
     }
     const auto n = announced_length(head);
-    if (!wait_for([&] { return come_.size() >= n; }))
+    if (!wait_for([&] { return received_.size() >= n; }))
     {
         return "cut short";
     }
-    const auto body = come_.substr(0, n);
-    come_.erase(0, n);
+    const auto body = received_.substr(0, n);
+    received_.erase(0, n);
     const auto status = head.substr(head.find(' ') + 1, 3);
     return status + " " + body;
 }
--- a/testing/standin_support/tests/http_server_tests.cpp
+++ b/testing/standin_support/tests/http_server_tests.cpp
@@ -18,7 +18,7 @@
 
     void await_request()
     {
-        CHECK(turn_until(loop, [this] { return last != nullptr; }));
+        CHECK(run_until(loop, [this] { return last != nullptr; }));
     }
 };
 
@@ -65,7 +65,7 @@
         client.send("GET", "/");
         await_request();
         it.end(*last);
-        it.end(*last); // a second end does nothing
+        it.end(*last); // The second end has no effect.
         STRCMP_EQUAL(it.seen, client.read_answer().c_str());
     }
 }
@@ -77,7 +77,7 @@
     CHECK(last == nullptr);
 }
 
-TEST(http_server, streams_bit_by_bit_until_either_side_ends)
+TEST(http_server, streams_in_parts_until_either_side_ends)
 {
     test_client client(loop, port.port());
     client.send("POST", "/");
@@ -94,12 +94,12 @@
         STRCMP_CONTAINS(it, client.read_through(it).c_str());
     }
     client.close();
-    CHECK(turn_until(loop, [&ended] { return ended; }));
+    CHECK(run_until(loop, [&ended] { return ended; }));
 }
 
-// The caller goes away while its request waits here. The server isn't reading from that connection
-// then, so without its own look-out for closed peers it would learn of it only when it answers.
-TEST(http_server, caller_that_goes_away_is_noticed)
+// A caller closes its connection while its request is pending. The server does not read from that
+// connection then; without its own detection it would notice the close only when it answers.
+TEST(http_server, close_by_the_caller_is_detected)
 {
     test_client client(loop, port.port());
     client.send("GET", "/");
@@ -110,13 +110,13 @@
         gone = true;
     };
     client.close();
-    CHECK(turn_until(loop, [&gone] { return gone; }));
-    CHECK(turn_until(loop, [this] { return port.counts().open == 0; }));
+    CHECK(run_until(loop, [&gone] { return gone; }));
+    CHECK(run_until(loop, [this] { return port.counts().open == 0; }));
 }
 
-// Something between the two ends forgets the old connection: what the caller sends there is
-// swallowed and no answer comes, not even the one that was under way; new connections work.
-TEST(http_server, silent_connection_swallows_while_new_ones_work)
+// A device between caller and server loses the state of a connection: bytes from the caller are
+// discarded, and no answer arrives, not even to the request in flight. New connections work.
+TEST(http_server, silent_connection_discards_requests_while_new_ones_work)
 {
     test_client old(loop, port.port());
     old.send("GET", "/under-way");
@@ -149,7 +149,7 @@
     await_request();
 }
 
-TEST(http_server, router_asks_for_the_token_first)
+TEST(http_server, router_checks_the_token_first)
 {
     int calls = 0;
     const auto act = [&calls](const ports::http_request&)
--- a/testing/standin_support/tests/json_tests.cpp
+++ b/testing/standin_support/tests/json_tests.cpp
@@ -26,7 +26,7 @@
         core::to_text(reader.finish()).c_str());
 }
 
-TEST(standin_text, reader_takes_integers_as_numbers_or_text)
+TEST(standin_text, reader_accepts_integers_as_numbers_or_text)
 {
     for (const auto* const it : {R"({"n": 9007199254740993})", R"({"n": "9007199254740993"})"})
     {
@@ -38,7 +38,7 @@
     }
 }
 
-TEST(standin_text, patterns_take_whole_parts_of_paths)
+TEST(standin_text, patterns_match_whole_segments_of_paths)
 {
     struct row
     {
--- a/testing/standin_target/src/main.cpp
+++ b/testing/standin_target/src/main.cpp
@@ -14,7 +14,8 @@
 namespace
 {
 
-/// Writes under another name first: a driver that waits for the file never sees half of it.
+/// Writes the ports of all targets to a file. The file is written under another name and renamed,
+/// so that a driver that waits for it never reads an incomplete file.
 void write_ports(const service& targets, const std::string& path)
 {
     nlohmann::json all = nlohmann::json::object();
--- a/testing/standin_target/src/run_ledger.cpp
+++ b/testing/standin_target/src/run_log.cpp
@@ -1,4 +1,4 @@
-#include "run_ledger.hpp"
+#include "run_log.hpp"
 
 #include "core/rendezvous.hpp"
 
@@ -7,7 +7,7 @@
 namespace camphorhitch::standin_target
 {
 
-std::size_t record_run(run_ledger& l, const std::string& id, run r)
+std::size_t record_run(run_log& l, const std::string& id, run r)
 {
     if (id.empty())
     {
@@ -28,7 +28,7 @@
     return all.size();
 }
 
-std::vector<run> runs_of(const run_ledger& l, const std::string& id)
+std::vector<run> runs_of(const run_log& l, const std::string& id)
 {
     const auto twice = l.duplicates.find(id);
     if (twice != l.duplicates.end())
--- a/testing/standin_target/src/service.cpp
+++ b/testing/standin_target/src/service.cpp
@@ -36,7 +36,7 @@
             static_cast<std::uint16_t>(settings.first_port == 0 ? 0 : settings.first_port + i);
         one.slots = settings.slots;
         one.delay = settings.delay;
-        targets_.push_back(std::make_unique<target>(s, ledger_, one));
+        targets_.push_back(std::make_unique<target>(s, run_log_, one));
     }
     using standin_support::simple_route;
     control_port_ = &s.server.listen(s.settings.control_port,
@@ -111,7 +111,7 @@
                 total.value(name, std::uint64_t{0}) + all.back().at(name).get<std::uint64_t>();
         }
     }
-    total["without_id"] = ledger_.without_id;
+    total["without_id"] = run_log_.without_id;
     return json_response(200, {{"targets", all}, {"total", total}});
 }
 
@@ -127,7 +127,7 @@
     json all = json::object();
     for (const auto& it : ids)
     {
-        all[it] = runs_json(runs_of(ledger_, it));
+        all[it] = runs_json(runs_of(run_log_, it));
     }
     return json_response(200, {{"runs", all}});
 }
@@ -135,7 +135,7 @@
 ports::http_response service::duplicates() const
 {
     json all = json::object();
-    for (const auto& [id, runs] : ledger_.duplicates)
+    for (const auto& [id, runs] : run_log_.duplicates)
     {
         all[id] = runs_json(runs);
     }
--- a/testing/standin_target/src/service.hpp
+++ b/testing/standin_target/src/service.hpp
@@ -11,15 +11,18 @@
 namespace camphorhitch::standin_target
 {
 
+/// Settings of all targets.
 struct service_settings
 {
     std::size_t count = 1;
-    std::string prefix = "h";     ///< hosts are <prefix>1, <prefix>2, ...
-    std::uint16_t first_port = 0; ///< 0: free ones
+    std::string prefix = "h"; ///< hosts are <prefix>1, <prefix>2, ...
+    std::uint16_t first_port =
+        0; ///< port of the first target; the others follow. 0: free ports are chosen
     int slots = 8;
-    core::millis delay{5};
+    core::millis delay{5}; ///< service time of requests that do not give one
 };
 
+/// The targets and their control port.
 class service
 {
 public:
@@ -44,7 +47,7 @@
     ports::http_response on_runs(const ports::http_request& r) const;
     ports::http_response duplicates() const;
 
-    run_ledger ledger_;
+    run_log run_log_;
     std::vector<std::unique_ptr<target>> targets_;
     standin_support::listener* control_port_ = nullptr;
 };
--- a/testing/standin_target/src/target.cpp
+++ b/testing/standin_target/src/target.cpp
@@ -22,7 +22,7 @@
 constexpr const char* id_header = "Request-Id";
 constexpr const char* delay_header = "Target-Delay-Ms";
 constexpr const char* size_header = "Target-Answer-Bytes";
-constexpr std::int64_t largest_answer = 64 << 20; ///< bytes
+constexpr std::int64_t max_answer_bytes = 64 << 20; ///< bytes
 
 std::string field(const ports::http_request& r, const char* name)
 {
@@ -48,7 +48,8 @@
     return text;
 }
 
-/// The answer names the host and the request, so that a caller sees a mix-up.
+/// \return an answer with the host and the request's id, so that a caller can detect an answer to
+/// another request.
 ports::http_response echo(
     const std::string& host, const std::string& id, const ports::http_request& r, std::int64_t size)
 {
@@ -57,7 +58,7 @@
     if (size > length)
     {
         body["pad"] =
-            std::string(static_cast<std::size_t>(std::min(size, largest_answer) - length), 'x');
+            std::string(static_cast<std::size_t>(std::min(size, max_answer_bytes) - length), 'x');
     }
     auto answer = json_response(200, body);
     answer.fields.emplace_back(id_header, id);
@@ -66,18 +67,18 @@
 
 } // namespace
 
-target::target(standin_support::standin& s, run_ledger& ledger, target_settings settings)
-    : standin_(s), ledger_(ledger), settings_(std::move(settings)),
-      dice_(s.settings.seed ^ core::stable_hash(settings_.host))
+target::target(standin_support::standin& s, run_log& run_log, target_settings settings)
+    : standin_(s), run_log_(run_log), settings_(std::move(settings)),
+      random_(s.settings.seed ^ core::stable_hash(settings_.host))
 {
-    port_ =
-        &s.server.listen(settings_.port, [this](const exchange_ptr& held) { on_request(held); });
+    port_ = &s.server.listen(
+        settings_.port, [this](const exchange_ptr& pending) { on_request(pending); });
 }
 
 void target::count_run(const ports::http_request& r, const std::string& id)
 {
     const auto now_ms = standin_support::unix_ms();
-    const auto times = record_run(ledger_, id, {settings_.host, now_ms});
+    const auto times = record_run(run_log_, id, {settings_.host, now_ms});
     const auto keyed = ports::find_field(r.fields, key_header) != nullptr;
     counts_.last_request_ms = now_ms;
     ++counts_.runs;
@@ -88,27 +89,27 @@
     }
 }
 
-void target::on_request(const exchange_ptr& held)
+void target::on_request(const exchange_ptr& pending)
 {
-    const auto& r = held->request;
+    const auto& r = pending->request;
     auto id = field(r, key_header);
     if (id.empty())
     {
         id = field(r, id_header);
     }
     count_run(r, id);
-    if (dice_.chance(faults_.fail))
+    if (random_.chance(faults_.fail))
     {
         ++counts_.failures;
-        held->respond(standin_support::error_response(500, "the target fails what it gets"));
+        pending->respond(standin_support::error_response(500, "the target fails what it gets"));
         return;
     }
     ++counts_.running;
     counts_.overloads += counts_.running > settings_.slots ? 1 : 0;
-    counts_.most_running = std::max(counts_.most_running, counts_.running);
+    counts_.max_running = std::max(counts_.max_running, counts_.running);
     const auto number = ++last_service_;
-    const auto hangs = dice_.chance(faults_.hang);
-    held->on_gone = [this, number, hangs]
+    const auto hangs = random_.chance(faults_.hang);
+    pending->on_gone = [this, number, hangs]
     {
         ++counts_.abandoned;
         if (hangs)
@@ -119,7 +120,7 @@
     const core::millis asked{number_field(r, delay_header, settings_.delay.count())};
     const bool crowded = settings_.crowding && counts_.running > settings_.slots;
     const auto delay = crowded ? asked * counts_.running / settings_.slots : asked;
-    services_[number] = {held, std::move(id)};
+    services_[number] = {pending, std::move(id)};
     if (!hangs)
     {
         standin_.loop.after(delay + faults_.slow, [this, number] { finish(number); });
@@ -131,7 +132,7 @@
     auto node = services_.extract(number);
     if (node.empty())
     {
-        return; // cut off when the target went down
+        return; // The target went down and the request was cut off.
     }
     --counts_.running;
     answer(node.mapped());
@@ -139,26 +140,27 @@
 
 void target::answer(const service& done)
 {
-    const auto& held = done.held;
-    const auto& r = held->request;
-    counts_.swallowed += held->is_silent() ? 1 : 0;
+    const auto& pending = done.pending;
+    const auto& r = pending->request;
+    counts_.swallowed += pending->is_silent() ? 1 : 0;
     const auto size = number_field(r, size_header, 0);
-    if (dice_.chance(faults_.cut))
+    if (random_.chance(faults_.cut))
     {
-        held->cut();
+        pending->cut();
     }
-    else if (dice_.chance(faults_.malform))
+    else if (random_.chance(faults_.malform))
     {
-        held->send_raw("HTTP/1.1 2x0 \x01\x02 nonsense\r\nContent-Length: many\r\n\r\n");
+        pending->send_raw("HTTP/1.1 2x0 \x01\x02 nonsense\r\nContent-Length: many\r\n\r\n");
     }
-    else if (dice_.chance(faults_.truncate))
+    else if (random_.chance(faults_.truncate))
     {
-        held->truncate(echo(settings_.host, done.id, r, size));
+        pending->truncate(echo(settings_.host, done.id, r, size));
     }
     else
     {
-        const auto oversized = dice_.chance(faults_.oversize);
-        held->respond(echo(settings_.host, done.id, r, oversized ? faults_.oversize_bytes : size));
+        const auto oversized = random_.chance(faults_.oversize);
+        pending->respond(
+            echo(settings_.host, done.id, r, oversized ? faults_.oversize_bytes : size));
     }
 }
 
@@ -171,12 +173,12 @@
     const auto in_flight = std::exchange(services_, {});
     for (const auto& [number, it] : in_flight)
     {
-        if (!it.held->is_gone())
+        if (!it.pending->is_gone())
         {
             ++counts_.cut_off;
             counts_.cut_off_planned += planned ? 1 : 0;
         }
-        it.held->cut();
+        it.pending->cut();
     }
     counts_.running = 0;
     port_->close();
@@ -211,7 +213,7 @@
         const auto running = counts_.running;
         counts_ = target_counts{};
         counts_.running = running;
-        counts_.most_running = running;
+        counts_.max_running = running;
     }
     command.read_share("hang", faults_.hang);
     command.read_share("fail_all", faults_.fail);
@@ -234,7 +236,7 @@
     double share = 0;
     if (command.read_share("silent", share))
     {
-        port_->silence([this, share] { return dice_.chance(share); });
+        port_->silence([this, share] { return random_.chance(share); });
     }
 }
 
@@ -251,7 +253,7 @@
         {"repeats", counts_.repeats},
         {"failures", counts_.failures},
         {"running", counts_.running},
-        {"most_concurrent", counts_.most_running},
+        {"most_concurrent", counts_.max_running},
         {"overloads", counts_.overloads},
         {"abandoned", counts_.abandoned},
         {"cut_off", counts_.cut_off},
@@ -259,7 +261,7 @@
         {"swallowed", counts_.swallowed},
         {"last_request_ms", counts_.last_request_ms},
         {"connections", connections.open},
-        {"most_connections", connections.most},
+        {"most_connections", connections.max_open},
         {"total_connections", connections.total}};
 }
 
--- a/testing/standin_target/tests/target_tests.cpp
+++ b/testing/standin_target/tests/target_tests.cpp
@@ -38,7 +38,7 @@
 
     void await(std::size_t index, const char* name, std::int64_t value)
     {
-        CHECK(standin_support::turn_until(host.loop, [&] { return stat(index, name) == value; }));
+        CHECK(standin_support::run_until(host.loop, [&] { return stat(index, name) == value; }));
     }
 };
 
@@ -50,8 +50,8 @@
 }
 
 // A request that may run once is sent again, through another entry host, to another target. Each
-// target alone saw it once; the ledger over all of them must see the duplicate.
-TEST(targets, duplicates_are_seen_over_all_targets)
+// target has one run of it; the log of all targets must report the duplicate.
+TEST(targets, duplicates_are_detected_across_targets)
 {
     struct row
     {
@@ -124,15 +124,15 @@
     CHECK_EQUAL(3, stat(0, "most_concurrent"));
     CHECK_EQUAL(1, stat(0, "overloads"));
     CHECK_EQUAL(3, stat(0, "most_connections"));
-    // A slot stays taken when its caller goes away, as the work goes on.
+    // The slot stays in use after the caller has closed its connection, because the work continues.
     third.close();
     await(0, "abandoned", 1);
     CHECK_EQUAL(3, stat(0, "running"));
 }
 
-// A host goes down with two requests in flight, one of whose callers has gone before: the other
-// one's caller sees its connection close, and only that one counts as cut off.
-TEST(targets, going_down_cuts_off_what_is_in_flight)
+// A host goes down with two requests in flight. One caller has closed its connection before. The
+// connection of the other caller must close, and only that request counts as cut off.
+TEST(targets, going_down_cuts_off_requests_in_flight)
 {
     test_client cut(host.loop, port(0));
     test_client gone(host.loop, port(0));
@@ -148,9 +148,9 @@
     CHECK_EQUAL(0, stat(0, "running"));
 }
 
-// The connection is open and idle when it goes silent: the next request on it runs nowhere and is
-// never answered, and a new connection works.
-TEST(targets, silent_connections_swallow_requests)
+// An idle connection becomes silent. The next request on it must not run and not be answered, while
+// new connections work.
+TEST(targets, silent_connections_discard_requests)
 {
     test_client old(host.loop, port(0));
     STRCMP_CONTAINS("200", old.call("GET", "/").c_str());
@@ -161,7 +161,7 @@
     await(0, "connections", 1);
 }
 
-TEST(targets, hung_requests_end_when_their_caller_gives_up)
+TEST(targets, hung_requests_end_when_their_caller_closes_the_connection)
 {
     control(R"({"host":"h1","hang":1})");
     test_client caller(host.loop, port(0));
--- a/testing/standin_worker/src/truth.cpp
+++ b/testing/standin_worker/src/actual_behaviour.cpp
@@ -1,4 +1,4 @@
-#include "truth.hpp"
+#include "actual_behaviour.hpp"
 
 #include "core/rendezvous.hpp"
 
@@ -14,8 +14,8 @@
 /// \return a factor from 1/spread to spread, the same for the same name and seed.
 double drawn_factor(const std::string& name, double spread, std::uint64_t seed)
 {
-    constexpr double most = 18446744073709551615.0;
-    const auto share = static_cast<double>(core::stable_hash(name, seed)) / most;
+    constexpr double max_hash = 18446744073709551615.0;
+    const auto share = static_cast<double>(core::stable_hash(name, seed)) / max_hash;
     return std::pow(spread, 2 * share - 1);
 }
 
@@ -38,32 +38,32 @@
 
 } // namespace
 
-true_nature nature_of(const ports::task_order& order, const behaviour& how)
+actual_behaviour actual_behaviour_of(const ports::task_order& order, const behaviour& settings)
 {
-    // Payloads are opaque to the system, and any text is one; ours may be JSON.
+    // A payload is any text to the system. Tests can use JSON payloads with the members read here.
     auto payload = nlohmann::json::parse(order.payload, nullptr, false);
     if (!payload.is_object())
     {
         payload = nlohmann::json::object();
     }
-    const auto run = number(payload, "run_factor", how.run_factor) *
-                     drawn_factor("run " + order.task, how.run_spread, how.seed);
-    const auto usage = number(payload, "usage_factor", how.usage_factor) *
-                       drawn_factor("usage " + order.task, how.usage_spread, how.seed);
-    true_nature truth;
-    truth.run_time = scaled(order.run_time, run);
-    truth.processors = order.processors * usage;
-    truth.memory_gb = order.memory_gb * usage;
-    truth.kills_host = flag(payload, "kills_host");
+    const auto run = number(payload, "run_factor", settings.run_factor) *
+                     drawn_factor("run " + order.task, settings.run_spread, settings.seed);
+    const auto usage = number(payload, "usage_factor", settings.usage_factor) *
+                       drawn_factor("usage " + order.task, settings.usage_spread, settings.seed);
+    actual_behaviour actual;
+    actual.run_time = scaled(order.run_time, run);
+    actual.processors = order.processors * usage;
+    actual.memory_gb = order.memory_gb * usage;
+    actual.kills_host = flag(payload, "kills_host");
     if (flag(payload, "fails"))
     {
-        truth.fails_after = core::millis{0};
+        actual.fails_after = core::millis{0};
     }
     if (payload.contains("fails_after_ms"))
     {
-        truth.fails_after = core::millis{std::llround(number(payload, "fails_after_ms", 0))};
+        actual.fails_after = core::millis{std::llround(number(payload, "fails_after_ms", 0))};
     }
-    return truth;
+    return actual;
 }
 
 } // namespace camphorhitch::standin_worker
--- a/testing/standin_worker/src/control.cpp
+++ b/testing/standin_worker/src/control.cpp
@@ -83,14 +83,14 @@
 
 void service::control_behaviour(object_reader& command)
 {
-    auto& how = fleet_.how;
-    read_millis(command, "reboot_ms", how.reboot);
-    read_millis(command, "usage_lag_ms", how.usage_lag);
-    command.read("run_factor", how.run_factor);
-    command.read("usage_factor", how.usage_factor);
-    command.read("run_spread", how.run_spread);
-    command.read("usage_spread", how.usage_spread);
-    command.read("throttled_rate", how.throttled_rate);
+    auto& settings = fleet_.settings;
+    read_millis(command, "reboot_ms", settings.reboot);
+    read_millis(command, "usage_lag_ms", settings.usage_lag);
+    command.read("run_factor", settings.run_factor);
+    command.read("usage_factor", settings.usage_factor);
+    command.read("run_spread", settings.run_spread);
+    command.read("usage_spread", settings.usage_spread);
+    command.read("throttled_rate", settings.throttled_rate);
 }
 
 ports::http_response service::on_control(const ports::http_request& r)
--- a/testing/standin_worker/src/fleet.cpp
+++ b/testing/standin_worker/src/fleet.cpp
@@ -1,6 +1,6 @@
 #include "fleet.hpp"
 
-#include "truth.hpp"
+#include "actual_behaviour.hpp"
 
 #include <cmath>
 #include <utility>
@@ -17,7 +17,7 @@
     return it == f.hosts.end() ? nullptr : &it->second;
 }
 
-void tell(fleet& f, const host& h, bool planned)
+void record_notice(fleet& f, const host& h, bool planned)
 {
     f.notices.push_back({h.id, h.state, h.boot_count, planned});
 }
@@ -53,7 +53,7 @@
 {
     lose_tasks(f, h, at);
     h.state = ports::live_state::down;
-    tell(f, h, planned);
+    record_notice(f, h, planned);
 }
 
 int free_accelerators(const host& h)
@@ -87,7 +87,7 @@
 {
     task t;
     t.order = order;
-    t.truth = nature_of(order, f.how);
+    t.actual = actual_behaviour_of(order, f.settings);
     t.started = at.now;
     t.lease_until = at.now + order.lease_ttl;
     if (order.resume && !order.checkpoint.empty())
@@ -106,7 +106,7 @@
     f.checkpoints[t.checkpoint] = t.progress;
 }
 
-void act_on(fleet& f, task& t, ports::task_action action, moment at)
+void apply_action_to_task(fleet& f, task& t, ports::task_action action, moment at)
 {
     switch (action)
     {
@@ -128,20 +128,22 @@
     }
 }
 
-/// \return the part of full speed that each task gets: less than 1 when their true use is more
-/// than the host has.
+/// \return the share of full speed at which each task runs. The share is less than 1 if the actual
+/// use of all tasks exceeds the host's processors.
 double processor_share(const fleet& f, const host& h)
 {
     double used = 0;
     for (const auto& [name, it] : h.tasks)
     {
-        used +=
-            is_running(it) ? it.truth.processors * (it.throttled ? f.how.throttled_rate : 1) : 0;
+        used += is_running(it)
+                    ? it.actual.processors * (it.throttled ? f.settings.throttled_rate : 1)
+                    : 0;
     }
     return used > h.processors ? h.processors / used : 1;
 }
 
-/// Fails the newest tasks until the true use of memory fits, as the kernel would.
+/// Fails the newest tasks until the actual use of memory fits into the host's memory, as the kernel
+/// does.
 void enforce_memory(fleet& f, host& h, moment at)
 {
     while (true)
@@ -152,7 +154,7 @@
         {
             if (is_running(it))
             {
-                used += it.truth.memory_gb;
+                used += it.actual.memory_gb;
                 newest = newest == nullptr || it.record > newest->record ? &it : newest;
             }
         }
@@ -172,11 +174,11 @@
         return;
     }
     t.progress += step;
-    if (t.truth.fails_after && t.progress >= *t.truth.fails_after)
+    if (t.actual.fails_after && t.progress >= *t.actual.fails_after)
     {
         end_task(f, t, ports::task_state::failed, "failed by itself", at);
     }
-    else if (t.progress >= t.truth.run_time)
+    else if (t.progress >= t.actual.run_time)
     {
         end_task(f, t, ports::task_state::finished, "", at);
     }
@@ -190,7 +192,7 @@
     {
         if (is_running(it))
         {
-            const auto rate = share * (it.throttled ? f.how.throttled_rate : 1);
+            const auto rate = share * (it.throttled ? f.settings.throttled_rate : 1);
             const auto step = static_cast<double>(passed.count()) * rate;
             advance_task(f, it, core::micros{std::llround(step)}, at);
         }
@@ -218,7 +220,7 @@
     h->back_at.reset();
     if (!h->never_returns)
     {
-        h->back_at = at.now + f.how.reboot;
+        h->back_at = at.now + f.settings.reboot;
     }
     return {};
 }
@@ -238,7 +240,7 @@
     h.back_at.reset();
     h.state = ports::live_state::live;
     ++h.boot_count;
-    tell(f, h, true);
+    record_notice(f, h, true);
 }
 
 void set_leaving(fleet& f, host& h, bool leaving)
@@ -247,7 +249,7 @@
     if (h.state != ports::live_state::down && h.state != state)
     {
         h.state = state;
-        tell(f, h, true);
+        record_notice(f, h, true);
     }
 }
 
@@ -280,14 +282,14 @@
     {
         end_task(f, t, ports::task_state::failed, "the host fails every task", at);
     }
-    else if (t.truth.kills_host)
+    else if (t.actual.kills_host)
     {
         fail_host(f, *h, at);
     }
     return {};
 }
 
-action_answer act(fleet& f,
+action_answer apply_action(fleet& f,
     const std::string& id,
     const std::vector<std::string>& tasks,
     ports::task_action action,
@@ -297,7 +299,7 @@
     auto* const h = find_host(f, id);
     if (h == nullptr || h->state == ports::live_state::down)
     {
-        all.how.how = h == nullptr ? verdict::no_host : verdict::host_down;
+        all.order_answer.result = h == nullptr ? verdict::no_host : verdict::host_down;
         return all;
     }
     for (const auto& name : tasks)
@@ -306,7 +308,7 @@
         const auto here = it != h->tasks.end() && is_running(it->second);
         if (here)
         {
-            act_on(f, it->second, action, at);
+            apply_action_to_task(f, it->second, action, at);
         }
         (here ? all.done : all.missing).push_back(name);
     }
@@ -324,10 +326,11 @@
         r.state = it.state;
         r.checkpoint = it.checkpoint;
         r.detail = it.detail;
-        if (is_running(it) && now - it.started >= f.how.usage_lag)
+        if (is_running(it) && now - it.started >= f.settings.usage_lag)
         {
-            r.processors_used = it.truth.processors * (it.throttled ? f.how.throttled_rate : 1);
-            r.memory_gb_used = it.truth.memory_gb;
+            r.processors_used =
+                it.actual.processors * (it.throttled ? f.settings.throttled_rate : 1);
+            r.memory_gb_used = it.actual.memory_gb;
         }
         all.push_back(std::move(r));
     }
--- a/testing/standin_worker/src/hosts_file.cpp
+++ b/testing/standin_worker/src/hosts_file.cpp
@@ -7,17 +7,17 @@
 namespace camphorhitch::standin_worker
 {
 
-std::vector<host> make_hosts(const layout& how)
+std::vector<host> make_hosts(const layout& arrangement)
 {
     std::vector<host> all;
-    for (std::size_t i = 0; i < how.count; ++i)
+    for (std::size_t i = 0; i < arrangement.count; ++i)
     {
-        const auto rack = i / how.rack_size;
+        const auto rack = i / arrangement.rack_size;
         host h;
-        h.id = how.prefix + std::to_string(i + 1);
-        h.zone = std::string(1, static_cast<char>('a' + rack % how.zones));
+        h.id = arrangement.prefix + std::to_string(i + 1);
+        h.zone = std::string(1, static_cast<char>('a' + rack % arrangement.zones));
         h.rack = "r" + std::to_string(rack + 1);
-        h.accelerators = how.accelerators;
+        h.accelerators = arrangement.accelerators;
         all.push_back(std::move(h));
     }
     return all;
--- a/testing/standin_worker/src/main.cpp
+++ b/testing/standin_worker/src/main.cpp
@@ -32,26 +32,26 @@
     {
         return read_hosts(options.text("hosts"));
     }
-    layout how;
-    how.count = static_cast<std::size_t>(options.number("count"));
-    how.prefix = options.text("prefix");
-    how.zones = static_cast<std::size_t>(options.number("zones"));
-    how.rack_size = static_cast<std::size_t>(options.number("rack-size"));
-    how.accelerators = static_cast<int>(options.number("accelerators"));
-    if (how.zones == 0 || how.rack_size == 0)
+    layout arrangement;
+    arrangement.count = static_cast<std::size_t>(options.number("count"));
+    arrangement.prefix = options.text("prefix");
+    arrangement.zones = static_cast<std::size_t>(options.number("zones"));
+    arrangement.rack_size = static_cast<std::size_t>(options.number("rack-size"));
+    arrangement.accelerators = static_cast<int>(options.number("accelerators"));
+    if (arrangement.zones == 0 || arrangement.rack_size == 0)
     {
         throw std::invalid_argument("--zones and --rack-size must be above 0");
     }
-    return make_hosts(how);
+    return make_hosts(arrangement);
 }
 
 void serve(standin& s, const option_values& options)
 {
     service_settings settings;
     settings.hosts = hosts_of(options);
-    settings.how.reboot = millis{options.number("reboot-ms")};
-    settings.how.usage_lag = millis{options.number("usage-lag-ms")};
-    settings.how.seed = s.settings.seed;
+    settings.simulation.reboot = millis{options.number("reboot-ms")};
+    settings.simulation.usage_lag = millis{options.number("usage-lag-ms")};
+    settings.simulation.seed = s.settings.seed;
     settings.livelist = options.text("livelist-control");
     settings.targets = options.text("target-control");
     service workers(s, std::move(settings));
--- a/testing/standin_worker/src/notifier.cpp
+++ b/testing/standin_worker/src/notifier.cpp
@@ -11,9 +11,9 @@
 {
 
 constexpr long call_timeout_ms = 2000;
-constexpr std::chrono::milliseconds retry_pause{100};
+constexpr std::chrono::milliseconds retry_delay{100};
 
-std::size_t drop(char*, std::size_t size, std::size_t n, void*)
+std::size_t discard(char*, std::size_t size, std::size_t n, void*)
 {
     return size * n;
 }
@@ -81,8 +81,8 @@
         }
         else
         {
-            // Kept at the front: the other side must see a host's states in their order.
-            changed_.wait_for(lock, retry_pause, [this] { return stopping_; });
+            // The message stays first in the queue, so that the states of a host arrive in order.
+            changed_.wait_for(lock, retry_delay, [this] { return stopping_; });
         }
     }
 }
@@ -99,7 +99,7 @@
     curl_easy_setopt(curl_, CURLOPT_HTTPHEADER, fields);
     curl_easy_setopt(curl_, CURLOPT_TIMEOUT_MS, call_timeout_ms);
     curl_easy_setopt(curl_, CURLOPT_NOSIGNAL, 1L);
-    curl_easy_setopt(curl_, CURLOPT_WRITEFUNCTION, &drop);
+    curl_easy_setopt(curl_, CURLOPT_WRITEFUNCTION, &discard);
     const auto ec = curl_easy_perform(curl_);
     curl_slist_free_all(fields);
     return ec == CURLE_OK;
--- a/testing/standin_worker/src/notifier.hpp
+++ b/testing/standin_worker/src/notifier.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tells another stand-in, in order, on a thread of its own.
+/// Delivers messages to another stand-in, in order, from a separate thread.
 #pragma once
 
 #include <condition_variable>
@@ -11,6 +11,7 @@
 namespace camphorhitch::standin_worker
 {
 
+/// One HTTP request.
 struct message
 {
     std::string method;
@@ -18,23 +19,25 @@
     std::string body;
 };
 
+/// The queue of messages to one stand-in, and its thread.
 class notifier
 {
 public:
-    /// \param base "http://ip:port"; empty tells nobody.
+    /// \param base "http://ip:port"; empty: messages are discarded
     notifier(std::string base, std::string token);
     ~notifier();
     notifier(const notifier&) = delete;
     notifier& operator=(const notifier&) = delete;
 
+    /// Queues a message. Delivery is retried until it succeeds.
     void send(message m);
 
-    /// \return messages not delivered yet.
+    /// \return the number of messages that are not delivered yet.
     std::size_t pending();
 
 private:
     void run();
-    /// \return whether the other side answered.
+    /// \return whether the other stand-in answered.
     bool deliver(const message& m);
 
     std::string base_;
--- a/testing/standin_worker/src/service.cpp
+++ b/testing/standin_worker/src/service.cpp
@@ -20,7 +20,7 @@
 
 ports::http_response to_response(const answer& a)
 {
-    switch (a.how)
+    switch (a.result)
     {
     case verdict::done:
         return json_response(200, {{"repeat", false}});
@@ -85,7 +85,7 @@
     : standin_(s), gate_(s, [] {}), livelist_(settings.livelist, s.settings.token),
       targets_(settings.targets, s.settings.token)
 {
-    fleet_.how = settings.how;
+    fleet_.settings = settings.simulation;
     fleet_.advanced = s.loop.now();
     for (auto& it : settings.hosts)
     {
@@ -97,7 +97,7 @@
         {
             host_route("POST", "/v1/hosts/*/reboot", &service::on_reboot),
             host_route("POST", "/v1/hosts/*/tasks", &service::on_start),
-            host_route("POST", "/v1/hosts/*/tasks/actions", &service::on_act),
+            host_route("POST", "/v1/hosts/*/tasks/actions", &service::on_task_action),
             host_route("GET", "/v1/hosts/*/tasks", &service::on_reports),
         }));
     control_port_ = &s.server.listen(s.settings.control_port,
@@ -136,28 +136,28 @@
     }
 }
 
-standin_support::route service::host_route(std::string method, std::string pattern, action act)
+standin_support::route service::host_route(std::string method, std::string pattern, action handler)
 {
-    const auto serve = [this, act, name = method + " " + pattern](
-                           const exchange_ptr& held, const path_parts& parts)
+    const auto serve = [this, handler, name = method + " " + pattern](
+                           const exchange_ptr& pending, const path_parts& parts)
     {
         ++calls_[name];
         const auto it = fleet_.hosts.find(parts.front());
         if (it != fleet_.hosts.end() && it->second.unreachable)
         {
-            held->cut();
+            pending->cut();
             return;
         }
         advance(fleet_, now());
-        (this->*act)(held, parts);
+        (this->*handler)(pending, parts);
         send_notices();
     };
     return {std::move(method), std::move(pattern), serve};
 }
 
-void service::on_reboot(const exchange_ptr& held, const path_parts& parts)
+void service::on_reboot(const exchange_ptr& pending, const path_parts& parts)
 {
-    object_reader body(held->request.body);
+    object_reader body(pending->request.body);
     std::string command;
     body.read("command", command);
     if (command.empty())
@@ -166,27 +166,28 @@
     }
     if (const auto wrong = standin_support::refusal(body))
     {
-        held->respond(*wrong);
+        pending->respond(*wrong);
         return;
     }
-    gate_.answer_write(held, "reboot", to_response(reboot(fleet_, parts.front(), command, now())));
+    gate_.answer_write(
+        pending, "reboot", to_response(reboot(fleet_, parts.front(), command, now())));
 }
 
-void service::on_start(const exchange_ptr& held, const path_parts& parts)
+void service::on_start(const exchange_ptr& pending, const path_parts& parts)
 {
-    object_reader body(held->request.body);
+    object_reader body(pending->request.body);
     const auto order = read_order(body, parts.front());
     if (const auto wrong = standin_support::refusal(body))
     {
-        held->respond(*wrong);
+        pending->respond(*wrong);
         return;
     }
-    gate_.answer_write(held, "start", to_response(start(fleet_, order, now())));
+    gate_.answer_write(pending, "start", to_response(start(fleet_, order, now())));
 }
 
-void service::on_act(const exchange_ptr& held, const path_parts& parts)
+void service::on_task_action(const exchange_ptr& pending, const path_parts& parts)
 {
-    object_reader body(held->request.body);
+    object_reader body(pending->request.body);
     std::vector<std::string> tasks;
     std::string name;
     body.read("tasks", tasks);
@@ -198,30 +199,31 @@
     }
     if (const auto wrong = standin_support::refusal(body))
     {
-        held->respond(*wrong);
+        pending->respond(*wrong);
         return;
     }
-    const auto acted = act(fleet_, parts.front(), tasks, *action, now());
-    if (acted.how.how != verdict::done)
+    const auto action_result = apply_action(fleet_, parts.front(), tasks, *action, now());
+    if (action_result.order_answer.result != verdict::done)
     {
-        held->respond(to_response(acted.how));
+        pending->respond(to_response(action_result.order_answer));
         return;
     }
-    gate_.answer_write(
-        held, name, json_response(200, {{"done", acted.done}, {"missing", acted.missing}}));
+    gate_.answer_write(pending,
+        name,
+        json_response(200, {{"done", action_result.done}, {"missing", action_result.missing}}));
 }
 
-void service::on_reports(const exchange_ptr& held, const path_parts& parts)
+void service::on_reports(const exchange_ptr& pending, const path_parts& parts)
 {
     const auto it = fleet_.hosts.find(parts.front());
     if (it == fleet_.hosts.end())
     {
-        held->respond(to_response({verdict::no_host, ""}));
+        pending->respond(to_response({verdict::no_host, ""}));
         return;
     }
     if (it->second.state == ports::live_state::down)
     {
-        held->respond(to_response({verdict::host_down, ""}));
+        pending->respond(to_response({verdict::host_down, ""}));
         return;
     }
     json all = json::array();
@@ -229,7 +231,7 @@
     {
         all.push_back(report_json(r));
     }
-    held->respond(json_response(
+    pending->respond(json_response(
         200, {{"host", it->first}, {"boot_count", it->second.boot_count}, {"tasks", all}}));
 }
 
--- a/testing/standin_worker/src/service.hpp
+++ b/testing/standin_worker/src/service.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The workers' platform interface, and its control.
+/// The workers' platform interface and their control port.
 #pragma once
 
 #include "fleet.hpp"
@@ -14,14 +14,16 @@
 namespace camphorhitch::standin_worker
 {
 
+/// Settings of the service.
 struct service_settings
 {
     std::vector<host> hosts;
-    behaviour how;
+    behaviour simulation;
     std::string livelist; ///< control address of the live list, or empty
     std::string targets;  ///< control address of the targets, or empty
 };
 
+/// The service on its two ports.
 class service
 {
 public:
@@ -39,7 +41,7 @@
         return *control_port_;
     }
 
-    /// \return notices that the neighbours have not taken yet.
+    /// \return the number of notices not yet delivered to the live list and the targets.
     std::size_t notices_pending()
     {
         return livelist_.pending() + targets_.pending();
@@ -50,11 +52,11 @@
     using path_parts = standin_support::path_parts;
     using action = void (service::*)(const exchange_ptr&, const path_parts&);
 
-    standin_support::route host_route(std::string method, std::string pattern, action act);
-    void on_reboot(const exchange_ptr& held, const path_parts& parts);
-    void on_start(const exchange_ptr& held, const path_parts& parts);
-    void on_act(const exchange_ptr& held, const path_parts& parts);
-    void on_reports(const exchange_ptr& held, const path_parts& parts);
+    standin_support::route host_route(std::string method, std::string pattern, action handler);
+    void on_reboot(const exchange_ptr& pending, const path_parts& parts);
+    void on_start(const exchange_ptr& pending, const path_parts& parts);
+    void on_task_action(const exchange_ptr& pending, const path_parts& parts);
+    void on_reports(const exchange_ptr& pending, const path_parts& parts);
     ports::http_response on_control(const ports::http_request& r);
     std::vector<host*> selected(standin_support::object_reader& command);
     void control_hosts(standin_support::object_reader& command);
@@ -71,7 +73,7 @@
     standin_support::fault_gate gate_;
     notifier livelist_;
     notifier targets_;
-    std::map<std::string, std::uint64_t> calls_; ///< by pattern
+    std::map<std::string, std::uint64_t> calls_; ///< number of calls by method and pattern
     standin_support::listener* port_ = nullptr;
     standin_support::listener* control_port_ = nullptr;
 };
--- a/testing/standin_worker/tests/fleet_tests.cpp
+++ b/testing/standin_worker/tests/fleet_tests.cpp
@@ -38,8 +38,8 @@
         {
             f.hosts.emplace(it.id, it);
         }
-        f.how.reboot = core::millis{500};
-        f.how.usage_lag = core::millis{200};
+        f.settings.reboot = core::millis{500};
+        f.settings.usage_lag = core::millis{200};
         f.advanced = at(0).now;
     }
 
@@ -66,7 +66,7 @@
     {
         for (auto& [name, it] : h1().tasks)
         {
-            act(f, "h1", {name}, ports::task_action::renew, at(now_ms));
+            apply_action(f, "h1", {name}, ports::task_action::renew, at(now_ms));
         }
     }
 };
@@ -90,24 +90,24 @@
     CHECK_EQUAL(900, f.records.at(0).ended_ms);
 }
 
-TEST(workers, task_id_starts_once_ever)
+TEST(workers, task_id_starts_only_once)
 {
     auto elsewhere = order("t", 100);
     elsewhere.host = "h2";
-    CHECK(start(f, order("t", 100), at(0)).how == verdict::done);
-    CHECK(start(f, order("t", 100), at(1)).how == verdict::repeated);
-    CHECK(start(f, elsewhere, at(1)).how == verdict::refused);
+    CHECK(start(f, order("t", 100), at(0)).result == verdict::done);
+    CHECK(start(f, order("t", 100), at(1)).result == verdict::repeated);
+    CHECK(start(f, elsewhere, at(1)).result == verdict::refused);
     reboot(f, "h1", "c", at(2));
-    CHECK(start(f, order("t", 100), at(3)).how == verdict::host_down);
+    CHECK(start(f, order("t", 100), at(3)).result == verdict::host_down);
     advance(f, at(600));
-    CHECK(start(f, order("t", 100), at(600)).how == verdict::repeated);
+    CHECK(start(f, order("t", 100), at(600)).result == verdict::repeated);
     CHECK_EQUAL(1, f.records.size());
     STRCMP_EQUAL("lost", f.records.at(0).end.c_str());
 }
 
-// The holder of the lease is paused: nobody renews it. The task must stop by itself, since its
-// owner may have started a successor elsewhere.
-TEST(workers, task_stops_when_its_lease_lapses)
+// The holder of a lease is paused, so the lease is not renewed. The task must stop by itself,
+// because the owner may have started a successor on another host.
+TEST(workers, task_stops_when_its_lease_expires)
 {
     start(f, order("t", 5000), at(0));
     advance(f, at(900));
@@ -118,33 +118,33 @@
     CHECK(report("t", 1902).state == ports::task_state::lapsed);
 }
 
-TEST(workers, resumed_task_goes_on_from_its_checkpoint)
+TEST(workers, resumed_task_continues_from_its_checkpoint)
 {
     start(f, order("t", 900), at(0));
     advance(f, at(600));
-    act(f, "h1", {"t"}, ports::task_action::checkpoint, at(600));
-    act(f, "h1", {"t"}, ports::task_action::stop, at(600));
+    apply_action(f, "h1", {"t"}, ports::task_action::checkpoint, at(600));
+    apply_action(f, "h1", {"t"}, ports::task_action::stop, at(600));
     auto next = order("t2", 900);
     next.resume = true;
     next.checkpoint = report("t", 600).checkpoint;
-    CHECK(start(f, next, at(600)).how == verdict::done);
+    CHECK(start(f, next, at(600)).result == verdict::done);
     CHECK(report("t2", 899).state == ports::task_state::running);
     CHECK(report("t2", 900).state == ports::task_state::finished);
     next.task = "t3";
     next.checkpoint = "nonsense";
-    CHECK(start(f, next, at(900)).how == verdict::refused);
+    CHECK(start(f, next, at(900)).result == verdict::refused);
 }
 
 TEST(workers, throttled_task_runs_at_a_quarter)
 {
     start(f, order("t", 200), at(0));
-    act(f, "h1", {"t"}, ports::task_action::throttle, at(0));
+    apply_action(f, "h1", {"t"}, ports::task_action::throttle, at(0));
     CHECK(report("t", 799).state == ports::task_state::running);
     DOUBLES_EQUAL(2, report("t", 799).processors_used, 0);
     CHECK(report("t", 800).state == ports::task_state::finished);
 }
 
-TEST(workers, true_use_beyond_the_host_slows_or_fails_tasks)
+TEST(workers, actual_use_beyond_the_host_slows_or_fails_tasks)
 {
     auto heavy = order("heavy", 500);
     heavy.payload = R"({"usage_factor": 6})"; // 48 of 32 processors, 96 of 128 GB
@@ -201,25 +201,25 @@
 {
     auto o = order("a", 100);
     o.accelerators = 1;
-    CHECK(start(f, o, at(0)).how == verdict::done);
+    CHECK(start(f, o, at(0)).result == verdict::done);
     o.task = "b";
-    CHECK(start(f, o, at(0)).how == verdict::refused);
+    CHECK(start(f, o, at(0)).result == verdict::refused);
     advance(f, at(100));
-    CHECK(start(f, o, at(100)).how == verdict::done);
+    CHECK(start(f, o, at(100)).result == verdict::done);
 }
 
-// The answer to a reboot order is lost and the order comes again, even after the host is back: it
-// must not go down a second time.
-TEST(workers, reboot_command_has_its_effect_once)
+// The answer to a reboot order is lost and the order is repeated, even after the host has come up
+// again. The host must not go down a second time.
+TEST(workers, reboot_command_is_executed_once)
 {
-    CHECK(reboot(f, "h1", "c1", at(0)).how == verdict::done);
-    CHECK(reboot(f, "h1", "c1", at(10)).how == verdict::repeated);
+    CHECK(reboot(f, "h1", "c1", at(0)).result == verdict::done);
+    CHECK(reboot(f, "h1", "c1", at(10)).result == verdict::repeated);
     advance(f, at(499));
     CHECK(h1().state == ports::live_state::down);
     advance(f, at(500));
     CHECK(h1().state == ports::live_state::live);
     CHECK_EQUAL(2, h1().boot_count);
-    CHECK(reboot(f, "h1", "c1", at(600)).how == verdict::repeated);
+    CHECK(reboot(f, "h1", "c1", at(600)).result == verdict::repeated);
     CHECK(h1().state == ports::live_state::live);
     CHECK_EQUAL(2, f.notices.size());
     CHECK(f.notices[0].planned && f.notices[0].state == ports::live_state::down);
--- a/testing/standin_worker/tests/service_tests.cpp
+++ b/testing/standin_worker/tests/service_tests.cpp
@@ -12,11 +12,11 @@
 TEST_GROUP(worker_service)
 {
     standin_support::standin host{{}};
-    std::string told; ///< what the neighbour heard
+    std::string received; ///< requests that the neighbour has received
     standin_support::listener& neighbour = host.server.listen(0,
         [this](const exchange_ptr& it)
         {
-            told += it->request.method + " " + it->request.path + " " + it->request.body + "\n";
+            received += it->request.method + " " + it->request.path + " " + it->request.body + "\n";
             it->respond({200, {}, ""});
         });
     service workers{host, settings()};
@@ -25,8 +25,9 @@
 
     void teardown() override
     {
-        // The neighbour is on this thread: an undelivered notice would hold up the end.
-        CHECK(standin_support::turn_until(
+        // The neighbour runs on this thread, so the notifier's thread could not end while a notice
+        // is undelivered.
+        CHECK(standin_support::run_until(
             host.loop, [this] { return workers.notices_pending() == 0; }));
     }
 
@@ -77,7 +78,7 @@
     STRCMP_CONTAINS("\"end\":\"stopped\"", driver.call("GET", "/control/record").c_str());
 }
 
-TEST(worker_service, neighbours_hear_of_hosts_in_order)
+TEST(worker_service, notices_are_delivered_in_order)
 {
     STRCMP_CONTAINS(
         "200 {}", driver.call("POST", "/control", R"({"zone":"b","fail":true})").c_str());
@@ -87,11 +88,12 @@
                                  "PUT /v1/hosts/h2 {\"boot_count\":1,\"state\":\"live\"}\n"
                                  "PUT /v1/hosts/h2 {\"boot_count\":1,\"state\":\"down\"}\n"
                                  "PUT /v1/hosts/h2 {\"boot_count\":2,\"state\":\"live\"}\n";
-    CHECK(standin_support::turn_until(host.loop, [&] { return told.size() >= expected.size(); }));
-    STRCMP_EQUAL(expected.c_str(), told.c_str());
+    CHECK(
+        standin_support::run_until(host.loop, [&] { return received.size() >= expected.size(); }));
+    STRCMP_EQUAL(expected.c_str(), received.c_str());
 }
 
-// A host can't be reached though it lives: calls fail without an answer, and what runs goes on.
+// A live host is unreachable: calls fail without an answer, and its tasks continue to run.
 TEST(worker_service, unreachable_host_answers_nothing)
 {
     caller.call(
