--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The commands of the README. Each does its own set-up.
+# The commands of the README. Each target does its own set-up.
 BUILD ?= build
 SHELL := /bin/bash
 export CCACHE_BASEDIR := $(CURDIR)
--- a/cmake/libraries.cmake
+++ b/cmake/libraries.cmake
@@ -1,4 +1,4 @@
-# The outside libraries, each from Debian's packages (.ci/packages.txt).
+# External libraries, all from Debian's packages (.ci/packages.txt).
 find_package(PkgConfig REQUIRED)
 find_package(Threads REQUIRED)
 find_package(spdlog REQUIRED)
--- a/cmake/test_main.cpp
+++ b/cmake/test_main.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Entry of every package's test program.
+/// Entry point of every package's test program.
 #include <CppUTest/CommandLineTestRunner.h>
 #include <CppUTest/MemoryLeakWarningPlugin.h>
 
@@ -9,17 +9,18 @@
 namespace
 {
 
-/// RapidCheck draws a new seed at each run unless it is told one. A verdict that changes from run
-/// to run can't be followed up, so the seed is fixed; CAMPHORHITCH_SEED=N tries another.
+/// Parameters of RapidCheck. By default RapidCheck uses a new seed for each run, and a failure
+/// could not be reproduced. The seed is therefore fixed; CAMPHORHITCH_SEED=N selects another one.
 const std::string fixed_property_parameters = "seed=20261202";
 
 } // namespace
 
 int main(int argc, char** argv)
 {
-    // CppUTest's leak check counts what libraries keep in statics (RapidCheck's configuration)
-    // against whichever test used them first, and its lists are not safe with threads. The address
-    // sanitizer's leak check (make sanitize) tells the two apart and takes its place.
+    // CppUTest's leak check is turned off: it reports static data of libraries (such as
+    // RapidCheck's configuration) as leaks of the first test that uses them, and its lists are not
+    // thread-safe. The address sanitizer's leak check (make sanitize) replaces it and distinguishes
+    // static data.
     MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
     const char* seed = std::getenv("CAMPHORHITCH_SEED");
     const auto parameters =
--- a/cmake/workspace.cmake
+++ b/cmake/workspace.cmake
@@ -1,7 +1,7 @@
-# The workspace: one folder a package, each with include/<name>/, src/, tests/ and a README.
+# The workspace: one folder per package, each with include/<name>/, src/, tests/ and a README.
 #
 # camphorhitch_library(NAME n LAYER l DEPENDS d... LINK x...) adds a package and checks that it
-# depends on nothing above its own layer, so that decisions can never reach an adapter.
+# depends on no package of a higher layer, so that decisions can't depend on an adapter.
 
 set(CAMPHORHITCH_LAYERS foundation contract decision adapter program)
 set_property(GLOBAL PROPERTY CAMPHORHITCH_TEST_PROGRAMS "")
@@ -76,7 +76,7 @@
   set_target_properties(${P_NAME} PROPERTIES RUNTIME_OUTPUT_DIRECTORY ${CMAKE_BINARY_DIR}/bin)
 endfunction()
 
-# Adds the packages of a folder in the order that its order.txt gives.
+# Adds the packages of a folder in the order given by its order.txt.
 function(camphorhitch_add_packages folder)
   file(STRINGS ${CMAKE_SOURCE_DIR}/${folder}/order.txt packages)
   set_property(DIRECTORY APPEND PROPERTY CMAKE_CONFIGURE_DEPENDS ${CMAKE_SOURCE_DIR}/${folder}/order.txt)
--- a/tools/cluster.sh
+++ b/tools/cluster.sh
@@ -1,8 +1,8 @@
-# Functions that start and stop a small cluster on loopback: stand-ins and daemons. Sourced by the
-# demonstration, the benchmark and the soak. All processes are stopped by id, at exit at the latest.
+# Functions that start and stop a small cluster of stand-ins and daemons on loopback. Sourced by the
+# demonstration, the benchmark and the soak test. All processes are stopped by id, at exit at the latest.
 #
 #   cluster_begin BUILD [HOSTS [DAEMONS]]   work folder, stand-ins, daemons, configuration
-#   cluster_end                             stops all
+#   cluster_end                             stops all processes
 
 set -uo pipefail
 
@@ -15,7 +15,7 @@
   exit 1
 }
 
-# wait_until SECONDS WHAT COMMAND...: repeats the command until it is true.
+# wait_until SECONDS WHAT COMMAND...: repeats the command until it succeeds.
 wait_until() {
   local end=$((SECONDS + $1)) what=$2
   shift 2
@@ -25,7 +25,7 @@
   done
 }
 
-# start NAME PROGRAM ARGS...: runs it in the background with its output in NAME.log.
+# start NAME PROGRAM ARGS...: runs the program in the background, with its output in NAME.log.
 start() {
   local name=$1
   shift
@@ -33,7 +33,7 @@
   pid[$name]=$!
 }
 
-# port_in NAME KEY: what the stand-in's listening line says.
+# port_in NAME KEY: prints the value of KEY in the stand-in's listening line.
 port_in() {
   grep -m1 -oE "event=listening .*" "$work/$1.log" | grep -oE "(^| )$2=[0-9]+" | grep -oE '[0-9]+$'
 }
@@ -61,7 +61,7 @@
   pid=()
 }
 
-# free_ports N: ports that nothing listens at now, below the range that the system hands out.
+# free_ports N: prints N ports without a listener, below the range of ephemeral ports.
 free_ports() {
   local n=$1 p=$((20000 + (RANDOM % 600) * 20)) found=()
   while [ "${#found[@]}" -lt "$n" ]; do
@@ -94,7 +94,7 @@
   wait_until 10 "workers" grep -q event=listening "$work/worker.log"
 }
 
-# write_settings N: settings of daemon N, on ports of its own.
+# write_settings N: writes the settings of daemon N, with separate ports.
 write_settings() {
   local n=$1 zone_names=(a b c d)
   read -r caller operator peer <<< "${daemon_ports[$n]}"
@@ -128,7 +128,7 @@
   [ "$(curl -s -m 1 -o /dev/null -w '%{http_code}' "http://$(caller_address "$1")/-/ready")" = 200 ]
 }
 
-# operators ARGS...: the client, with all daemons as its servers.
+# operators ARGS...: runs the operators' client with all daemons as servers.
 operators() {
   local n servers=()
   for n in $(seq 1 "$daemons"); do
@@ -137,7 +137,7 @@
   CAMPHORHITCH_TOKEN=$token "$build/bin/camphorhitch" "${servers[@]}" "$@"
 }
 
-# entries: callers' addresses of all daemons, with commas.
+# entries: prints the callers' addresses of all daemons, separated by commas.
 entries() {
   local n list=()
   for n in $(seq 1 "$daemons"); do
@@ -146,8 +146,8 @@
   (IFS=,; echo "${list[*]}")
 }
 
-# fleet_file HOSTS ZONES: the operators' file for the hosts: services quotes, holds, deposits, and spares.
-# Racks and zones are the worker stand-in's: four neighbours to a rack, racks to zones in turn.
+# fleet_file HOSTS ZONES: prints the operators' file for the hosts, with pools quotes, holds, deposits and spares.
+# Racks and zones are the same as in the worker stand-in: four consecutive hosts per rack, racks assigned to zones in turn.
 fleet_file() {
   jq -n --slurpfile ports "$work/ports.json" --argjson zones "$2" --argjson absent "${absent:-2}" '
     ["quotes", "holds", "deposits"] as $names
@@ -176,7 +176,7 @@
   zones=${zones:-3}
   work=$(mktemp -d)
   trap 'cluster_end; [ -n "${keep_work:-}" ] || rm -rf "$work"' EXIT
-  trap 'exit 1' HUP INT TERM # without it a signal skips the line above
+  trap 'exit 1' HUP INT TERM # without this line, a signal would skip the EXIT trap
   start_standins "$hosts" "$zones"
   local ports n
   read -r -a ports <<< "$(free_ports $((3 * daemons)))"
@@ -195,7 +195,7 @@
   wait_until 20 "every pool to serve" all_serve
 }
 
-# all_serve: every pool but the spare one has a serving host, and every daemon the configuration.
+# all_serve: succeeds if every pool except the spare pool has a serving host and every daemon has the configuration.
 all_serve() {
   local n
   for n in $(seq 1 "$daemons"); do
