--- a/libs/http/tests/client_tests.cpp
+++ b/libs/http/tests/client_tests.cpp
@@ -52,7 +52,7 @@
 {
     target.on_request = [&](int id, int)
     {
-        target.say(id, good);
+        target.send(id, good);
     };
     const std::string binary("a\0b\xff", 4);
     auto it = make_call(target.port(), "PUT", binary);
@@ -79,7 +79,7 @@
     far.on_request = [&](int id, int)
     {
         ++requests;
-        far.say(id, good);
+        far.send(id, good);
     };
     client_limits limits;
     limits.urgency = reactor::urgency::urgent;
@@ -149,10 +149,10 @@
     {
         target.on_request = [&](int id, int)
         {
-            target.say(id, it.bytes);
+            target.send(id, it.bytes);
             if (it.close)
             {
-                target.drop(id);
+                target.close_connection(id);
             }
         };
         auto request = make_call(target.port(), it.method, "");
@@ -254,12 +254,12 @@
         {
             target.on_request = [&](int id, int)
             {
-                target.say(id, good);
+                target.send(id, good);
             };
             CHECK(call(make_call(target.port())).end == call_end::answered);
             target.on_request = [&](int id, int)
             {
-                target.drop(id);
+                target.close_connection(id);
             };
             const int before = target.requests;
             auto it = make_call(target.port(), method, "");
@@ -278,7 +278,7 @@
 {
     target.on_request = [&](int id, int)
     {
-        loop.scheduler().after(30ms, [&, id] { target.say(id, good); });
+        loop.scheduler().after(30ms, [&, id] { target.send(id, good); });
     };
     int ended = 0;
     for (int i = 0; i < 4; ++i)
@@ -289,7 +289,7 @@
     LONGS_EQUAL(4, target.connections);
     target.on_request = [&](int id, int)
     {
-        target.drop(id);
+        target.close_connection(id);
     };
     CHECK(call(make_call(target.port())).end == call_end::interrupted);
     run_for(loop, 50ms);
@@ -305,7 +305,7 @@
     {
         target.on_request = [&](int id, int)
         {
-            loop.scheduler().after(150ms, [&, id] { target.say(id, late); });
+            loop.scheduler().after(150ms, [&, id] { target.send(id, late); });
         };
         auto it = make_call(target.port());
         it.total_timeout = cancels ? 10s : 60ms;
@@ -328,7 +328,7 @@
         CHECK(cancels || out.end == call_end::interrupted);
         target.on_request = [&](int id, int)
         {
-            loop.scheduler().after(100ms, [&, id] { target.say(id, good); });
+            loop.scheduler().after(100ms, [&, id] { target.send(id, good); });
         };
         const auto next = call(make_call(target.port()));
         CHECK(next.new_connection);
@@ -344,7 +344,7 @@
     port = made.port();
     target.on_request = [&](int id, int)
     {
-        loop.scheduler().after(100ms, [&, id] { target.say(id, good); });
+        loop.scheduler().after(100ms, [&, id] { target.send(id, good); });
     };
     bool first_answered = false;
     port.send(make_call(target.port()),
@@ -366,7 +366,7 @@
 {
     target.on_request = [&](int id, int)
     {
-        target.say(id, good);
+        target.send(id, good);
         std::this_thread::sleep_for(150ms);
     };
     auto it = make_call(target.port());
@@ -385,7 +385,7 @@
     const auto length = std::to_string(body.size());
     target.on_request = [&](int id, int)
     {
-        target.say(id, "HTTP/1.1 200 OK\r\nContent-Length: " + length + "\r\n\r\n" + body);
+        target.send(id, "HTTP/1.1 200 OK\r\nContent-Length: " + length + "\r\n\r\n" + body);
         std::this_thread::sleep_for(150ms);
     };
     auto it = make_call(target.port());
@@ -401,7 +401,7 @@
 {
     target.on_request = [&](int id, int)
     {
-        target.say(id, good);
+        target.send(id, good);
     };
     auto it = make_call(target.port());
     it.connect_timeout = 100ms;
@@ -417,7 +417,7 @@
 {
     target.on_request = [&](int id, int)
     {
-        target.say(id, good.substr(0, good.size() - 1));
+        target.send(id, good.substr(0, good.size() - 1));
     };
     auto it = make_call(target.port());
     it.total_timeout = 60ms;
@@ -437,7 +437,7 @@
             [&, id]
             {
                 --at_once;
-                target.say(id, good);
+                target.send(id, good);
             });
     };
     int answered = 0;
@@ -464,7 +464,7 @@
     port = made.port();
     target.on_request = [&](int id, int)
     {
-        target.say(id, good);
+        target.send(id, good);
     };
     CHECK(call(make_call(target.port())).new_connection);
     CHECK(!call(make_call(target.port())).new_connection);
@@ -485,7 +485,7 @@
 {
     target.on_request = [&](int id, int)
     {
-        target.say(id, good);
+        target.send(id, good);
     };
     int ended = 0;
     ports::call_id doomed = 0;
@@ -499,7 +499,7 @@
     slow.address = "127.0.0.1:9";
     target.on_request = [&](int id, int)
     {
-        target.say(id, good);
+        target.send(id, good);
     };
     doomed = port.send(make_call(target.port()), [&](const ports::http_outcome&) { ended += 100; });
     CHECK(run_until(loop, [&] { return ended > 0; }));
@@ -518,15 +518,15 @@
     {
         target.on_request = [&](int id, int)
         {
-            target.say(id, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n");
-            loop.scheduler().after(30ms, [&, id] { target.say(id, "1\r\nb\r\n"); });
+            target.send(id, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n");
+            loop.scheduler().after(30ms, [&, id] { target.send(id, "1\r\nb\r\n"); });
             loop.scheduler().after(60ms,
                 [&, id]
                 {
-                    target.say(id, "1\r\nc\r\n");
+                    target.send(id, "1\r\nc\r\n");
                     if (it.close)
                     {
-                        target.drop(id);
+                        target.close_connection(id);
                     }
                 });
         };
@@ -556,7 +556,7 @@
 {
     target.on_request = [&](int id, int)
     {
-        target.say(id, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n");
+        target.send(id, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n");
     };
     int parts = 0;
     bool ended = false;
--- a/libs/http/tests/server_tests.cpp
+++ b/libs/http/tests/server_tests.cpp
@@ -93,8 +93,8 @@
         caller.write(loop, bytes);
         CHECK_TEXT(saw(caller, "HTTP/1.1 " + status), about);
         CHECK_TEXT(saw(caller, "\r\n\r\n"), about);
-        CHECK_TEXT(caller.saw(not_run), about);
-        CHECK_TEXT(caller.saw("X-Member: e1\r\n"), about);
+        CHECK_TEXT(caller.has_received(not_run), about);
+        CHECK_TEXT(caller.has_received("X-Member: e1\r\n"), about);
         caller.write(loop, std::string(100, 'y'));
         run_for(loop, 10ms);
         LONGS_EQUAL_TEXT(0, requests.size(), about);
@@ -108,7 +108,7 @@
 
     bool saw(raw_caller & caller, const std::string& what)
     {
-        return run_until(loop, [&] { return caller.saw(what); });
+        return run_until(loop, [&] { return caller.has_received(what); });
     }
 };
 
@@ -156,9 +156,9 @@
             "Content-Length: 4\r\n\r\n");
         caller.write(loop, std::string("\0\1\2\3", 4));
         CHECK(saw(caller, std::string("\r\n\r\na\0b", 7)));
-        CHECK(caller.saw("HTTP/1.1 200"));
-        CHECK(caller.saw("X-Member: e1\r\n"));
-        CHECK(caller.saw("Camphorhitch-Outcome: answered\r\n"));
+        CHECK(caller.has_received("HTTP/1.1 200"));
+        CHECK(caller.has_received("X-Member: e1\r\n"));
+        CHECK(caller.has_received("Camphorhitch-Outcome: answered\r\n"));
         const auto& it = requests.at(0).second;
         STRCMP_EQUAL("POST", it.method.c_str());
         STRCMP_EQUAL("/a%2Fb/../c", it.path.c_str());
@@ -187,10 +187,10 @@
     raw_caller caller(port.port);
     caller.write(loop, "GET / HTTP/1.1\r\nHost: h\r\n\r\n");
     CHECK(saw(caller, "\r\n\r\nbody"));
-    CHECK(caller.saw("Content-Length: 4\r\n"));
-    CHECK(caller.saw("Kept: yes\r\n"));
-    CHECK(!caller.saw("chunked"));
-    CHECK(!caller.saw("C: d"));
+    CHECK(caller.has_received("Content-Length: 4\r\n"));
+    CHECK(caller.has_received("Kept: yes\r\n"));
+    CHECK(!caller.has_received("chunked"));
+    CHECK(!caller.has_received("C: d"));
 }
 
 TEST(http_server, a_head_answer_keeps_its_length)
@@ -203,7 +203,7 @@
     raw_caller caller(port.port);
     caller.write(loop, "HEAD / HTTP/1.1\r\nHost: h\r\n\r\n");
     CHECK(saw(caller, "\r\n\r\n"));
-    CHECK(caller.saw("Content-Length: 77\r\n"));
+    CHECK(caller.has_received("Content-Length: 77\r\n"));
 }
 
 // Whatever is wrong with a request, its caller gets an answer that says "not run", at once or when
@@ -293,9 +293,9 @@
     LONGS_EQUAL(2, port.open_exchanges());
     third.write(loop, get);
     CHECK(saw(third, "HTTP/1.1 503"));
-    CHECK(third.saw(not_run));
-    CHECK(third.saw("Retry-After: 2\r\n"));
-    CHECK(third.saw("too many open requests"));
+    CHECK(third.has_received(not_run));
+    CHECK(third.has_received("Retry-After: 2\r\n"));
+    CHECK(third.has_received("too many open requests"));
     raw_caller fourth(port.port);
     fourth.write(loop, get);
     CHECK(saw(fourth, "too many connections"));
@@ -380,7 +380,7 @@
     const std::string large(3000000, 'z');
     port.respond(requests.at(0).first, text(large));
     CHECK(saw(caller, large));
-    CHECK(caller.saw("Connection: close\r\n"));
+    CHECK(caller.has_received("Connection: close\r\n"));
     CHECK(run_until(loop, [&] { return port.open_exchanges() == 0; }));
 }
 
@@ -433,8 +433,8 @@
     made.reset();
     LONGS_EQUAL(1, requests.size());
     CHECK(saw(late, "HTTP/1.1 503"));
-    CHECK(late.saw(not_run));
-    CHECK(late.saw("Retry-After: "));
+    CHECK(late.has_received(not_run));
+    CHECK(late.has_received("Retry-After: "));
 }
 
 TEST(http_server, a_bad_or_taken_address_is_an_error)
--- a/libs/store/tests/store_tests.cpp
+++ b/libs/store/tests/store_tests.cpp
@@ -92,10 +92,10 @@
     {
         target.on_request = [this, bytes, close](int id, int)
         {
-            target.say(id, bytes);
+            target.send(id, bytes);
             if (close)
             {
-                target.drop(id);
+                target.close_connection(id);
             }
         };
     }
--- a/programs/camphorhitchd/tests/config_tests.cpp
+++ b/programs/camphorhitchd/tests/config_tests.cpp
@@ -40,7 +40,7 @@
 // version of its own to compare with, must not take a request under it.
 TEST(configuration, never_reverts_by_stale_reads)
 {
-    fleet.store.freeze_ranges();
+    fleet.store.freeze_range_reads();
     const auto set = fleet.execute(fleet.at(0), "set pool quotes budget.absent = 2", "second");
     STRCMP_EQUAL("configuration version 2\n", set.text.c_str());
     fleet.run_for(a_while);
@@ -56,7 +56,7 @@
     {
         LONGS_EQUAL(2, version_at(fleet.at(i)));
     }
-    fleet.store.thaw_ranges();
+    fleet.store.unfreeze_range_reads();
     CHECK_FALSE(fleet.run_until(took_under_the_old, a_while));
     LONGS_EQUAL(2, version_at(newcomer));
     CHECK(newcomer.all->requests->ready());
--- a/programs/camphorhitchd/tests/failure_tests.cpp
+++ b/programs/camphorhitchd/tests/failure_tests.cpp
@@ -81,7 +81,7 @@
     {
         for (const auto& [address, it] : fleet.targets.all)
         {
-            CHECK(it.most_running <= it.slots);
+            CHECK(it.max_running <= it.slots);
         }
     }
 };
--- a/programs/camphorhitchd/tests/mirror_tests.cpp
+++ b/programs/camphorhitchd/tests/mirror_tests.cpp
@@ -88,7 +88,7 @@
     store.put("/d/deleted", "old");
     watcher w(time, store, 1);
     time.run_for(a_while);
-    store.freeze_ranges();
+    store.freeze_range_reads();
     store.put("/d/changed", "new");
     store.put("/d/added", "new");
     store.remove("/d/deleted");
@@ -116,11 +116,11 @@
     time.run_for(a_while);
     store.set_down(true);
     time.run_for(core::millis{60000});
-    const auto before = store.ranges;
+    const auto before = store.range_reads;
     store.set_down(false);
     const auto back = time.now();
     time.run_for(a_while);
-    LONGS_EQUAL(processes, store.ranges - before);
+    LONGS_EQUAL(processes, store.range_reads - before);
     std::set<core::mono_time> instants;
     for (const auto& it : all)
     {
--- a/programs/camphorhitchd/tests/random_run_tests.cpp
+++ b/programs/camphorhitchd/tests/random_run_tests.cpp
@@ -85,13 +85,13 @@
         {
             auto& p = any().process;
             p.store_cut = !p.store_cut;
-            ++p.lapses;
+            ++p.expirations;
         }
         else if (what < 91)
         {
             auto& p = any().process;
             p.peers_cut = !p.peers_cut;
-            ++p.lapses;
+            ++p.expirations;
         }
         else if (what < 93)
         {
@@ -143,7 +143,7 @@
         else
         {
             d.process.paused = true;
-            ++d.process.lapses;
+            ++d.process.expirations;
         }
     }
 
@@ -167,7 +167,7 @@
     {
         for (const auto& [address, it] : fleet_.targets.all)
         {
-            CHECK_TEXT(it.most_told <= it.slots, "a target ran more than its slots");
+            CHECK_TEXT(it.max_reported <= it.slots, "a target ran more than its slots");
         }
         for (auto& it : calls_)
         {
--- a/testing/daemon_fakes/include/daemon_fakes/key_value.hpp
+++ b/testing/daemon_fakes/include/daemon_fakes/key_value.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The key-value service in memory: compare-and-swap, leases, watches with history, and its faults.
+/// An in-memory key-value service with compare-and-swap, leases, watches with history, and faults.
 #pragma once
 
 #include "daemon_fakes/virtual_time.hpp"
@@ -13,6 +13,7 @@
 namespace camphorhitch::daemon_fakes
 {
 
+/// The service, shared by all simulated processes.
 class key_value
 {
 public:
@@ -20,26 +21,27 @@
     key_value(const key_value&) = delete;
     key_value& operator=(const key_value&) = delete;
 
-    /// \return the port as \p p sees it; \p p and this object outlive it.
+    /// \return the port for process \p p; \p p and this object must outlive it.
     ports::key_value port(process& p);
 
-    /// Nothing answers, and all watches end.
+    /// While the service is down, no call is answered; all watches end when it goes down.
     void set_down(bool down);
-    /// From now on reads of a prefix show what stood here when this was called.
-    void freeze_ranges();
-    void thaw_ranges();
-    /// Ends all watches, as the service does now and then.
+    /// Makes reads of a prefix return the present content until unfreeze_range_reads().
+    void freeze_range_reads();
+    void unfreeze_range_reads();
+    /// Ends all watches, as the real service does occasionally.
     void end_watches();
-    /// Deletes or writes a key as somebody else would. \return the key's revision.
+    /// Writes a key as another client of the service. \return the key's revision.
     ports::revision put(
         const std::string& key, const std::string& value, ports::lease_id lease = 0);
+    /// Deletes a key as another client of the service.
     void remove(const std::string& key);
     /// \return the entry, or nullptr.
     const ports::kv_entry* find(const std::string& key) const;
 
-    int answers_to_lose = 0; ///< of the next writes that take effect
-    std::int64_t ranges = 0; ///< reads of a prefix that were answered
-    std::int64_t writes = 0; ///< that took effect
+    int answers_to_lose = 0; ///< number of coming writes that take effect and whose answer is lost
+    std::int64_t range_reads = 0; ///< number of prefix reads that were answered
+    std::int64_t writes = 0;      ///< number of writes that took effect
 
 private:
     struct lease
@@ -61,17 +63,17 @@
     };
     using write_callback = std::function<void(ports::kv_write)>;
 
-    /// Carries a call to the service and \p answer back to \p p. \p lost is called instead when the
-    /// service can't be reached.
+    /// Carries a call to the service and the answer that \p serve returns back to \p p. \p lost is
+    /// called instead when the service can't be reached.
     void call(process& p, std::function<std::function<void()>()> serve, std::function<void()> lost);
     void call_write(process& p, std::function<ports::kv_write()> serve, const write_callback& done);
     ports::kv_write compare(const std::string& key, ports::revision expected) const;
     ports::kv_read read(const std::string& key, bool prefix);
-    void tell(const ports::kv_event& event);
+    void publish(const ports::kv_event& event);
     void deliver(ports::watch_id id, std::vector<ports::kv_event> events);
     void end_watch(ports::watch_id id);
-    void lapse(ports::lease_id id);
-    void drop_lease(ports::lease_id id);
+    void expire_lease(ports::lease_id id);
+    void remove_lease(ports::lease_id id);
 
     virtual_time& time_;
     snapshot now_;
--- a/testing/daemon_fakes/include/daemon_fakes/peers.hpp
+++ b/testing/daemon_fakes/include/daemon_fakes/peers.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Peers wired directly: a call enters the other process's handlers after a short delay.
+/// Peer calls without a network: a call invokes the other process's handlers after a short delay.
 #pragma once
 
 #include "daemon_fakes/virtual_time.hpp"
@@ -11,6 +11,7 @@
 namespace camphorhitch::daemon_fakes
 {
 
+/// Connects the peer ports of all simulated processes.
 class peers
 {
 public:
@@ -18,7 +19,8 @@
     peers(const peers&) = delete;
     peers& operator=(const peers&) = delete;
 
-    /// Calls to \p address enter \p p. Both outlive this object's use.
+    /// Delivers calls to \p address to \p handlers in \p p. \p p and \p handlers must outlive all
+    /// calls.
     void listen(const std::string& address, process& p, const ports::peer_handlers& handlers);
     ports::peer_client port(process& from);
 
--- a/testing/daemon_fakes/include/daemon_fakes/platform.hpp
+++ b/testing/daemon_fakes/include/daemon_fakes/platform.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The platform: hosts that reboot and return, a live list, and workers that run tasks.
+/// A simulated platform: hosts that can reboot, a live list, and workers that run tasks.
 #pragma once
 
 #include "daemon_fakes/targets.hpp"
@@ -14,15 +14,17 @@
 namespace camphorhitch::daemon_fakes
 {
 
+/// State of one host.
 struct host
 {
-    std::string target; ///< address, or empty
+    std::string target; ///< address of the host's target, or empty
     bool up = true;
-    bool returns = true; ///< from its next reboot
+    bool returns = true; ///< whether the host comes up by itself after its next reboot
     std::int64_t boot_count = 1;
-    std::set<std::string> reboots; ///< commands done
+    std::set<std::string> reboots; ///< ids of the reboot commands that were executed
 };
 
+/// The hosts of the platform and their workers.
 class platform
 {
 public:
@@ -33,7 +35,7 @@
     ports::platform port(process& from);
     void add_host(
         const std::string& id, const std::string& target, const jobs::resources& capacity);
-    /// Brings a host back that would not come by itself.
+    /// Brings up a host that does not return by itself.
     void boot(const std::string& id);
 
     std::map<std::string, host> hosts;
--- a/testing/daemon_fakes/include/daemon_fakes/recorders.hpp
+++ b/testing/daemon_fakes/include/daemon_fakes/recorders.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What a daemon says: its log lines, and its answers over HTTP.
+/// Recorders of a daemon's log lines and HTTP answers.
 #pragma once
 
 #include "daemon_fakes/virtual_time.hpp"
@@ -30,7 +30,7 @@
     bool accepting = true;
 
     ports::http_server port();
-    /// Hands a request to \p events as a caller's. \return its exchange.
+    /// Delivers a caller's request to \p events in process \p to. \return the id of its exchange.
     ports::exchange_id send(process& to, const ports::http_events& events, ports::http_request r);
     /// \return the answer, or nullptr while there is none.
     const ports::http_response* find(ports::exchange_id id) const;
--- a/testing/daemon_fakes/include/daemon_fakes/targets.hpp
+++ b/testing/daemon_fakes/include/daemon_fakes/targets.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Targets behind an HTTP client: each runs a bounded number of requests for a while and answers.
+/// Simulated targets behind an HTTP client port. Each request runs for the target's run time and is
+/// then answered.
 #pragma once
 
 #include "daemon_fakes/virtual_time.hpp"
@@ -13,22 +14,25 @@
 namespace camphorhitch::daemon_fakes
 {
 
+/// State and counters of one target.
 struct target
 {
     int slots = 8;
     core::millis run_time{20};
-    bool silent = false; ///< runs requests and never answers
-    bool down = false;   ///< refuses connections
+    bool silent = false; ///< the target runs requests and never answers
+    bool down = false;   ///< the target refuses connections
     int running = 0;
-    int most_running = 0;
-    /// The same without requests whose sender could not tell of them to a new owner since: dead, or
-    /// with a lapse. Nobody reserves slots for these.
-    int most_told = 0;
+    int max_running = 0;
+    /// Like max_running, without requests that their sender can no longer report to a new pool
+    /// owner, because the sender died or its lease expired. No owner reserves slots for such
+    /// requests.
+    int max_reported = 0;
     std::vector<std::string> ran; ///< bodies of all requests, in the order of their start
-    /// Senders of what runs now, each with its lapses at the start.
+    /// Senders of the running requests, each with its number of expirations at the start.
     std::vector<std::pair<const process*, int>> senders;
 };
 
+/// All targets of a simulation.
 class targets
 {
 public:
@@ -37,10 +41,10 @@
     targets& operator=(const targets&) = delete;
 
     ports::http_client port(process& from);
-    /// \return how often a request with that body was run, by all targets.
+    /// \return the number of runs of requests with that body on all targets.
     int runs_of(const std::string& body) const;
 
-    std::map<std::string, target> all; ///< by address
+    std::map<std::string, target> all; ///< targets by address
 
 private:
     void serve(process& from, const ports::http_call& call, ports::call_id id);
--- a/testing/daemon_fakes/include/daemon_fakes/virtual_time.hpp
+++ b/testing/daemon_fakes/include/daemon_fakes/virtual_time.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Time that passes only when a test lets it, and the processes that live in it.
+/// A simulated clock that advances only when a test runs it, and the processes scheduled on it.
 #pragma once
 
 #include "ports/scheduler.hpp"
@@ -14,39 +14,48 @@
 namespace camphorhitch::daemon_fakes
 {
 
-/// Between any two processes, one way.
+/// One-way delay of a message between any two processes.
 inline constexpr core::millis wire_delay{1};
 
-/// One process: what reaches it while it is paused waits, and after its death is lost.
+/// One process. Events for a paused process are queued; events for a dead process are discarded.
 struct process
 {
     bool paused = false;
     bool dead = false;
-    bool store_cut = false; ///< no call reaches the key-value service or comes back
-    bool peers_cut = false; ///< the same with other processes
-    int lapses = 0; ///< times that it became unable to tell others what it does; by the test
-    std::vector<std::function<void()>> waiting;
+    bool store_cut = false; ///< the key-value service is unreachable in both directions
+    bool peers_cut = false; ///< all other processes are unreachable in both directions
+    /// Number of times that the process lost its lease, so that it can no longer report its
+    /// requests to other members. The test counts it.
+    int expirations = 0;
+    std::vector<std::function<void()>> waiting; ///< events queued while the process is paused
 
+    /// Runs \p fn in the process now, queues it if the process is paused, or discards it if dead.
     void enter(std::function<void()> fn);
 };
 
+/// The clock and the timers of all simulated processes.
 class virtual_time
 {
 public:
+    /// \return the monotonic time.
     core::mono_time now() const;
-    /// Milliseconds since the start.
+    /// \return the milliseconds since the start of the simulation.
     std::int64_t passed_ms() const;
+    /// \return the wall time; the simulation starts on a Monday at 00:00 UTC.
     core::wall_time wall_now() const;
 
+    /// Schedules \p fn, independent of any process.
     ports::timer_id after(core::millis delay, std::function<void()> fn);
     void cancel(ports::timer_id id);
-    /// \return the port as \p p sees it; \p p and this object outlive it.
+    /// \return the port for process \p p; \p p and this object must outlive it.
     ports::scheduler port(process& p);
 
-    /// \return whether \p holds came true before \p bound had passed.
-    bool run_until(const std::function<bool()>& holds, core::millis bound);
+    /// Advances the clock by at most \p bound.
+    /// \return whether \p condition became true before \p bound had passed.
+    bool run_until(const std::function<bool()>& condition, core::millis bound);
+    /// Advances the clock by \p time.
     void run_for(core::millis time);
-    /// Lets the process go on, with what has waited for it first.
+    /// Continues a paused process and delivers its queued events.
     void resume(process& p);
 
 private:
@@ -56,7 +65,8 @@
     ports::timer_id last_ = 0;
     std::map<std::pair<core::mono_time, ports::timer_id>, std::function<void()>> queue_;
     std::map<ports::timer_id, core::mono_time> due_;
-    std::set<ports::timer_id> live_; ///< of ports: neither run nor cancelled
+    std::set<ports::timer_id>
+        active_timers_; ///< timers of ports that have neither run nor been cancelled
 };
 
 } // namespace camphorhitch::daemon_fakes
--- a/testing/daemon_fakes/src/key_value.cpp
+++ b/testing/daemon_fakes/src/key_value.cpp
@@ -6,7 +6,7 @@
 namespace
 {
 
-/// A call to a service that doesn't answer ends after this long.
+/// Time after which a call to a service that does not answer fails.
 constexpr core::millis call_timeout{1000};
 
 bool starts_with(const std::string& text, const std::string& prefix)
@@ -32,7 +32,7 @@
     ++writes;
     const auto modified = ++now_.revision;
     now_.entries[key] = {key, value, modified, lease};
-    tell({false, now_.entries[key]});
+    publish({false, now_.entries[key]});
     return modified;
 }
 
@@ -41,7 +41,7 @@
     if (now_.entries.erase(key) > 0)
     {
         ++writes;
-        tell({true, {key, "", ++now_.revision, 0}});
+        publish({true, {key, "", ++now_.revision, 0}});
     }
 }
 
@@ -54,12 +54,12 @@
     }
 }
 
-void key_value::freeze_ranges()
+void key_value::freeze_range_reads()
 {
     frozen_ = now_;
 }
 
-void key_value::thaw_ranges()
+void key_value::unfreeze_range_reads()
 {
     frozen_.reset();
 }
@@ -73,7 +73,7 @@
     }
 }
 
-void key_value::tell(const ports::kv_event& event)
+void key_value::publish(const ports::kv_event& event)
 {
     history_.push_back(event);
     for (const auto& [id, it] : watchers_)
@@ -97,7 +97,7 @@
             }
             if (it->second.owner->store_cut)
             {
-                end_watch(id); // an event is lost, so the stream is broken
+                end_watch(id); // The event is lost, so the watch must not continue.
                 return;
             }
             it->second.owner->enter(
@@ -123,13 +123,13 @@
             {
                 return;
             }
-            const auto gone = it->second;
+            const auto ended_watch = it->second;
             watchers_.erase(it);
-            gone.owner->enter(gone.on_end);
+            ended_watch.owner->enter(ended_watch.on_end);
         });
 }
 
-void key_value::drop_lease(ports::lease_id id)
+void key_value::remove_lease(ports::lease_id id)
 {
     leases_.erase(id);
     std::vector<std::string> keys;
@@ -146,7 +146,7 @@
     }
 }
 
-void key_value::lapse(ports::lease_id id)
+void key_value::expire_lease(ports::lease_id id)
 {
     const auto it = leases_.find(id);
     if (it == leases_.end())
@@ -155,15 +155,16 @@
     }
     if (down_)
     {
-        it->second.until = time_.now() + it->second.ttl; // a service that is down lapses nothing
+        // Leases do not expire while the service is down.
+        it->second.until = time_.now() + it->second.ttl;
     }
     if (it->second.until <= time_.now())
     {
-        drop_lease(id);
+        remove_lease(id);
         return;
     }
-    const auto left = std::chrono::ceil<core::millis>(it->second.until - time_.now());
-    time_.after(left, [this, id] { lapse(id); });
+    const auto remaining = std::chrono::ceil<core::millis>(it->second.until - time_.now());
+    time_.after(remaining, [this, id] { expire_lease(id); });
 }
 
 ports::kv_read key_value::read(const std::string& key, bool prefix)
@@ -180,7 +181,7 @@
         }
         out.entries.push_back(it->second);
     }
-    ranges += prefix ? 1 : 0;
+    range_reads += prefix ? 1 : 0;
     return out;
 }
 
--- a/testing/daemon_fakes/src/key_value_port.cpp
+++ b/testing/daemon_fakes/src/key_value_port.cpp
@@ -87,7 +87,7 @@
             {
                 const auto id = ++last_lease_;
                 leases_[id] = {ttl, time_.now() + ttl};
-                time_.after(ttl, [this, id] { lapse(id); });
+                time_.after(ttl, [this, id] { expire_lease(id); });
                 return [done, id, ttl]
                 {
                     done({ports::kv_status::ok, id, ttl});
@@ -103,15 +103,15 @@
             [this, id, done]() -> std::function<void()>
             {
                 const auto it = leases_.find(id);
-                core::millis left{0};
+                core::millis remaining{0};
                 if (it != leases_.end())
                 {
-                    left = it->second.ttl;
-                    it->second.until = time_.now() + left;
+                    remaining = it->second.ttl;
+                    it->second.until = time_.now() + remaining;
                 }
-                return [done, id, left]
+                return [done, id, remaining]
                 {
-                    done({ports::kv_status::ok, id, left});
+                    done({ports::kv_status::ok, id, remaining});
                 };
             },
             [done] { done({}); });
@@ -123,7 +123,7 @@
             p,
             [this, id, done]() -> std::function<void()>
             {
-                drop_lease(id);
+                remove_lease(id);
                 return [done]
                 {
                     done(ports::kv_status::ok);
--- a/testing/daemon_fakes/src/targets.cpp
+++ b/testing/daemon_fakes/src/targets.cpp
@@ -8,11 +8,11 @@
 namespace
 {
 
-int told_of(const target& t)
+int count_reported(const target& t)
 {
     return static_cast<int>(std::count_if(t.senders.begin(),
         t.senders.end(),
-        [](const auto& it) { return !it.first->dead && it.first->lapses == it.second; }));
+        [](const auto& it) { return !it.first->dead && it.first->expirations == it.second; }));
 }
 
 } // namespace
@@ -55,11 +55,11 @@
     }
     auto& t = found->second;
     ++t.running;
-    t.most_running = std::max(t.most_running, t.running);
+    t.max_running = std::max(t.max_running, t.running);
     t.ran.push_back(call.request.body);
-    const std::pair<const process*, int> sender{&from, from.lapses};
+    const std::pair<const process*, int> sender{&from, from.expirations};
     t.senders.push_back(sender);
-    t.most_told = std::max(t.most_told, told_of(t));
+    t.max_reported = std::max(t.max_reported, count_reported(t));
     ports::http_outcome cut;
     cut.end = ports::call_end::interrupted;
     time_.after(call.total_timeout, [finish, cut] { finish(cut); });
--- a/testing/daemon_fakes/src/virtual_time.cpp
+++ b/testing/daemon_fakes/src/virtual_time.cpp
@@ -52,7 +52,7 @@
 
 void virtual_time::cancel(ports::timer_id id)
 {
-    live_.erase(id);
+    active_timers_.erase(id);
     const auto it = due_.find(id);
     if (it != due_.end())
     {
@@ -79,16 +79,16 @@
     out.after = [this, &p](core::millis delay, std::function<void()> fn)
     {
         const auto id = last_ + 1;
-        live_.insert(id);
-        // A timer that was cancelled while its process was paused has left the queue, not the list
-        // of what waits for the process: so it asks again whether it is still wanted.
+        active_timers_.insert(id);
+        // A timer that expired while its process was paused is in the process's queue of waiting
+        // events, where cancel() can't remove it. It therefore checks again whether it is active.
         return after(delay,
             [this, &p, id, fn = std::move(fn)]
             {
                 p.enter(
                     [this, id, fn]
                     {
-                        if (live_.erase(id) > 0)
+                        if (active_timers_.erase(id) > 0)
                         {
                             fn();
                         }
@@ -118,14 +118,14 @@
     return true;
 }
 
-bool virtual_time::run_until(const std::function<bool()>& holds, core::millis bound)
+bool virtual_time::run_until(const std::function<bool()>& condition, core::millis bound)
 {
     const auto end = now_ + bound;
-    while (!holds())
+    while (!condition())
     {
         if (!step(end))
         {
-            return holds();
+            return condition();
         }
     }
     return true;
--- a/testing/http_fakes/include/http_fakes/fakes.hpp
+++ b/testing/http_fakes/include/http_fakes/fakes.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Peers that misbehave, for tests of what speaks HTTP: raw callers and a scripted target.
+/// Misbehaving peers for tests of the HTTP server and client: a raw caller and a scripted target.
 #pragma once
 
 #include "reactor/event_loop.hpp"
@@ -20,21 +20,23 @@
 namespace camphorhitch::http_fakes
 {
 
+/// Time after which a test stops waiting for a condition.
 inline constexpr std::chrono::seconds give_up{10};
 
-/// \return whether \p holds came true before the test gives up.
-inline bool run_until(reactor::event_loop& loop, const std::function<bool()>& holds)
+/// Runs the loop until \p condition is true, for at most give_up.
+/// \return whether \p condition became true.
+inline bool run_until(reactor::event_loop& loop, const std::function<bool()>& condition)
 {
     const auto time = loop.scheduler();
     const auto end = time.now() + give_up;
-    while (!holds() && time.now() < end)
+    while (!condition() && time.now() < end)
     {
         loop.run_once(core::millis{20});
     }
-    return holds();
+    return condition();
 }
 
-/// Lets the loop run for a while, to see that something does not happen.
+/// Runs the loop for \p wait, so that a test can check that something does not happen.
 inline void run_for(reactor::event_loop& loop, core::millis wait)
 {
     bool over = false;
@@ -42,6 +44,7 @@
     run_until(loop, [&] { return over; });
 }
 
+/// \return "127.0.0.1:port".
 inline std::string loopback(std::uint16_t port)
 {
     return "127.0.0.1:" + std::to_string(port);
@@ -56,7 +59,7 @@
     return out;
 }
 
-/// A caller that writes bytes as it likes.
+/// A caller that sends arbitrary bytes.
 class raw_caller
 {
 public:
@@ -73,7 +76,7 @@
     raw_caller(const raw_caller&) = delete;
     raw_caller& operator=(const raw_caller&) = delete;
 
-    /// Writes all of it while the loop reads.
+    /// Writes the whole text while the loop runs, so that the server can read it.
     void write(reactor::event_loop& loop, std::string_view text)
     {
         run_until(loop,
@@ -85,12 +88,12 @@
                 return text.empty();
             });
     }
-    /// Writes a text that fits into the kernel's buffer, without a turn of the loop.
+    /// Writes a text that fits into the kernel's buffer, without running the loop.
     void send_now(std::string_view text) const
     {
         std::ignore = ::send(fd_, text.data(), text.size(), MSG_NOSIGNAL);
     }
-    /// \return what came so far.
+    /// \return all bytes received so far.
     const std::string& read()
     {
         char buf[4096];
@@ -102,15 +105,18 @@
         closed_ = closed_ || n == 0 || errno != EAGAIN;
         return seen_;
     }
+    /// \return whether the server has closed the connection.
     bool closed()
     {
         read();
         return closed_;
     }
-    bool saw(const std::string& text)
+    /// \return whether \p text has been received.
+    bool has_received(const std::string& text)
     {
         return read().find(text) != std::string::npos;
     }
+    /// Makes close() reset the connection.
     void reset_on_close() const
     {
         const linger now{1, 0};
@@ -131,7 +137,7 @@
     bool closed_ = false;
 };
 
-/// A target that counts the requests that it read, and answers each with given bytes.
+/// A target that counts the requests it reads and whose answers are bytes given by the test.
 class scripted_target
 {
 public:
@@ -147,7 +153,7 @@
     {
         while (!open_.empty())
         {
-            drop(open_.begin()->first);
+            close_connection(open_.begin()->first);
         }
         close_listener();
     }
@@ -161,6 +167,7 @@
         ::getsockname(listen_, reinterpret_cast<sockaddr*>(&at), &n);
         return ntohs(at.sin_port);
     }
+    /// Stops accepting connections; open connections stay.
     void close_listener()
     {
         if (listen_ >= 0)
@@ -170,8 +177,9 @@
         }
         listen_ = -1;
     }
-    /// \param id of the connection, which may be closed by now
-    void say(int id, const std::string& text) const
+    /// Sends \p text to a connection.
+    /// \param id the connection, which may have been closed meanwhile
+    void send(int id, const std::string& text) const
     {
         const auto it = open_.find(id);
         if (it != open_.end())
@@ -179,7 +187,8 @@
             ::send(it->second.fd, text.data(), text.size(), MSG_NOSIGNAL);
         }
     }
-    void drop(int id)
+    /// Closes a connection.
+    void close_connection(int id)
     {
         const int fd = open_.at(id).fd;
         loop_.watch_fd(fd, false, false, {});
@@ -189,9 +198,9 @@
 
     /// Called with the connection and the number of the request on that connection, from 1.
     std::function<void(int id, int number)> on_request;
-    int requests = 0;
-    int connections = 0;
-    std::string last;
+    int requests = 0;    ///< number of requests read on all connections
+    int connections = 0; ///< number of connections accepted
+    std::string last;    ///< bytes of the last request
 
 private:
     struct peer
@@ -217,7 +226,7 @@
         const auto n = ::recv(open_.at(id).fd, buf, sizeof(buf), 0);
         if (n <= 0)
         {
-            drop(id);
+            close_connection(id);
             return;
         }
         auto& bytes = open_.at(id).bytes;
