--- a/testing/fleet_sim/src/promises.cpp
+++ b/testing/fleet_sim/src/promises.cpp
@@ -81,7 +81,8 @@
 }
 
 /// Checks that no host is in two pools, and that a host that a pool has released is in another
-/// pool's hosts only under a newer ownership number.
+/// pool's hosts only under the same or a newer ownership number. A released host that is in no
+/// pool's hosts is accepted, because it is on its way or an operator has removed it.
 void check_owners(simulation& sim, const pool_document& after)
 {
     std::map<std::string, std::string> owners;
