--- a/bench/dispatch_policy/src/simulation.hpp
+++ b/bench/dispatch_policy/src/simulation.hpp
@@ -53,7 +53,8 @@
 {
 public:
     target(event_queue& events, int slots);
-    /// Runs or queues a request. \param on_end called when the request has run
+    /// Runs or queues a request.
+    /// \param on_end called when the request has run
     void submit(core::micros service, std::function<void(target_result)> on_end);
     void fail_all_requests();
     int max_at_once() const;
@@ -161,7 +162,8 @@
 /// A policy's handler of new requests.
 using submit = std::function<void(const offered&)>;
 
-/// Offers the load to \p policy. \return the measurements.
+/// Offers the load to \p policy.
+/// \return the measurements.
 run_result offer_load(simulation& sim, const std::string& name, const submit& policy);
 
 /// \return the \p share quantile in microseconds; 0 without values.
--- a/bench/job_placement/src/scheduler.hpp
+++ b/bench/job_placement/src/scheduler.hpp
@@ -37,7 +37,8 @@
 /// \return the product's scheduler.
 std::unique_ptr<scheduler> make_rounds(core::mono_time now);
 
-/// \return the baseline. \param skips whether jobs behind a job that doesn't fit may start before
+/// \return the baseline.
+/// \param skips whether jobs behind a job that doesn't fit may start before
 /// it.
 std::unique_ptr<scheduler> make_first_fit(bool skips);
 
--- a/bench/job_placement/src/workload.hpp
+++ b/bench/job_placement/src/workload.hpp
@@ -44,7 +44,8 @@
     /// \return the actual sizes and run time of a job that next() returned.
     job_fakes::real_task real_task_of(const std::string& job) const;
 
-    /// \return the time to the next arrival in seconds. \param rate arrivals per second
+    /// \return the time to the next arrival in seconds.
+    /// \param rate arrivals per second
     double next_gap_s(double rate);
 
     /// \return a uniformly distributed number.
@@ -60,7 +61,8 @@
     int job_count_ = 0;
 };
 
-/// \return hosts of 32 processors and 128 GB, four per rack and zone. \param accelerators whether
+/// \return hosts of 32 processors and 128 GB, four per rack and zone.
+/// \param accelerators whether
 /// every fifth host has four accelerators
 job_fakes::pool_environment make_environment(int hosts, int zones, bool accelerators);
 
--- a/bench/wave_policies/src/document_layouts.hpp
+++ b/bench/wave_policies/src/document_layouts.hpp
@@ -32,8 +32,8 @@
     std::size_t largest_bytes = 0;
     std::int64_t writes = 0;
     double written_bytes = 0;
-    std::int64_t same_second =
-        0; ///< writes of a document that was already written in the same second
+    /// Writes of a document that was already written in the same second.
+    std::int64_t same_second = 0;
 };
 
 /// \param end the documents at the end of the wave, which give the sizes
--- a/bench/wave_policies/src/rollout.cpp
+++ b/bench/wave_policies/src/rollout.cpp
@@ -228,7 +228,8 @@
     return out;
 }
 
-/// Runs one round of the member. \return the time until the next round, ms.
+/// Runs one round of the member.
+/// \return the time until the next round, ms.
 std::int64_t run_one_round(simulation& sim, const work_settings& work)
 {
     const auto before = sim.kv.revision;
--- a/bench/wave_policies/src/rollout.hpp
+++ b/bench/wave_policies/src/rollout.hpp
@@ -47,7 +47,8 @@
     std::vector<layout_cost> layout_costs;
 };
 
-/// Runs one wave over the fleet. \return the measurements.
+/// Runs one wave over the fleet.
+/// \return the measurements.
 rollout run_wave(const fleet_shape& shape,
     const measured_policy& policy,
     const work_settings& work,
--- a/testing/daemon_fakes/include/daemon_fakes/key_value.hpp
+++ b/testing/daemon_fakes/include/daemon_fakes/key_value.hpp
@@ -31,7 +31,8 @@
     void unfreeze_range_reads();
     /// Ends all watches, as the real service does occasionally.
     void end_watches();
-    /// Writes a key as another client of the service. \return the key's revision.
+    /// Writes a key as another client of the service.
+    /// \return the key's revision.
     ports::revision put(
         const std::string& key, const std::string& value, ports::lease_id lease = 0);
     /// Deletes a key as another client of the service.
--- a/testing/daemon_fakes/include/daemon_fakes/recorders.hpp
+++ b/testing/daemon_fakes/include/daemon_fakes/recorders.hpp
@@ -30,7 +30,8 @@
     bool accepting = true;
 
     ports::http_server port();
-    /// Delivers a caller's request to \p events in process \p to. \return the id of its exchange.
+    /// Delivers a caller's request to \p events in process \p to.
+    /// \return the id of its exchange.
     ports::exchange_id send(process& to, const ports::http_events& events, ports::http_request r);
     /// \return the answer, or nullptr while there is none.
     const ports::http_response* find(ports::exchange_id id) const;
--- a/testing/day_sim/include/day_sim/day.hpp
+++ b/testing/day_sim/include/day_sim/day.hpp
@@ -55,7 +55,8 @@
     double max_plan_ms = 0;  ///< longest processor time of a placement round
 };
 
-/// Simulates one day. \return its measurements.
+/// Simulates one day.
+/// \return its measurements.
 day_result simulate_day(const day_shape& shape, const day_policy& policy, std::uint64_t seed);
 
 } // namespace camphorhitch::day_sim
--- a/testing/fleet_sim/include/fleet_sim/simulation.hpp
+++ b/testing/fleet_sim/include/fleet_sim/simulation.hpp
@@ -49,9 +49,9 @@
 /// Timing of the simulated members. Milliseconds.
 struct simulation_settings
 {
-    std::int64_t freshness_ms = 3000;
-    std::int64_t margin_ms = 500;
-    std::int64_t max_request_ms = 60000;
+    std::int64_t freshness_ms = 3000;    ///< age up to which a member's last read is valid
+    std::int64_t margin_ms = 500;        ///< additional wait after a takeover
+    std::int64_t max_request_ms = 60000; ///< maximum duration of a request
 };
 
 /// The simulated system: store, platform and members.
--- a/testing/fleet_sim/include/fleet_sim/store.hpp
+++ b/testing/fleet_sim/include/fleet_sim/store.hpp
@@ -37,7 +37,8 @@
         on_pool_write;
 };
 
-/// Writes a document. \param expected revision that the document must have; 0: it must not exist.
+/// Writes a document.
+/// \param expected revision that the document must have; 0: it must not exist.
 answer put_pool(store& s, const model::pool_document& d, std::int64_t expected);
 answer put_wave(store& s, const model::wave_document& d, std::int64_t expected);
 
--- a/testing/job_fakes/include/job_fakes/member.hpp
+++ b/testing/job_fakes/include/job_fakes/member.hpp
@@ -26,8 +26,8 @@
     model::pool_document hosts;
     std::vector<model::team_config> teams;
     std::map<std::string, jobs::quota_document> quotas; ///< by team
-    bool quota_requests_unanswered =
-        false; ///< quota requests are stored and their answers are lost
+    /// Whether quota requests are stored and their answers lost.
+    bool quota_requests_unanswered = false;
     std::map<std::string, core::millis> leaving_in; ///< time until a host leaves, by host
     jobs::settings rules;
     core::mono_time now{core::millis{1'000'000}};
--- a/testing/promise_checker/src/pools.cpp
+++ b/testing/promise_checker/src/pools.cpp
@@ -30,8 +30,8 @@
 {
     std::string pool;
     std::int64_t ownership = 0;
-    bool is_kept =
-        false; ///< whether the host is in the pool's hosts; else it is released to the pool
+    /// Whether the host is in the pool's hosts; else it is released to the pool.
+    bool is_kept = false;
 };
 
 bool is_absent(const host_record& h)
--- a/testing/promise_checker/src/promises.hpp
+++ b/testing/promise_checker/src/promises.hpp
@@ -29,8 +29,8 @@
 struct limits
 {
     std::int64_t leaving_ms = 5000; ///< from the mark of a leaving host to its last new request
-    std::int64_t in_force_ms =
-        19000; ///< from a configuration's write to its adoption by all daemons
+    /// From a configuration's write to its adoption by all daemons.
+    std::int64_t in_force_ms = 19000;
     /// Time after its replacement in which a configuration may still have decided a drain.
     std::int64_t old_config_ms = 5000;
 };
--- a/testing/standin_kv/src/store.hpp
+++ b/testing/standin_kv/src/store.hpp
@@ -106,16 +106,20 @@
     no_lease  ///< the lease for the key does not exist
 };
 
-/// Executes a transaction. \param at_ms wall time for the history
+/// Executes a transaction.
+/// \param at_ms wall time for the history
 verdict apply(store& s, const transaction& t, std::int64_t at_ms);
 
-/// Creates a lease. \return the lease's id.
+/// Creates a lease.
+/// \return the lease's id.
 std::int64_t grant(store& s, core::millis ttl, core::mono_time now);
 
-/// Renews a lease. \return its time to live, or nothing if the lease does not exist.
+/// Renews a lease.
+/// \return its time to live, or nothing if the lease does not exist.
 std::optional<core::millis> keep_alive(store& s, std::int64_t id, core::mono_time now);
 
-/// Ends a lease and deletes its keys. \return false if the lease does not exist.
+/// Ends a lease and deletes its keys.
+/// \return false if the lease does not exist.
 bool revoke(store& s, std::int64_t id, std::int64_t at_ms);
 
 /// Revokes all expired leases.
--- a/testing/standin_kv/src/wire.hpp
+++ b/testing/standin_kv/src/wire.hpp
@@ -46,7 +46,8 @@
 nlohmann::json range_json(std::int64_t revision, const std::vector<record>& found, bool keys_only);
 nlohmann::json event_json(const change& c);
 
-/// \return an error answer. \param code gRPC status code
+/// \return an error answer.
+/// \param code gRPC status code
 ports::http_response gateway_error(int status, int code, const std::string& text);
 ports::http_response gateway_error(const core::findings& wrong);
 
--- a/testing/standin_support/include/standin_support/faults.hpp
+++ b/testing/standin_support/include/standin_support/faults.hpp
@@ -36,7 +36,8 @@
     /// \param on_outage_end called at the end of an outage
     fault_gate(standin& s, std::function<void()> on_outage_end);
 
-    /// Listens on the service's port. \param inner handles the requests that pass the gate
+    /// Listens on the service's port.
+    /// \param inner handles the requests that pass the gate
     listener& listen(exchange_handler inner);
 
     /// Reads and applies the gate's members of a control command.
@@ -81,8 +82,8 @@
     listener* port_ = nullptr;
     random_source random_;
     bool in_outage_ = false;
-    std::uint64_t last_outage_ =
-        0; ///< number of the newest outage; timers of earlier ones are ignored
+    /// Number of the newest outage; timers of earlier ones are ignored.
+    std::uint64_t last_outage_ = 0;
     outage_mode mode_ = outage_mode::close;
     core::millis slow_{0};
     double lose_answers_ = 0;
--- a/testing/standin_support/include/standin_support/http_server.hpp
+++ b/testing/standin_support/include/standin_support/http_server.hpp
@@ -151,9 +151,9 @@
     void close();
     /// Closes all connections, including those with a request in flight.
     void cut_connections();
-    /// Makes open connections discard all input and send nothing from now on. \p chosen is called
-    /// for each open connection and returns whether it is affected. \return the number of affected
-    /// connections.
+    /// Makes open connections discard all input and send nothing from now on.
+    /// \param chosen called for each open connection; returns whether the connection is affected
+    /// \return the number of affected connections.
     std::size_t silence(const std::function<bool()>& chosen);
 
 private:
@@ -164,8 +164,8 @@
 
     http_server& server_;
     exchange_handler handler_;
-    int reserving_socket_ =
-        -1; ///< bound socket that never listens; it reserves the port while closed
+    /// Bound socket that never listens; it reserves the port while closed.
+    int reserving_socket_ = -1;
     int socket_ = -1;
     std::uint16_t port_ = 0;
     connection_counts counts_;
@@ -181,7 +181,8 @@
     http_server(const http_server&) = delete;
     http_server& operator=(const http_server&) = delete;
 
-    /// Adds a listener. \param port 0: a free port is chosen
+    /// Adds a listener.
+    /// \param port 0: a free port is chosen
     listener& listen(std::uint16_t port, exchange_handler handler);
 
 private:
--- a/testing/standin_support/include/standin_support/router.hpp
+++ b/testing/standin_support/include/standin_support/router.hpp
@@ -32,7 +32,8 @@
 /// \return a handler that answers 404 for requests that match no route.
 exchange_handler make_router(std::string token, std::vector<route> routes);
 
-/// \return whether \p path matches \p pattern. \param parts receives the segments matched by stars
+/// \return whether \p path matches \p pattern.
+/// \param parts receives the segments matched by stars
 bool matches(const std::string& pattern, const std::string& path, path_parts& parts);
 
 /// \return the value of \p name in the query, or an empty string.
--- a/testing/standin_support/include/standin_support/test_client.hpp
+++ b/testing/standin_support/include/standin_support/test_client.hpp
@@ -26,7 +26,8 @@
         return connected_;
     }
 
-    /// Sends a request. \param fields complete header lines, each with its CR LF
+    /// Sends a request.
+    /// \param fields complete header lines, each with its CR LF
     void send(const std::string& method,
         const std::string& path,
         const std::string& body = "",
--- a/testing/standin_target/src/run_log.hpp
+++ b/testing/standin_target/src/run_log.hpp
@@ -30,7 +30,8 @@
     std::uint64_t without_id = 0; ///< number of runs of requests without an id
 };
 
-/// Records a run. \param id the request's id, may be empty
+/// Records a run.
+/// \param id the request's id, may be empty
 /// \return the number of runs of the id, including this one; 1 without an id.
 std::size_t record_run(run_log& l, const std::string& id, run r);
 
--- a/testing/standin_target/src/service.hpp
+++ b/testing/standin_target/src/service.hpp
@@ -16,8 +16,8 @@
 {
     std::size_t count = 1;
     std::string prefix = "h"; ///< hosts are <prefix>1, <prefix>2, ...
-    std::uint16_t first_port =
-        0; ///< port of the first target; the others follow. 0: free ports are chosen
+    /// Port of the first target; the others follow. 0: free ports are chosen.
+    std::uint16_t first_port = 0;
     int slots = 8;
     core::millis delay{5}; ///< service time of requests that do not give one
 };
--- a/testing/standin_target/src/target.cpp
+++ b/testing/standin_target/src/target.cpp
@@ -67,8 +67,8 @@
 
 } // namespace
 
-target::target(standin_support::standin& s, run_log& run_log, target_settings settings)
-    : standin_(s), run_log_(run_log), settings_(std::move(settings)),
+target::target(standin_support::standin& s, run_log& log, target_settings settings)
+    : standin_(s), run_log_(log), settings_(std::move(settings)),
       random_(s.settings.seed ^ core::stable_hash(settings_.host))
 {
     port_ = &s.server.listen(
--- a/testing/standin_target/src/target.hpp
+++ b/testing/standin_target/src/target.hpp
@@ -61,7 +61,7 @@
 class target
 {
 public:
-    target(standin_support::standin& s, run_log& run_log, target_settings settings);
+    target(standin_support::standin& s, run_log& log, target_settings settings);
     target(const target&) = delete;
     target& operator=(const target&) = delete;
 
