--- a/programs/camphorhitchd/src/claim_service.cpp
+++ b/programs/camphorhitchd/src/claim_service.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr core::millis round{100};
+constexpr core::millis tick_interval{100};
 
 } // namespace
 
@@ -20,7 +20,8 @@
 {
     table_.settings = settings;
     table_.self = c.self;
-    context_.every(round, [this] { act(claims::on_tick(table_, context_.scheduler.now())); });
+    context_.run_every(tick_interval,
+        [this] { execute_actions(claims::on_tick(table_, context_.scheduler.now())); });
 }
 
 void claim_service::on_settings(const claims::claim_settings& settings)
@@ -30,18 +31,18 @@
 
 void claim_service::on_roster()
 {
-    act(claims::on_roster(table_, members_.roster(), context_.scheduler.now()));
+    execute_actions(claims::on_roster(table_, members_.roster(), context_.scheduler.now()));
 }
 
-const model::member_record* claim_service::holder(const std::string& key) const
+const model::member_record* claim_service::first_holder(const std::string& key) const
 {
     const auto slot = membership::slot_of_key(key);
     return membership::claim_holders(members_.roster().members, slot).first;
 }
 
-void claim_service::ask(const ports::claim_request& request, claim_callback done)
+void claim_service::request_claim(const ports::claim_request& request, claim_callback done)
 {
-    const auto* to = holder(request.key);
+    const auto* to = first_holder(request.key);
     if (to == nullptr)
     {
         done(ports::peer_status::ok, {});
@@ -62,7 +63,8 @@
 {
     const auto ticket = next_ticket_++;
     claim_replies_[ticket] = std::move(done);
-    act(claims::on_claim(table_, ticket, request, members_.fresh(), context_.scheduler.now()));
+    execute_actions(
+        claims::on_claim(table_, ticket, request, members_.fresh(), context_.scheduler.now()));
 }
 
 void claim_service::on_finish(
@@ -70,7 +72,7 @@
 {
     const auto ticket = next_ticket_++;
     finish_replies_[ticket] = std::move(done);
-    act(claims::on_finish(table_, ticket, message, context_.scheduler.now()));
+    execute_actions(claims::on_finish(table_, ticket, message, context_.scheduler.now()));
 }
 
 ports::ack claim_service::on_copy(const ports::claim_copy& copy)
@@ -83,9 +85,9 @@
     return claims::on_pull(table_, pull, context_.scheduler.now());
 }
 
-void claim_service::finish(const ports::claim_finish& message, finish_callback done)
+void claim_service::finish_claim(const ports::claim_finish& message, finish_callback done)
 {
-    const auto* to = holder(message.key);
+    const auto* to = first_holder(message.key);
     if (to == nullptr)
     {
         done(ports::peer_status::unreachable, {});
@@ -100,7 +102,7 @@
     context_.peers.finish_claim(to->address, message, std::move(done));
 }
 
-void claim_service::act(const claims::claim_actions& actions)
+void claim_service::execute_actions(const claims::claim_actions& actions)
 {
     for (const auto& it : actions)
     {
@@ -128,16 +130,19 @@
         {
             context_.peers.copy_claim(copy->to.address,
                 copy->copy,
-                [this, number = copy->number](ports::peer_status status, ports::ack reply)
-                { act(claims::on_copy_result(table_, number, status, reply, members_.fresh())); });
+                [this, number = copy->number](ports::peer_status status, ports::ack reply) {
+                    execute_actions(
+                        claims::on_copy_result(table_, number, status, reply, members_.fresh()));
+                });
         }
         else if (const auto* pull = std::get_if<claims::send_pull>(&it))
         {
             context_.peers.pull_slots(pull->to.address,
                 pull->pull,
                 [this, asked = *pull](
-                    ports::peer_status status, const ports::slot_pull_reply& reply) {
-                    act(claims::on_pull_result(
+                    ports::peer_status status, const ports::slot_pull_reply& reply)
+                {
+                    execute_actions(claims::on_pull_result(
                         table_, asked, status, reply, context_.scheduler.now()));
                 });
         }
@@ -149,7 +154,7 @@
     return table_;
 }
 
-bool claim_service::handed_over() const
+bool claim_service::handover_complete() const
 {
     return claims::is_handed_over(table_);
 }
--- a/programs/camphorhitchd/src/config_service.cpp
+++ b/programs/camphorhitchd/src/config_service.cpp
@@ -14,7 +14,8 @@
 namespace
 {
 
-/// Commands remembered for repeats; an operator repeats within minutes, not after so many changes.
+/// Number of recent commands recorded to detect repeats. An operator repeats a command within
+/// minutes, before that many further changes.
 constexpr std::size_t max_recorded_commands = 64;
 
 bool contains(const std::vector<std::string>& all, const std::string& one)
@@ -22,7 +23,7 @@
     return std::find(all.begin(), all.end(), one) != all.end();
 }
 
-core::result<model::configuration> read(const std::string* text)
+core::result<model::configuration> decode_or_default(const std::string* text)
 {
     if (text == nullptr)
     {
@@ -30,24 +31,24 @@
     }
     auto decoded =
         model::decode_configuration(*text, model::keys::config, model::strictness::lenient);
-    if (const auto* wrong = std::get_if<core::findings>(&decoded))
+    if (const auto* findings = std::get_if<core::findings>(&decoded))
     {
-        return core::error{core::error_code::unavailable, core::to_text(*wrong)};
+        return core::error{core::error_code::unavailable, core::to_text(*findings)};
     }
     return std::get<model::configuration>(std::move(decoded));
 }
 
-change_result apply(const std::string* text,
+change_result apply_change(const std::string* text,
     const std::string& command,
     const config_change& change,
     std::int64_t& version)
 {
-    auto known = read(text);
-    if (!core::is_ok(known))
+    auto decoded_config = decode_or_default(text);
+    if (!core::is_ok(decoded_config))
     {
-        return core::failure(known);
+        return core::failure(decoded_config);
     }
-    auto next = core::value(known);
+    auto next = core::value(decoded_config);
     version = next.version;
     if (contains(next.commands, command))
     {
@@ -58,9 +59,9 @@
     {
         return core::failure(changed);
     }
-    if (const auto wrong = model::check(next, "configuration"); !wrong.empty())
+    if (const auto findings = model::check(next, "configuration"); !findings.empty())
     {
-        return core::error{core::error_code::invalid, core::to_text(wrong)};
+        return core::error{core::error_code::invalid, core::to_text(findings)};
     }
     version = ++next.version;
     next.commands.push_back(command);
@@ -80,7 +81,7 @@
 
 void config_service::set_listener(std::function<void(const model::configuration&)> adopted)
 {
-    adopted_ = std::move(adopted);
+    on_adopted_ = std::move(adopted);
 }
 
 const model::configuration& config_service::current() const
@@ -94,7 +95,7 @@
     {
         return;
     }
-    auto next = read(&entry.value);
+    auto next = decode_or_default(&entry.value);
     if (!core::is_ok(next))
     {
         context_.log(ports::log_level::error,
@@ -112,7 +113,7 @@
 
 void config_service::on_offer(const std::string& document, bool fresh_peer)
 {
-    auto next = read(&document);
+    auto next = decode_or_default(&document);
     const auto version = current_.version > 0 ? std::optional(current_.version) : std::nullopt;
     const auto source =
         fresh_peer ? membership::config_source::fresh_peer : membership::config_source::stale_peer;
@@ -131,8 +132,8 @@
         {{"version", std::to_string(current_.version)}, {"from", from}});
     context_.telemetry.gauge(
         "camphorhitch_config_version", {}, static_cast<double>(current_.version));
-    members_.set_config({current_.version, text});
-    adopted_(current_);
+    members_.set_config_in_force({current_.version, text});
+    on_adopted_(current_);
 }
 
 void config_service::change(const std::string& command,
@@ -141,10 +142,10 @@
 {
     const auto version = std::make_shared<std::int64_t>(0);
     update_document(
-        context_.writer(),
+        context_.document_updater(),
         model::keys::config,
         [command, change = std::move(change), version](const std::string* current)
-        { return apply(current, command, change, *version); },
+        { return apply_change(current, command, change, *version); },
         [version, done = std::move(done)](const core::result<core::done>& end)
         {
             if (core::is_ok(end))
@@ -178,7 +179,7 @@
         });
 }
 
-bool config_service::applied(const std::string& command) const
+bool config_service::is_applied(const std::string& command) const
 {
     return contains(current_.commands, command);
 }
--- a/programs/camphorhitchd/src/context.hpp
+++ b/programs/camphorhitchd/src/context.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// What every service of the daemon is given: who we are, the ports, and the mirrored documents.
+/// What every service of the daemon receives: the record of this member, the ports, and the
+/// mirrored documents.
 #pragma once
 
 #include "mirror.hpp"
@@ -18,27 +19,30 @@
 namespace camphorhitch::daemon
 {
 
-/// Times of the daemon's own rounds.
-struct round_settings
+/// Periods and bounds of the daemon's periodic tasks.
+struct timing_settings
 {
-    core::millis beat{500};       ///< between heartbeats to each peer
-    core::millis membership{250}; ///< between looks at the roster
-    /// Between confirmations by the store. When it goes out of reach, the newest one must still
-    /// hold (3 s) when the peers own store windows (1.5 s) and a heartbeat (0.5 s) have passed;
-    /// else all members refuse requests for a moment at the begin of each outage.
-    core::millis confirm{700};
-    core::millis lease_ttl{5000};     ///< of our member record
-    core::millis fleet{200};          ///< between decision rounds of pools and waves
-    core::millis live_list{1000};     ///< between reads of the live list
-    core::millis live_list_lag{5000}; ///< the list is never older than this
-    core::millis jobs{250};           ///< between placement rounds
-    core::millis stop_bound{20000};   ///< most time for a graceful stop
+    core::millis heartbeat_interval{500};  ///< interval between heartbeats to each peer
+    core::millis membership_interval{250}; ///< interval between checks of the roster
+    /// Interval between confirmations of the roster by the store. When the store becomes
+    /// unreachable, the newest confirmation must still hold (3 s) after the peers' own store
+    /// windows (1.5 s) and one heartbeat (0.5 s) have passed; otherwise all members refuse requests
+    /// for a moment at the start of each outage.
+    core::millis confirm_interval{700};
+    core::millis lease_ttl{5000};          ///< time to live of the lease on this member's record
+    core::millis fleet_interval{200};      ///< interval between decision rounds of pools and waves
+    core::millis live_list_interval{1000}; ///< interval between reads of the live list
+    core::millis max_live_list_age{5000}; ///< maximum age of the live list that the platform serves
+    core::millis jobs_interval{250};      ///< interval between placement rounds of jobs
+    core::millis max_stop_time{20000};    ///< maximum time for a graceful stop
 };
 
+/// Environment of a daemon: its member record, periods, ports and mirrored documents. It outlives
+/// all services.
 struct context
 {
     model::member_record self;
-    round_settings rounds;
+    timing_settings timing;
     ports::scheduler scheduler;
     ports::key_value store;
     ports::http_client http;
@@ -48,25 +52,27 @@
     boost::random::mt19937_64 random;
     mirror* documents = nullptr;
 
-    double unit()
+    /// \return a random number in [0, 1).
+    double random_unit()
     {
         return boost::random::uniform_01<double>()(random);
     }
 
-    /// Runs \p fn every \p period with up to a tenth of jitter, until the process ends.
-    void every(core::millis period, std::function<void()> fn)
+    /// Runs \p fn every \p period, with a jitter of up to a tenth, until the process ends.
+    void run_every(core::millis period, std::function<void()> fn)
     {
-        const auto wait = core::millis{
-            static_cast<std::int64_t>(static_cast<double>(period.count()) * (0.9 + 0.2 * unit()))};
+        const auto wait = core::millis{static_cast<std::int64_t>(
+            static_cast<double>(period.count()) * (0.9 + 0.2 * random_unit()))};
         scheduler.after(wait,
             [this, period, fn = std::move(fn)]() mutable
             {
                 fn();
-                every(period, std::move(fn));
+                run_every(period, std::move(fn));
             });
     }
 
-    updater writer()
+    /// \return what update_document() needs to write a document.
+    updater document_updater()
     {
         return {*documents, store, scheduler};
     }
--- a/programs/camphorhitchd/src/experiment_service.cpp
+++ b/programs/camphorhitchd/src/experiment_service.cpp
@@ -16,11 +16,11 @@
 namespace
 {
 
-constexpr core::millis round_every{500};
-constexpr core::millis sample_every{10000};
+constexpr core::millis round_interval{500};
+constexpr core::millis sample_interval{10000};
 constexpr double ms_per_hour = 3600000.0;
 
-change_result with_document(const std::string* current,
+change_result change_document(const std::string* current,
     const std::string& id,
     const std::function<bool(experiment::experiment_document&)>& change)
 {
@@ -29,9 +29,9 @@
         return core::error{core::error_code::not_found, "no experiment named " + id};
     }
     auto decoded = experiment::decode_experiment(*current, id);
-    if (const auto* wrong = std::get_if<core::findings>(&decoded))
+    if (const auto* findings = std::get_if<core::findings>(&decoded))
     {
-        return core::error{core::error_code::unavailable, core::to_text(*wrong)};
+        return core::error{core::error_code::unavailable, core::to_text(*findings)};
     }
     auto& document = std::get<experiment::experiment_document>(decoded);
     if (!change(document))
@@ -41,14 +41,14 @@
     return std::optional<std::string>{experiment::encode(document)};
 }
 
-int held_in(const model::pool_document& d)
+int count_held_hosts(const model::pool_document& d)
 {
     return static_cast<int>(std::count_if(d.hosts.begin(),
         d.hosts.end(),
         [](const auto& it) { return it.state == model::host_state::held; }));
 }
 
-bool failed_in(const model::wave_document& w, const model::host_record& host)
+bool host_failed_in(const model::wave_document& w, const model::host_record& host)
 {
     return host.state == model::host_state::failed && (host.wave == w.id || host.last_wave == w.id);
 }
@@ -63,7 +63,7 @@
 
 void experiment_service::start()
 {
-    context_.every(round_every, [this] { round(); });
+    context_.run_every(round_interval, [this] { run_round(); });
 }
 
 void experiment_service::on_document(const ports::kv_entry& entry)
@@ -103,7 +103,7 @@
                          : std::optional(experiment::report_text(*it, experiment::outcome_of(*it)));
 }
 
-void experiment_service::begin(
+void experiment_service::start_experiment(
     const experiment::start_request& request, std::function<void(core::result<std::string>)> done)
 {
     std::map<std::string, int> hosts;
@@ -111,15 +111,16 @@
     {
         hosts[it.document.pool] = static_cast<int>(it.document.hosts.size());
     }
-    auto made = experiment::start(request, fleet_.config(), hosts, context_.scheduler.wall_now());
-    if (const auto* wrong = std::get_if<core::findings>(&made))
+    auto created =
+        experiment::start(request, fleet_.config(), hosts, context_.scheduler.wall_now());
+    if (const auto* findings = std::get_if<core::findings>(&created))
     {
-        done(core::error{core::error_code::invalid, core::to_text(*wrong)});
+        done(core::error{core::error_code::invalid, core::to_text(*findings)});
         return;
     }
-    const auto& document = std::get<experiment::experiment_document>(made);
+    const auto& document = std::get<experiment::experiment_document>(created);
     update_document(
-        context_.writer(),
+        context_.document_updater(),
         model::keys::experiments + request.id,
         [text = experiment::encode(document), request](const std::string* current) -> change_result
         {
@@ -152,17 +153,17 @@
         });
 }
 
-void experiment_service::stop(const std::string& id,
+void experiment_service::stop_experiment(const std::string& id,
     const std::string& command,
     std::function<void(core::result<core::done>)> done)
 {
     const auto now = context_.scheduler.wall_now();
     update_document(
-        context_.writer(),
+        context_.document_updater(),
         model::keys::experiments + id,
         [id, command, now](const std::string* current)
         {
-            return with_document(current,
+            return change_document(current,
                 id,
                 [&](experiment::experiment_document& d)
                 { return experiment::stop(d, command, now); });
@@ -170,7 +171,7 @@
         std::move(done));
 }
 
-void experiment_service::round()
+void experiment_service::run_round()
 {
     if (!members_.fresh() || !context_.documents->loaded())
     {
@@ -182,10 +183,10 @@
         if (owner == nullptr || !membership::same_process(*owner, context_.self) ||
             d.state == experiment::experiment_state::ended)
         {
-            samples_.erase(id);
+            sampling_states_.erase(id);
             continue;
         }
-        step(d);
+        run_next_step(d);
         if (d.state == experiment::experiment_state::running)
         {
             take_sample(d);
@@ -193,7 +194,7 @@
     }
 }
 
-void experiment_service::step(const experiment::experiment_document& d)
+void experiment_service::run_next_step(const experiment::experiment_document& d)
 {
     const auto now = context_.scheduler.wall_now();
     const auto next = experiment::next_step(d, fleet_.config(), now);
@@ -215,7 +216,7 @@
 void experiment_service::write(
     const std::string& key, const std::string& text, ports::revision expected)
 {
-    if (!writing_.insert(key).second)
+    if (!writes_in_flight_.insert(key).second)
     {
         return;
     }
@@ -225,10 +226,10 @@
         0,
         [this, key, text](const ports::kv_write& reply)
         {
-            writing_.erase(key);
+            writes_in_flight_.erase(key);
             if (reply.status == ports::kv_status::ok)
             {
-                context_.documents->note({key, text, reply.modified, 0});
+                context_.documents->apply_entry({key, text, reply.modified, 0});
             }
             else
             {
@@ -237,7 +238,8 @@
         });
 }
 
-experiment::pool_sample experiment_service::sample_of(const std::string& pool, sampling& s) const
+experiment::pool_sample experiment_service::make_pool_sample(
+    const std::string& pool, sampling_state& s) const
 {
     experiment::pool_sample out;
     out.pool = pool;
@@ -250,7 +252,7 @@
     const auto& d = view->document;
     const auto absent = fleet::count_absences(d);
     out.hosts = static_cast<int>(d.hosts.size());
-    out.held_back = held_in(d);
+    out.held_back = count_held_hosts(d);
     out.absent = absent.missing;
     out.absent_budget = budget->absent;
     for (const auto& [zone, n] : absent.by_zone)
@@ -258,17 +260,17 @@
         out.zone_at_limit = out.zone_at_limit || n >= budget->absent_per_zone;
         out.zone_over = out.zone_over || n > budget->absent_per_zone;
     }
-    auto& before = s.pools[pool];
+    auto& previous = s.pools[pool];
     for (const auto& host : d.hosts)
     {
-        const auto known = before.ownership.find(host.id);
-        const bool moved = known == before.ownership.end() || known->second != host.ownership;
-        out.host_moves += !before.ownership.empty() && moved ? 1 : 0;
+        const auto known = previous.ownership.find(host.id);
+        const bool moved = known == previous.ownership.end() || known->second != host.ownership;
+        out.host_moves += !previous.ownership.empty() && moved ? 1 : 0;
     }
-    before.ownership.clear();
+    previous.ownership.clear();
     for (const auto& host : d.hosts)
     {
-        before.ownership[host.id] = host.ownership;
+        previous.ownership[host.id] = host.ownership;
     }
     int job_moves = 0;
     const auto all = jobs_.all_jobs();
@@ -280,17 +282,17 @@
             job_moves += it->moves + it->preemptions;
         }
     }
-    out.job_moves = std::max(0, job_moves - before.job_moves);
-    before.job_moves = job_moves;
+    out.job_moves = std::max(0, job_moves - previous.job_moves);
+    previous.job_moves = job_moves;
     return out;
 }
 
 void experiment_service::take_sample(const experiment::experiment_document& d)
 {
     const auto now = context_.scheduler.now();
-    auto& s = samples_[d.id];
+    auto& s = sampling_states_[d.id];
     const bool first = s.last == core::mono_time{};
-    if (!first && now - s.last < sample_every)
+    if (!first && now - s.last < sample_interval)
     {
         return;
     }
@@ -300,7 +302,7 @@
     s.last = now;
     for (const auto& it : d.pools)
     {
-        next.pools.push_back(sample_of(it.pool, s));
+        next.pools.push_back(make_pool_sample(it.pool, s));
     }
     for (const auto& wave : fleet_.waves())
     {
@@ -319,26 +321,26 @@
             {
                 it.rollouts.push_back(static_cast<double>(w.ended_ms - w.started_ms) / ms_per_hour);
             }
-            // A wave halts for the hosts that failed in it; pools that it merely reaches too are
-            // not to blame.
+            // A wave halts because of the hosts that failed in it. A pool that the wave only
+            // selects hosts of is not counted.
             const bool failed_here =
                 view != nullptr && std::any_of(view->document.hosts.begin(),
                                        view->document.hosts.end(),
-                                       [&](const auto& host) { return failed_in(w, host); });
+                                       [&](const auto& host) { return host_failed_in(w, host); });
             it.halted_waves += failed_here && halted && !first ? 1 : 0;
         }
     }
     if (first)
     {
-        return; // what happened before this owner looked belongs to nobody's sample
+        return; // events before this member owned the experiment belong to no sample
     }
     const auto wall = context_.scheduler.wall_now();
     update_document(
-        context_.writer(),
+        context_.document_updater(),
         model::keys::experiments + d.id,
         [id = d.id, next, wall](const std::string* current)
         {
-            return with_document(current,
+            return change_document(current,
                 id,
                 [&](experiment::experiment_document& it)
                 { return experiment::add_sample(it, next, wall); });
--- a/programs/camphorhitchd/src/explanations.cpp
+++ b/programs/camphorhitchd/src/explanations.cpp
@@ -18,10 +18,10 @@
                             : "  rule " + why.rule + ": " + why.weighed + "\n";
 }
 
-std::optional<std::string> explain_host(const std::string& id, const operator_parts& parts)
+std::optional<std::string> explain_host(const std::string& id, const service_refs& services)
 {
-    const auto owner = fleet::owner_of(id, parts.fleet.pools());
-    const auto* pool = parts.fleet.find_pool(owner.pool);
+    const auto owner = fleet::owner_of(id, services.fleet.pools());
+    const auto* pool = services.fleet.find_pool(owner.pool);
     const auto* host = pool == nullptr ? nullptr : model::find_host(pool->document, id);
     if (host == nullptr)
     {
@@ -32,7 +32,7 @@
     std::string out = "host " + id + " of pool " + owner.pool + " is " +
                       std::string(core::name_of(model::host_state_names, host->state)) + "\n" +
                       decision_line(host->why);
-    if (const auto* wave = fleet::assigned_wave(id, parts.fleet.waves()))
+    if (const auto* wave = fleet::assigned_wave(id, services.fleet.waves()))
     {
         out += "  wave " + wave->id + " is to maintain it" +
                (fleet::admits(*wave, id)
@@ -41,11 +41,11 @@
     }
     out += "  pool: " +
            fleet::describe_absences(
-               pool->document, fleet::budget_of(parts.config.current(), owner.pool)) +
+               pool->document, fleet::budget_of(services.config.current(), owner.pool)) +
            "\n";
-    const auto tasks = parts.jobs.tasks_on(owner.pool, id);
+    const auto tasks = services.jobs.tasks_on(owner.pool, id);
     out += tasks ? "  tasks: " + std::to_string(*tasks) + "\n" : "  tasks: not known here\n";
-    if (const auto use = parts.permits.use_of(owner.pool, id))
+    if (const auto use = services.permits.usage_of_host(owner.pool, id))
     {
         out += "  in flight: " + std::to_string(use->permits) + " requests" +
                (use->uncounted ? ", and others may hold permits of a former owner\n" : "\n");
@@ -53,20 +53,20 @@
     return out;
 }
 
-std::optional<std::string> explain_pool(const std::string& id, const operator_parts& parts)
+std::optional<std::string> explain_pool(const std::string& id, const service_refs& services)
 {
-    const auto* pool = parts.fleet.find_pool(id);
+    const auto* pool = services.fleet.find_pool(id);
     if (pool == nullptr)
     {
         return std::nullopt;
     }
-    const auto* owner = membership::owner_of_pool(parts.members.roster(), id);
+    const auto* owner = membership::owner_of_pool(services.members.roster(), id);
     std::string out =
         "pool " + id + " is decided by " + (owner == nullptr ? "nobody" : owner->id) +
         "\n  absences: " +
-        fleet::describe_absences(pool->document, fleet::budget_of(parts.config.current(), id)) +
+        fleet::describe_absences(pool->document, fleet::budget_of(services.config.current(), id)) +
         "\n";
-    const auto& all = parts.permits.dispatchers();
+    const auto& all = services.permits.dispatchers();
     const auto it = all.find(id);
     if (it != all.end())
     {
@@ -87,22 +87,22 @@
     return out;
 }
 
-std::optional<std::string> explain_wave(const std::string& id, const operator_parts& parts)
+std::optional<std::string> explain_wave(const std::string& id, const service_refs& services)
 {
-    for (const auto& it : parts.fleet.waves())
+    for (const auto& it : services.fleet.waves())
     {
         const auto& d = it.document;
         if (d.id != id)
         {
             continue;
         }
-        const auto sum = fleet::summarize(d, parts.fleet.pools());
+        const auto sum = fleet::summarize(d, services.fleet.pools());
         std::string out = "wave " + id + " is " +
                           std::string(core::name_of(model::wave_phase_names, d.phase)) + ": " +
                           std::to_string(sum.done) + " of " + std::to_string(sum.hosts) +
                           " hosts done, " + std::to_string(sum.in_progress) + " in progress, " +
                           std::to_string(sum.failed) + " failed\n" + decision_line(d.why);
-        for (const auto& host : fleet::failed_in_wave(d, parts.fleet.pools()))
+        for (const auto& host : fleet::failed_in_wave(d, services.fleet.pools()))
         {
             out += "  failed: " + host + "\n";
         }
@@ -111,10 +111,10 @@
     return std::nullopt;
 }
 
-std::optional<std::string> explain_job(const std::string& id, const operator_parts& parts)
+std::optional<std::string> explain_job(const std::string& id, const service_refs& services)
 {
     std::string pool;
-    const auto* job = parts.jobs.find(id, pool);
+    const auto* job = services.jobs.find(id, pool);
     if (job == nullptr)
     {
         return std::nullopt;
@@ -127,9 +127,9 @@
     return out;
 }
 
-std::optional<std::string> explain_request(const std::string& id, const operator_parts& parts)
+std::optional<std::string> explain_request(const std::string& id, const service_refs& services)
 {
-    const auto lines = parts.requests.explain(id);
+    const auto lines = services.requests.explain(id);
     if (lines.empty())
     {
         return std::nullopt;
@@ -145,20 +145,20 @@
 } // namespace
 
 std::optional<std::string> explain(
-    language::subject_kind kind, const std::string& id, const operator_parts& parts)
+    language::subject_kind kind, const std::string& id, const service_refs& services)
 {
     switch (kind)
     {
     case language::subject_kind::host:
-        return explain_host(id, parts);
+        return explain_host(id, services);
     case language::subject_kind::pool:
-        return explain_pool(id, parts);
+        return explain_pool(id, services);
     case language::subject_kind::wave:
-        return explain_wave(id, parts);
+        return explain_wave(id, services);
     case language::subject_kind::job:
-        return explain_job(id, parts);
+        return explain_job(id, services);
     case language::subject_kind::request:
-        return explain_request(id, parts);
+        return explain_request(id, services);
     }
     return std::nullopt;
 }
--- a/programs/camphorhitchd/src/explanations.hpp
+++ b/programs/camphorhitchd/src/explanations.hpp
@@ -1,9 +1,9 @@
 /// \file
-/// Answers of `why`, from recorded decisions.
+/// Answers to `why` statements, from recorded decisions.
 #pragma once
 
 #include "language/statements.hpp"
-#include "operator_parts.hpp"
+#include "service_refs.hpp"
 
 #include <optional>
 #include <string>
@@ -11,8 +11,9 @@
 namespace camphorhitch::daemon
 {
 
-/// \return the lines for people, or nothing when this member knows no such thing.
+/// \return the explanation as lines of text, or nothing when this member has no record of the
+/// subject.
 std::optional<std::string> explain(
-    language::subject_kind kind, const std::string& id, const operator_parts& parts);
+    language::subject_kind kind, const std::string& id, const service_refs& services);
 
 } // namespace camphorhitch::daemon
--- a/programs/camphorhitchd/src/fleet_service.cpp
+++ b/programs/camphorhitchd/src/fleet_service.cpp
@@ -27,7 +27,7 @@
     }
 }
 
-std::string after(const std::string& key, const std::string& prefix)
+std::string suffix_after(const std::string& key, const std::string& prefix)
 {
     return key.compare(0, prefix.size(), prefix) == 0 ? key.substr(prefix.size()) : std::string{};
 }
@@ -39,22 +39,22 @@
 {
 }
 
-void fleet_service::set_jobs(job_hooks hooks)
+void fleet_service::set_job_hooks(job_hooks hooks)
 {
-    jobs_ = std::move(hooks);
+    job_hooks_ = std::move(hooks);
 }
 
 void fleet_service::start()
 {
-    context_.every(context_.rounds.live_list, [this] { read_live_list(); });
-    context_.every(context_.rounds.fleet, [this] { round(); });
+    context_.run_every(context_.timing.live_list_interval, [this] { read_live_list(); });
+    context_.run_every(context_.timing.fleet_interval, [this] { run_round(); });
 }
 
 void fleet_service::on_config(const model::configuration& config)
 {
     config_ = config;
-    // A pool that has no document yet needs a decider too: a host may have been released to it, and
-    // belongs nowhere else until it is adopted.
+    // A pool without a document needs decisions too: a host may have been released to the pool and
+    // belongs to no other pool until this pool adopts the host.
     for (const auto& it : config.pools)
     {
         if (find_pool(it.name) == nullptr)
@@ -66,9 +66,9 @@
 
 void fleet_service::on_roster()
 {
-    for (auto it = memory_.begin(); it != memory_.end();)
+    for (auto it = pool_timers_.begin(); it != pool_timers_.end();)
     {
-        it = permits_.owns(it->first) ? std::next(it) : memory_.erase(it);
+        it = permits_.owns(it->first) ? std::next(it) : pool_timers_.erase(it);
     }
 }
 
@@ -101,17 +101,17 @@
 
 void fleet_service::on_document(const ports::kv_entry& entry)
 {
-    if (const auto pool = after(entry.key, model::keys::pools); !pool.empty())
+    if (const auto pool = suffix_after(entry.key, model::keys::pools); !pool.empty())
     {
-        take_pool(entry, pool);
+        apply_pool_document(entry, pool);
     }
-    else if (const auto wave = after(entry.key, model::keys::waves); !wave.empty())
+    else if (const auto wave = suffix_after(entry.key, model::keys::waves); !wave.empty())
     {
-        take_wave(entry, wave);
+        apply_wave_document(entry, wave);
     }
 }
 
-void fleet_service::take_pool(const ports::kv_entry& entry, const std::string& name)
+void fleet_service::apply_pool_document(const ports::kv_entry& entry, const std::string& name)
 {
     fleet::pool_view next;
     next.document.pool = name;
@@ -119,11 +119,11 @@
     if (entry.modified > 0)
     {
         auto decoded = model::decode_pool(entry.value, entry.key, model::strictness::lenient);
-        if (const auto* wrong = std::get_if<core::findings>(&decoded))
+        if (const auto* findings = std::get_if<core::findings>(&decoded))
         {
             context_.log(ports::log_level::error,
                 "pool_document_damaged",
-                {{"pool", name}, {"findings", core::to_text(*wrong)}});
+                {{"pool", name}, {"findings", core::to_text(*findings)}});
             return;
         }
         next.document = std::get<model::pool_document>(std::move(decoded));
@@ -133,7 +133,7 @@
         pools_, std::move(next), [&](const auto& it) { return it.document.pool == name; });
 }
 
-void fleet_service::take_wave(const ports::kv_entry& entry, const std::string& id)
+void fleet_service::apply_wave_document(const ports::kv_entry& entry, const std::string& id)
 {
     const auto same = [&](const auto& it)
     {
@@ -145,11 +145,11 @@
         return;
     }
     auto decoded = model::decode_wave(entry.value, entry.key, model::strictness::lenient);
-    if (const auto* wrong = std::get_if<core::findings>(&decoded))
+    if (const auto* findings = std::get_if<core::findings>(&decoded))
     {
         context_.log(ports::log_level::error,
             "wave_document_damaged",
-            {{"wave", id}, {"findings", core::to_text(*wrong)}});
+            {{"wave", id}, {"findings", core::to_text(*findings)}});
         return;
     }
     fleet::wave_view next{std::get<model::wave_document>(std::move(decoded)), entry.modified};
@@ -167,7 +167,8 @@
         [this](ports::live_list it)
         {
             reading_live_list_ = false;
-            // An unreadable list keeps the last one: hosts must not look down because the list is.
+            // The last list stays in use when the list can't be read: hosts must not count as down
+            // because the list is unavailable.
             if (it.known)
             {
                 live_ = std::move(it);
@@ -176,7 +177,7 @@
         });
 }
 
-void fleet_service::round()
+void fleet_service::run_round()
 {
     if (!members_.fresh() || !context_.documents->loaded())
     {
@@ -199,7 +200,8 @@
     }
 }
 
-std::vector<fleet::host_activity> fleet_service::activity_of(const fleet::pool_view& own) const
+std::vector<fleet::host_activity> fleet_service::make_host_activities(
+    const fleet::pool_view& own) const
 {
     std::vector<fleet::host_activity> all;
     const bool ready = permits_.ready(own.document.pool);
@@ -207,10 +209,10 @@
     {
         fleet::host_activity it;
         it.host = host.id;
-        const auto use = permits_.use_of(own.document.pool, host.id);
-        const auto tasks =
-            jobs_.tasks_on ? jobs_.tasks_on(own.document.pool, host.id) : std::optional<int>(0);
-        // The dispatcher was given this very document before any decision rests on it.
+        const auto use = permits_.usage_of_host(own.document.pool, host.id);
+        const auto tasks = job_hooks_.tasks_on ? job_hooks_.tasks_on(own.document.pool, host.id)
+                                               : std::optional<int>(0);
+        // The dispatcher received this document before this decision is made from it.
         it.stopped = ready;
         it.certain = ready && use.has_value() && !use->uncounted && tasks.has_value();
         it.requests = use ? use->permits + use->reserved : 0;
@@ -223,13 +225,13 @@
 void fleet_service::decide(const fleet::pool_view& own)
 {
     const auto& pool = own.document.pool;
-    if (writing_.count(model::keys::pools + pool) > 0)
+    if (writes_in_flight_.count(model::keys::pools + pool) > 0)
     {
         return;
     }
-    const auto activity = activity_of(own);
+    const auto activity = make_host_activities(own);
     fleet::fleet_settings rules;
-    rules.live_list_lag = context_.rounds.live_list_lag;
+    rules.live_list_lag = context_.timing.max_live_list_age;
     const fleet::pool_inputs in{own,
         config_,
         waves_,
@@ -240,16 +242,16 @@
         rules,
         context_.scheduler.now(),
         context_.scheduler.wall_now()};
-    for (const auto& action : fleet::decide_pool(in, memory_[pool]))
+    for (const auto& action : fleet::decide_pool(in, pool_timers_[pool]))
     {
-        std::visit([&](const auto& it) { act(pool, it); }, action);
+        std::visit([&](const auto& it) { execute(pool, it); }, action);
     }
 }
 
 void fleet_service::decide(const fleet::wave_view& own)
 {
     const auto key = model::keys::waves + own.document.id;
-    if (writing_.count(key) > 0)
+    if (writes_in_flight_.count(key) > 0)
     {
         return;
     }
@@ -263,7 +265,7 @@
     }
 }
 
-void fleet_service::act(const std::string& pool, const fleet::write_pool& it)
+void fleet_service::execute(const std::string& pool, const fleet::write_pool& it)
 {
     for (const auto& note : it.notes)
     {
@@ -274,21 +276,21 @@
 
 void fleet_service::write(const std::string& key, const std::string& text, ports::revision expected)
 {
-    writing_.insert(key);
+    writes_in_flight_.insert(key);
     context_.store.put_if(key,
         text,
         expected,
         0,
         [this, key, text](const ports::kv_write& reply)
         {
-            writing_.erase(key);
+            writes_in_flight_.erase(key);
             if (reply.status == ports::kv_status::ok)
             {
-                context_.documents->note({key, text, reply.modified, 0});
+                context_.documents->apply_entry({key, text, reply.modified, 0});
             }
             else if (reply.status == ports::kv_status::conflict && !reply.current.key.empty())
             {
-                context_.documents->note(reply.current);
+                context_.documents->apply_entry(reply.current);
             }
             else
             {
@@ -297,9 +299,9 @@
         });
 }
 
-void fleet_service::act(const std::string& pool, const fleet::order_reboot& it)
+void fleet_service::execute(const std::string& pool, const fleet::order_reboot& it)
 {
-    if (!rebooting_.insert(it.command).second)
+    if (!reboots_in_flight_.insert(it.command).second)
     {
         return;
     }
@@ -310,30 +312,30 @@
         it.command,
         [this, pool, it](ports::platform_status status)
         {
-            rebooting_.erase(it.command);
+            reboots_in_flight_.erase(it.command);
             if (status == ports::platform_status::ok)
             {
                 fleet::record_reboot_acknowledged(
-                    memory_[pool], it.host, it.command, context_.scheduler.now());
+                    pool_timers_[pool], it.host, it.command, context_.scheduler.now());
             }
         });
 }
 
-void fleet_service::act(const std::string& /*pool*/, const fleet::stop_host& /*it*/)
+void fleet_service::execute(const std::string& /*pool*/, const fleet::stop_host& /*it*/)
 {
-    // Nothing to tell: the dispatcher follows the document and the live list itself, and was given
-    // both before this decision was made from them.
+    // No action is needed: the dispatcher follows the document and the live list itself, and
+    // received both before this decision was made from them.
 }
 
-void fleet_service::act(const std::string& pool, const fleet::move_jobs_off& it)
+void fleet_service::execute(const std::string& pool, const fleet::move_jobs_off& it)
 {
-    if (jobs_.move_off)
+    if (job_hooks_.move_off)
     {
-        jobs_.move_off(pool, it.host, it.time_left);
+        job_hooks_.move_off(pool, it.host, it.time_left);
     }
 }
 
-void fleet_service::act(const std::string& pool, const fleet::report_slow_drain& it)
+void fleet_service::execute(const std::string& pool, const fleet::report_slow_drain& it)
 {
     context_.log(ports::log_level::warning,
         "drain_slow",
--- a/programs/camphorhitchd/src/fleet_setup.cpp
+++ b/programs/camphorhitchd/src/fleet_setup.cpp
@@ -16,7 +16,7 @@
 
 using json = nlohmann::json;
 
-constexpr const char* name = "apply";
+constexpr const char* document_name = "apply";
 
 struct setup_file
 {
@@ -24,40 +24,41 @@
     std::vector<model::pool_document> pools;
 };
 
-/// Findings of a part carry pointers from that part on; this puts the part's own place before them.
-void take_findings(core::findings from, const std::string& pointer, core::findings& all)
+/// Adds the findings of one part of the file. Their pointers start at that part, so \p pointer, the
+/// part's own position, is prepended.
+void append_findings(core::findings from, const std::string& pointer, core::findings& all)
 {
     for (auto& it : from)
     {
         it.where.pointer = pointer + it.where.pointer;
-        it.where.line = 0; // the part's lines are not the file's
+        it.where.line = 0; // line numbers of the part differ from those of the file
         it.where.column = 0;
         all.push_back(std::move(it));
     }
 }
 
-void read_config(const json& parsed, setup_file& out, core::findings& wrong)
+void read_config(const json& parsed, setup_file& out, core::findings& findings)
 {
     auto decoded = model::decode_configuration(
-        parsed["configuration"].dump(), name, model::strictness::strict);
+        parsed["configuration"].dump(), document_name, model::strictness::strict);
     if (auto* it = std::get_if<core::findings>(&decoded))
     {
-        take_findings(*it, "/configuration", wrong);
+        append_findings(*it, "/configuration", findings);
         return;
     }
     out.config = std::get<model::configuration>(std::move(decoded));
-    take_findings(model::check(*out.config, name), "/configuration", wrong);
+    append_findings(model::check(*out.config, document_name), "/configuration", findings);
 }
 
-void read_pools(const json& parsed, setup_file& out, core::findings& wrong)
+void read_pools(const json& parsed, setup_file& out, core::findings& findings)
 {
     std::size_t i = 0;
     for (const auto& one : parsed["pools"])
     {
-        auto decoded = model::decode_pool(one.dump(), name, model::strictness::strict);
+        auto decoded = model::decode_pool(one.dump(), document_name, model::strictness::strict);
         if (auto* it = std::get_if<core::findings>(&decoded))
         {
-            take_findings(*it, "/pools/" + std::to_string(i), wrong);
+            append_findings(*it, "/pools/" + std::to_string(i), findings);
         }
         else
         {
@@ -70,38 +71,38 @@
 std::variant<setup_file, core::findings> read_file(const std::string& text)
 {
     const auto parsed = json::parse(text, nullptr, false);
-    core::findings wrong;
+    core::findings findings;
     if (!parsed.is_object())
     {
-        wrong.push_back({{name, "", 0, 0}, "must be a JSON object", ""});
-        return wrong;
+        findings.push_back({{document_name, "", 0, 0}, "must be a JSON object", ""});
+        return findings;
     }
     setup_file out;
     for (const auto& it : parsed.items())
     {
         if (it.key() != "configuration" && it.key() != "pools")
         {
-            wrong.push_back({{name, "/" + it.key(), 0, 0},
+            findings.push_back({{document_name, "/" + it.key(), 0, 0},
                 "unknown key",
                 core::nearest_name(it.key(), {"configuration", "pools"})});
         }
     }
     if (parsed.contains("configuration"))
     {
-        read_config(parsed, out, wrong);
+        read_config(parsed, out, findings);
     }
     if (parsed.contains("pools") && parsed["pools"].is_array())
     {
-        read_pools(parsed, out, wrong);
+        read_pools(parsed, out, findings);
     }
-    if (!wrong.empty())
+    if (!findings.empty())
     {
-        return wrong;
+        return findings;
     }
     return out;
 }
 
-statement_result failed(const core::error& ec)
+statement_result failure_result(const core::error& ec)
 {
     return {false, ec.code, ec.message + '\n', "null"};
 }
@@ -116,16 +117,16 @@
     std::vector<statement_result> results;
 };
 
-fleet_setup::fleet_setup(context& c, operator_parts parts) : context_(c), parts_(parts)
+fleet_setup::fleet_setup(context& c, service_refs services) : context_(c), services_(services)
 {
 }
 
 void fleet_setup::apply(const std::string& text, const std::string& command, callback done)
 {
     auto read = read_file(text);
-    if (const auto* wrong = std::get_if<core::findings>(&read))
+    if (const auto* findings = std::get_if<core::findings>(&read))
     {
-        done({{false, core::error_code::invalid, core::to_text(*wrong), "null"}});
+        done({{false, core::error_code::invalid, core::to_text(*findings), "null"}});
         return;
     }
     auto w = std::make_shared<work>();
@@ -137,12 +138,12 @@
         add_hosts(w, 0);
         return;
     }
-    parts_.config.change(
+    services_.config.change(
         command,
         [next = *w->file.config](model::configuration& c) -> core::result<core::done>
         {
-            // A file that names a version is meant against that version; 0 replaces whatever is
-            // there.
+            // A file with a version other than 0 applies only to that version; version 0 replaces
+            // any version.
             if (next.version != 0 && next.version != c.version)
             {
                 return core::error{core::error_code::conflict,
@@ -160,7 +161,7 @@
         {
             if (!core::is_ok(end))
             {
-                w->done({failed(core::failure(end))});
+                w->done({failure_result(core::failure(end))});
                 return;
             }
             const auto version = std::to_string(core::value(end));
@@ -169,7 +170,7 @@
         });
 }
 
-/// One pool after the other: each is one write, and a repeat adds only what is missing.
+/// Adds the hosts pool by pool, with one write per pool; a repeat adds only the missing hosts.
 void fleet_setup::add_hosts(const std::shared_ptr<work>& w, std::size_t next)
 {
     if (next == w->file.pools.size())
@@ -179,7 +180,7 @@
     }
     const auto& wanted = w->file.pools[next];
     update_document(
-        context_.writer(),
+        context_.document_updater(),
         model::keys::pools + wanted.pool,
         [this, w, wanted](const std::string* current) -> change_result
         {
@@ -189,9 +190,9 @@
             {
                 auto decoded =
                     model::decode_pool(*current, wanted.pool, model::strictness::lenient);
-                if (const auto* wrong = std::get_if<core::findings>(&decoded))
+                if (const auto* findings = std::get_if<core::findings>(&decoded))
                 {
-                    return core::error{core::error_code::unavailable, core::to_text(*wrong)};
+                    return core::error{core::error_code::unavailable, core::to_text(*findings)};
                 }
                 document = std::get<model::pool_document>(std::move(decoded));
             }
@@ -201,7 +202,7 @@
                 const auto id = w->command + "/" + host.id;
                 const auto what = fleet::apply(document,
                     fleet::add_request{host, id},
-                    {parts_.config.current(), context_.scheduler.wall_now()});
+                    {services_.config.current(), context_.scheduler.wall_now()});
                 if (!core::is_ok(what))
                 {
                     return core::failure(what);
@@ -220,7 +221,7 @@
             }
             else
             {
-                w->results.push_back(failed(core::failure(end)));
+                w->results.push_back(failure_result(core::failure(end)));
             }
             add_hosts(w, next + 1);
         });
--- a/programs/camphorhitchd/src/fleet_tables.cpp
+++ b/programs/camphorhitchd/src/fleet_tables.cpp
@@ -37,7 +37,7 @@
     return it == nullptr ? std::string{} : it->id;
 }
 
-table hosts_table(const operator_parts& parts)
+table hosts_table(const service_refs& services)
 {
     table t;
     t.columns = {{"id", value_kind::text},
@@ -54,7 +54,7 @@
         {"processors", value_kind::number},
         {"memory_gb", value_kind::number},
         {"accelerators", value_kind::integer}};
-    for (const auto& pool : parts.fleet.pools())
+    for (const auto& pool : services.fleet.pools())
     {
         for (const auto& it : pool.document.hosts)
         {
@@ -80,17 +80,17 @@
     return t;
 }
 
-row pool_row(const fleet::pool_view& pool, const operator_parts& parts)
+row pool_row(const fleet::pool_view& pool, const service_refs& services)
 {
     const auto& d = pool.document;
-    const auto& config = parts.config.current();
+    const auto& config = services.config.current();
     const auto* settings = model::find_pool(config, d.pool);
     const auto count = [&](model::host_state state)
     {
         return whole(static_cast<std::size_t>(std::count_if(
             d.hosts.begin(), d.hosts.end(), [&](const auto& it) { return it.state == state; })));
     };
-    const auto* owner = membership::owner_of_pool(parts.members.roster(), d.pool);
+    const auto* owner = membership::owner_of_pool(services.members.roster(), d.pool);
     return {text(d.pool),
         text(settings == nullptr ? "" : settings->policy),
         whole(d.hosts.size()),
@@ -105,7 +105,7 @@
         text(owner_name(owner))};
 }
 
-table pools_table(const operator_parts& parts)
+table pools_table(const service_refs& services)
 {
     table t;
     t.columns = {{"id", value_kind::text},
@@ -120,14 +120,14 @@
         {"budget", value_kind::integer},
         {"budget_per_zone", value_kind::integer},
         {"owner", value_kind::text}};
-    for (const auto& pool : parts.fleet.pools())
+    for (const auto& pool : services.fleet.pools())
     {
-        t.rows.push_back(pool_row(pool, parts));
+        t.rows.push_back(pool_row(pool, services));
     }
     return t;
 }
 
-table waves_table(const operator_parts& parts)
+table waves_table(const service_refs& services)
 {
     table t;
     t.columns = {{"id", value_kind::text},
@@ -140,10 +140,10 @@
         {"batch", value_kind::integer},
         {"policy", value_kind::text},
         {"took", value_kind::duration}};
-    for (const auto& wave : parts.fleet.waves())
+    for (const auto& wave : services.fleet.waves())
     {
         const auto& d = wave.document;
-        const auto sum = fleet::summarize(d, parts.fleet.pools());
+        const auto sum = fleet::summarize(d, services.fleet.pools());
         t.rows.push_back({text(d.id),
             text(core::name_of(model::wave_phase_names, d.phase)),
             whole(sum.hosts),
@@ -162,7 +162,7 @@
     return t;
 }
 
-table jobs_table(const operator_parts& parts)
+table jobs_table(const service_refs& services)
 {
     table t;
     t.columns = {{"id", value_kind::text},
@@ -176,7 +176,7 @@
         {"memory_gb", value_kind::number},
         {"accelerators", value_kind::integer},
         {"run_time", value_kind::duration}};
-    for (const auto& [pool, list] : parts.jobs.all_jobs())
+    for (const auto& [pool, list] : services.jobs.all_jobs())
     {
         for (const auto* it : list)
         {
@@ -196,7 +196,7 @@
     return t;
 }
 
-table members_table(const operator_parts& parts)
+table members_table(const service_refs& services)
 {
     table t;
     t.columns = {{"id", value_kind::text},
@@ -206,17 +206,17 @@
         {"config_version", value_kind::integer},
         {"fresh", value_kind::boolean},
         {"incarnation", value_kind::text}};
-    for (const auto& it : parts.members.roster().members)
+    for (const auto& it : services.members.roster().members)
     {
-        const auto peer = parts.members.peers().find(it.id);
-        const bool known = peer != parts.members.peers().end();
-        const bool here = membership::same_process(it, parts.members.self());
+        const auto peer = services.members.peers().find(it.id);
+        const bool known = peer != services.members.peers().end();
+        const bool here = membership::same_process(it, services.members.self());
         row one{text(it.id), text(it.zone), text(it.address), {}, {}, {}, text(it.incarnation)};
         if (here)
         {
-            one[3] = static_cast<std::int64_t>(parts.members.roster().epoch);
-            one[4] = parts.config.current().version;
-            one[5] = parts.members.fresh();
+            one[3] = static_cast<std::int64_t>(services.members.roster().epoch);
+            one[4] = services.config.current().version;
+            one[5] = services.members.fresh();
         }
         else if (known)
         {
@@ -229,9 +229,9 @@
     return t;
 }
 
-table config_table(const operator_parts& parts)
+table config_table(const service_refs& services)
 {
-    const auto& c = parts.config.current();
+    const auto& c = services.config.current();
     table t;
     t.columns = {{"name", value_kind::text}, {"value", value_kind::text}};
     t.rows = {{text("version"), text(std::to_string(c.version))},
@@ -244,7 +244,7 @@
     return t;
 }
 
-table policies_table(const operator_parts& parts)
+table policies_table(const service_refs& services)
 {
     table t;
     t.columns = {{"id", value_kind::text},
@@ -256,7 +256,7 @@
         {"fixed_buffer", value_kind::integer},
         {"return_timeout", value_kind::duration},
         {"drain_timeout", value_kind::duration}};
-    for (const auto& it : parts.config.current().policies)
+    for (const auto& it : services.config.current().policies)
     {
         t.rows.push_back({text(it.name),
             text(core::name_of(model::policy_kind_names, it.kind)),
@@ -271,14 +271,14 @@
     return t;
 }
 
-table teams_table(const operator_parts& parts)
+table teams_table(const service_refs& services)
 {
     table t;
     t.columns = {{"id", value_kind::text},
         {"processors", value_kind::number},
         {"memory_gb", value_kind::number},
         {"accelerators", value_kind::integer}};
-    for (const auto& it : parts.config.current().teams)
+    for (const auto& it : services.config.current().teams)
     {
         t.rows.push_back({text(it.name), it.processors, it.memory_gb, whole(it.accelerators)});
     }
@@ -295,36 +295,36 @@
 
 } // namespace
 
-language::table make_table(language::table_kind what, const operator_parts& parts)
+language::table make_table(language::table_kind what, const service_refs& services)
 {
     table t;
     switch (what)
     {
     case language::table_kind::hosts:
-        t = hosts_table(parts);
+        t = hosts_table(services);
         break;
     case language::table_kind::pools:
-        t = pools_table(parts);
+        t = pools_table(services);
         break;
     case language::table_kind::waves:
-        t = waves_table(parts);
+        t = waves_table(services);
         break;
     case language::table_kind::jobs:
-        t = jobs_table(parts);
+        t = jobs_table(services);
         break;
     case language::table_kind::members:
-        t = members_table(parts);
+        t = members_table(services);
         break;
     case language::table_kind::config:
-        return config_table(parts);
+        return config_table(services);
     case language::table_kind::experiments:
-        t = parts.experiments.make_table();
+        t = services.experiments.make_table();
         break;
     case language::table_kind::policies:
-        t = policies_table(parts);
+        t = policies_table(services);
         break;
     case language::table_kind::teams:
-        t = teams_table(parts);
+        t = teams_table(services);
         break;
     }
     sort_by_id(t);
--- a/programs/camphorhitchd/src/fleet_tables.hpp
+++ b/programs/camphorhitchd/src/fleet_tables.hpp
@@ -1,14 +1,14 @@
 /// \file
-/// The tables that `show` reads, made from the mirrored documents.
+/// Tables for `show` statements, made from the mirrored documents.
 #pragma once
 
 #include "language/table.hpp"
-#include "operator_parts.hpp"
+#include "service_refs.hpp"
 
 namespace camphorhitch::daemon
 {
 
-/// \return the rows as this member sees the fleet now, in a stable order.
-language::table make_table(language::table_kind what, const operator_parts& parts);
+/// \return the rows by this member's current documents, sorted by id.
+language::table make_table(language::table_kind what, const service_refs& services);
 
 } // namespace camphorhitch::daemon
--- a/programs/camphorhitchd/src/hosted_clients.cpp
+++ b/programs/camphorhitchd/src/hosted_clients.cpp
@@ -14,50 +14,54 @@
 namespace
 {
 
-/// For the orders of a burst; each costs a handshake.
+/// Connections per runner for the orders of a burst; each costs a handshake.
 constexpr std::size_t connections_per_runner = 3;
-/// For the long poll, and a renewal beside it. With orders on the same connections a poll was not
-/// sent in a burst, its runner counted as silent, and its leases ended.
+/// Connections per runner for the long poll and a concurrent renewal. If orders shared these
+/// connections, a burst of orders would delay a poll, its runner would count as unresponsive, and
+/// the runner's leases would expire.
 constexpr std::size_t poll_connections_per_runner = 3;
 constexpr std::size_t connections_to_store = 24;
-/// The lease that lets this node coordinate is renewed over connections of its own: behind a burst
-/// of writes that hold all of the others, a renewal would wait until the lease has ended.
+/// The leader lease is renewed over separate connections: when a burst of writes holds all other
+/// connections, a renewal would wait until the lease has expired.
 constexpr std::size_t connections_for_lease = 4;
-/// Kept open in all. With fewer than runners times the connections to each, an idle one is closed
-/// for each that comes back, and all are searched for it. Both together stay below the 4,100
-/// descriptors of the smallest hosts, with room for callers.
-constexpr std::size_t most_idle_to_runners = 2000;
-constexpr std::size_t most_idle_polls = 1200;
-/// What lies between may forget an idle connection; an old one is not worth its risk.
-constexpr core::millis longest_idle{8000};
+/// Idle connections kept open to all runners together. With a limit below the number of runners
+/// times the connections to each, every returned connection closes another idle one, after a search
+/// of all of them. The sum of both limits stays below the 4,100 descriptors of the smallest hosts,
+/// with room for callers.
+constexpr std::size_t max_idle_runner_connections = 2000;
+constexpr std::size_t max_idle_poll_connections = 1200;
+/// Network devices on the path may drop the state of an idle connection, and a request on such a
+/// connection would be lost; a new connection is cheaper than this risk.
+constexpr core::millis max_idle_time{8000};
 
-/// What a client may keep open.
-struct pool_bounds
+/// Limits of a client's connections.
+struct connection_limits
 {
     std::size_t per_host;
     std::size_t idle;
     reactor::urgency urgency;
 };
 
-http::client open_client(reactor::event_loop& loop, const pool_bounds& it)
+http::client open_client(reactor::event_loop& loop, const connection_limits& it)
 {
     http::client_limits limits;
-    limits.longest_idle = longest_idle;
+    limits.longest_idle = max_idle_time;
     limits.most_connections_per_host = it.per_host;
     limits.most_idle_connections = it.idle;
     limits.urgency = it.urgency;
     return http::client::builder().loop(loop).limits(limits).build();
 }
 
-// A cancelled job, a successor's key: they must not wait behind a crowd of runners' answers.
-constexpr pool_bounds for_store{
+// Store calls such as a job's cancellation or a new leader's key must not wait behind many answers
+// from runners.
+constexpr connection_limits store_limits{
     connections_to_store, connections_to_store, reactor::urgency::urgent};
-constexpr pool_bounds for_lease{
+constexpr connection_limits lease_limits{
     connections_for_lease, connections_for_lease, reactor::urgency::urgent};
-constexpr pool_bounds for_orders{
-    connections_per_runner, most_idle_to_runners, reactor::urgency::usual};
-constexpr pool_bounds for_polls{
-    poll_connections_per_runner, most_idle_polls, reactor::urgency::usual};
+constexpr connection_limits order_limits{
+    connections_per_runner, max_idle_runner_connections, reactor::urgency::usual};
+constexpr connection_limits poll_limits{
+    poll_connections_per_runner, max_idle_poll_connections, reactor::urgency::usual};
 
 core::micros processor_time()
 {
@@ -67,29 +71,30 @@
     return whole + core::micros{used.ru_utime.tv_usec + used.ru_stime.tv_usec};
 }
 
-/// By work of half a millisecond: on a fifth of an eighth of a core it takes 20 ms.
-double try_processor()
+/// Measures this process's share of a core by half a millisecond of work, which takes 20 ms on a
+/// fortieth of a core.
+double measure_processor_share()
 {
-    constexpr core::micros enough{500};
-    constexpr core::micros longest{40000};
-    const auto begun = boot_now();
-    const auto before = processor_time();
+    constexpr core::micros min_processor_time{500};
+    constexpr core::micros max_duration{40000};
+    const auto started_at = boot_now();
+    const auto used_before = processor_time();
     core::micros used{0};
-    core::micros took{0};
-    while (used < enough && took < longest)
+    core::micros duration{0};
+    while (used < min_processor_time && duration < max_duration)
     {
-        used = processor_time() - before;
-        took = boot_now() - begun;
+        used = processor_time() - used_before;
+        duration = boot_now() - started_at;
     }
     return static_cast<double>(used.count()) /
-           static_cast<double>(std::max(took.count(), core::micros::rep{1}));
+           static_cast<double>(std::max(duration.count(), core::micros::rep{1}));
 }
 
 } // namespace
 
 hosted_clients::hosted_clients(reactor::event_loop& loop)
-    : store_http(open_client(loop, for_store)), lease_http(open_client(loop, for_lease)),
-      runner_http(open_client(loop, for_orders)), poll_http(open_client(loop, for_polls)),
+    : store_http(open_client(loop, store_limits)), lease_http(open_client(loop, lease_limits)),
+      runner_http(open_client(loop, order_limits)), poll_http(open_client(loop, poll_limits)),
       store(store_http.port()), lease(lease_http.port()), orders(runner_http.port()),
       polls(poll_http.port())
 {
@@ -115,7 +120,7 @@
     ctx.tel = log;
     ctx.boot_now = boot_now;
     ctx.processor_time = processor_time;
-    ctx.processor_trial = try_processor;
+    ctx.processor_trial = measure_processor_share;
     ctx.post_behind_descriptors = [&loop](std::function<void()> fn)
     {
         loop.post_behind_descriptors(std::move(fn));
--- a/programs/camphorhitchd/src/hosted_clients.hpp
+++ b/programs/camphorhitchd/src/hosted_clients.hpp
@@ -11,8 +11,8 @@
 namespace camphorhitch::daemon
 {
 
-/// Connections by purpose: what renews leases never waits behind what may wait. Stays where it is
-/// while ports made of it are in use; the loop must outlive it.
+/// Connections by purpose, so that lease renewals never wait behind less urgent calls. The object
+/// must not move while its ports are in use; the loop must outlive it.
 struct hosted_clients
 {
     explicit hosted_clients(reactor::event_loop& loop);
@@ -23,18 +23,18 @@
     http::client lease_http;
     http::client runner_http;
     http::client poll_http;
-    ports::http_client store;
-    ports::http_client lease;
-    ports::http_client orders;
-    ports::http_client polls;
-    ports::runners runners; ///< this node's own calls, not through others
+    ports::http_client store;  ///< calls to the store, the advice service and the machine service
+    ports::http_client lease;  ///< renewals of the leader lease
+    ports::http_client orders; ///< orders to runners
+    ports::http_client polls;  ///< long polls of runners
+    ports::runners runners;    ///< direct calls of this node, not through relays
 };
 
-/// A clock that goes on while the machine is suspended.
+/// Current time of a clock that also advances while the machine is suspended.
 core::mono_time boot_now();
 
-/// \param c also gets its runners
-/// \return all ports of a node with these settings; the arguments must outlive them.
+/// \param c receives its `runners` port
+/// \return all ports of a node with these settings; the arguments must outlive the ports.
 hosted::context make_context(hosted_clients& c,
     const settings::hosted_settings& s,
     reactor::event_loop& loop,
--- a/programs/camphorhitchd/src/hosted_node.cpp
+++ b/programs/camphorhitchd/src/hosted_node.cpp
@@ -29,22 +29,25 @@
 namespace
 {
 
-/// Without an answer of the store for so long, callers are better served by another node.
-constexpr core::millis ready_after_answer{2800};
-/// After the signal the balancer needs two health checks, a second apart, to send nobody more.
-constexpr core::millis lame_duck{2300};
-/// Left of the stop's bound for the last answers to leave.
+/// Maximum age of the store's last answer for readiness: callers of a node that has not heard from
+/// the store for longer are better served by another node.
+constexpr core::millis max_store_answer_age{2800};
+/// After the signal the load balancer needs two health checks, one second apart, before it stops
+/// sending callers to this node.
+constexpr core::millis balancer_delay{2300};
+/// Part of the stop's time bound that is reserved for sending the last answers.
 constexpr core::millis stop_reserve{400};
-constexpr core::millis stop_check{50};
+constexpr core::millis stop_check_interval{50};
 
-/// A small node is late sooner: what it calls itself at once is cut by its share of a core.
+/// A node with a small processor share falls behind sooner, so its limit of concurrent direct calls
+/// is scaled by its share of a core.
 relay::pool_settings relay_settings(double processor_share)
 {
     constexpr double whole_core_calls = 500;
-    constexpr std::size_t least = 32;
+    constexpr std::size_t min_calls = 32;
     relay::pool_settings out;
     const auto by_share = static_cast<std::size_t>(whole_core_calls * processor_share);
-    out.most_local_calls = std::max(least, by_share);
+    out.most_local_calls = std::max(min_calls, by_share);
     return out;
 }
 
@@ -66,25 +69,25 @@
     std::unique_ptr<hosted_clients> clients;
     hosted::formats formats;
     hosted::context ctx;
-    std::unique_ptr<hosted::store_pulse> pulse;
+    std::unique_ptr<hosted::store_pulse> store_health;
     std::unique_ptr<relay::pool> relays;
     std::unique_ptr<relay::server> relay_server;
     std::unique_ptr<hosted::relay_registry> registry;
-    double best_other_share = 0; ///< as the registry showed last
-    std::unique_ptr<hosted::leadership> lead;
+    double best_other_share = 0; ///< by the registry's last update
+    std::unique_ptr<hosted::leadership> leadership;
     std::unique_ptr<hosted::fleet_driver> driver;
-    std::unique_ptr<hosted::entry_desk> desk;
+    std::unique_ptr<hosted::entry_desk> job_requests;
     std::unique_ptr<hosted::config_follower> config;
     std::unique_ptr<company::front> front;
-    std::unique_ptr<hosted_operators> people;
+    std::unique_ptr<hosted_operators> operators;
     std::optional<http::server> caller_server;
     std::optional<http::server> health_server;
     std::optional<http::server> metrics_server;
-    std::optional<http::server> people_server;
+    std::optional<http::server> operator_server;
     ports::http_server callers;
     ports::http_server health;
     ports::http_server metrics;
-    ports::http_server people_port;
+    ports::http_server operator_port;
     bool was_ready = false;
     bool stopping = false;
     core::mono_time stop_at;
@@ -106,7 +109,7 @@
     void follow_config();
     bool is_ready();
     void stop();
-    void watch_stop();
+    void check_stop();
     void reload();
 };
 
@@ -120,12 +123,12 @@
     };
     if (settings.policy.watches_store)
     {
-        pulse = std::make_unique<hosted::store_pulse>(
+        store_health = std::make_unique<hosted::store_pulse>(
             ctx.store, ctx.time, log, hosted::pulse_settings{});
-        ctx.store = pulse->port();
+        ctx.store = store_health->port();
         ctx.store_silent = [this]
         {
-            return pulse->is_silent();
+            return store_health->is_silent();
         };
     }
 }
@@ -142,7 +145,7 @@
                                                log,
                                                [this]
                                                {
-                                                   return lead->holds();
+                                                   return leadership->holds();
                                                }},
         relay_settings(settings.processor_share));
     ctx.runners = relays->port();
@@ -196,15 +199,15 @@
             registry->unfollow();
         }
     };
-    lead = std::make_unique<hosted::leadership>(ctx, lease, events);
+    leadership = std::make_unique<hosted::leadership>(ctx, lease, events);
     hosted::driver_settings drive;
     drive.rules.runner_lease = settings.timing.runner_lease;
     drive.rules.leader_lease = settings.timing.leader_lease;
     drive.processor_share = settings.processor_share;
     apply_policy(settings.policy, drive);
     drive.keep_finished = settings.timing.keep_finished;
-    driver = std::make_unique<hosted::fleet_driver>(ctx, formats, drive, *lead);
-    desk = std::make_unique<hosted::entry_desk>(ctx, hosted::entry_settings{});
+    driver = std::make_unique<hosted::fleet_driver>(ctx, formats, drive, *leadership);
+    job_requests = std::make_unique<hosted::entry_desk>(ctx, hosted::entry_settings{});
     follow_config();
     company::front_sources sources;
     sources.config = [this]
@@ -219,18 +222,18 @@
     {
         return tel.render();
     };
-    front =
-        std::make_unique<company::front>(company::front_settings{}, sources, *desk, ctx.time, log);
-    people = std::make_unique<hosted_operators>(hosted_sources{ctx,
-                                                    formats,
-                                                    *desk,
-                                                    *lead,
-                                                    *driver,
-                                                    sources.config,
-                                                    [this]
-                                                    {
-                                                        return config->last_answer();
-                                                    }},
+    front = std::make_unique<company::front>(
+        company::front_settings{}, sources, *job_requests, ctx.time, log);
+    operators = std::make_unique<hosted_operators>(hosted_sources{ctx,
+                                                       formats,
+                                                       *job_requests,
+                                                       *leadership,
+                                                       *driver,
+                                                       sources.config,
+                                                       [this]
+                                                       {
+                                                           return config->last_answer();
+                                                       }},
         settings.operators_token);
 }
 
@@ -240,7 +243,7 @@
     events.on_config = [this](const hosted::fleet_config& it)
     {
         driver->set_pools(it.pools);
-        is_ready(); // logs the change when it happens, not when the next health check asks
+        is_ready(); // logs a change of readiness now instead of at the next health check
     };
     events.on_waves = [this](std::vector<hosted::wave_request> all)
     {
@@ -251,17 +254,18 @@
 
 bool hosted_node::parts::is_ready()
 {
-    const bool heard =
-        ctx.time.now() - std::max(config->last_answer(), lead->last_answer()) < ready_after_answer;
+    const bool store_heard =
+        ctx.time.now() - std::max(config->last_answer(), leadership->last_answer()) <
+        max_store_answer_age;
     const auto* const in_force = config->config();
-    const bool ready = in_force != nullptr && heard && !stopping;
+    const bool ready = in_force != nullptr && store_heard && !stopping;
     if (ready != was_ready)
     {
         was_ready = ready;
         log.log(ports::log_level::info,
             ready ? "ready" : "not_ready",
             {{"config", in_force != nullptr ? std::to_string(in_force->version) : "none"},
-                {"store_heard", heard ? "yes" : "no"},
+                {"store_heard", store_heard ? "yes" : "no"},
                 {"stopping", stopping ? "yes" : "no"}});
     }
     return ready;
@@ -297,7 +301,7 @@
     };
     struct row
     {
-        const std::string& address; ///< empty: not served
+        const std::string& address; ///< empty when not served
         ports::http_events events;
         std::optional<http::server>& server;
         ports::http_server& port;
@@ -307,7 +311,7 @@
         {at.callers, front->caller_events(port_of(callers)), caller_server, callers},
         {at.health, front->health_events(port_of(health)), health_server, health},
         {at.metrics, front->metrics_events(port_of(metrics)), metrics_server, metrics},
-        {at.operators, people->events(port_of(people_port)), people_server, people_port},
+        {at.operators, operators->events(port_of(operator_port)), operator_server, operator_port},
     };
     for (auto& it : rows)
     {
@@ -341,11 +345,11 @@
         registry->withdraw();
         relay_server->leave();
     }
-    lead->resign([this] { log.log(ports::log_level::info, "resigned", {}); });
-    ctx.time.after(lame_duck, [this] { watch_stop(); });
+    leadership->resign([this] { log.log(ports::log_level::info, "resigned", {}); });
+    ctx.time.after(balancer_delay, [this] { check_stop(); });
 }
 
-void hosted_node::parts::watch_stop()
+void hosted_node::parts::check_stop()
 {
     callers.stop_accepting();
     const auto bound = core::millis{static_cast<std::int64_t>(settings.timing.stop_bound_s * 1000)};
@@ -355,17 +359,17 @@
         loop.stop();
         return;
     }
-    ctx.time.after(stop_check, [this] { watch_stop(); });
+    ctx.time.after(stop_check_interval, [this] { check_stop(); });
 }
 
 void hosted_node::parts::reload()
 {
     const auto read = settings::read_hosted_settings(read_file(file), file);
-    if (const auto* const wrong = std::get_if<core::findings>(&read))
+    if (const auto* const findings = std::get_if<core::findings>(&read))
     {
         log.log(ports::log_level::error,
             "reload_refused",
-            {{"findings", core::to_text(*wrong)}, {"in_force", "the settings before"}});
+            {{"findings", core::to_text(*findings)}, {"in_force", "the settings before"}});
         return;
     }
     const auto& next = std::get<settings::hosted_settings>(read);
@@ -424,7 +428,7 @@
             }
         });
     p.config->start();
-    p.lead->start();
+    p.leadership->start();
     if (p.registry)
     {
         p.registry->offer({p.settings.member,
--- a/programs/camphorhitchd/src/hosted_node.hpp
+++ b/programs/camphorhitchd/src/hosted_node.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// One camphorhitchd on a hosting platform: the adapters, the parts, and what they tell one
-/// another.
+/// A camphorhitchd process on a hosting platform: its adapters, its components and their
+/// connections.
 #pragma once
 
 #include "core/result.hpp"
@@ -12,12 +12,13 @@
 namespace camphorhitch::daemon
 {
 
+/// A node of camphorhitchd on a hosting platform.
 class hosted_node
 {
 public:
     /// Opens all addresses.
-    /// \param file where the settings came from; read again on SIGHUP
-    /// \return the node, or why it can't start.
+    /// \param file path of the settings file; read again on SIGHUP
+    /// \return the node, or the reason why it can't start.
     static core::result<std::unique_ptr<hosted_node>> open(
         const settings::hosted_settings& s, const std::string& file);
     ~hosted_node();
--- a/programs/camphorhitchd/src/hosted_operators.cpp
+++ b/programs/camphorhitchd/src/hosted_operators.cpp
@@ -16,9 +16,9 @@
 constexpr int status_bad_request = 400;
 constexpr int status_unauthorized = 401;
 constexpr int status_not_found = 404;
-/// Operators wait longer than callers do: their client gives up after 10 s.
-constexpr core::millis operator_patience{5000};
-constexpr const char* not_here =
+/// Deadline of a command. Operators wait longer than callers: their client gives up after 10 s.
+constexpr core::millis operator_timeout{5000};
+constexpr const char* unsupported_statement =
     "on a hosting platform this is its own operators' to change; here: show jobs, hosts, pools, "
     "config; why job; submit job; cancel job";
 
@@ -28,9 +28,9 @@
     const language::show_statement& s, const language::table& all, const std::string& document)
 {
     const auto rows = language::evaluate(s, all, document);
-    if (const auto* wrong = std::get_if<core::findings>(&rows))
+    if (const auto* findings = std::get_if<core::findings>(&rows))
     {
-        return bad(*wrong);
+        return error_result(*findings);
     }
     const auto& t = std::get<language::table>(rows);
     return {true, {}, language::to_text(t), language::to_json(t)};
@@ -41,13 +41,15 @@
     switch (it)
     {
     case hosted::submit_outcome::accepted:
-        return good("job " + id + ": accepted\n");
+        return success_result("job " + id + ": accepted\n");
     case hosted::submit_outcome::not_accepted:
-        return bad(core::error_code::unavailable, "job " + id + ": certainly not accepted");
+        return error_result(
+            core::error_code::unavailable, "job " + id + ": certainly not accepted");
     case hosted::submit_outcome::unknown:
         break;
     }
-    return bad(core::error_code::unknown_effect, "job " + id + ": it may have been accepted");
+    return error_result(
+        core::error_code::unknown_effect, "job " + id + ": it may have been accepted");
 }
 
 statement_result cancelled(const std::string& id, hosted::cancel_outcome it)
@@ -55,30 +57,31 @@
     switch (it)
     {
     case hosted::cancel_outcome::cancelled:
-        return good("job " + id + ": cancelled, or it had ended\n");
+        return success_result("job " + id + ": cancelled, or it had ended\n");
     case hosted::cancel_outcome::no_such_job:
-        return bad(core::error_code::not_found, "no job named " + id);
+        return error_result(core::error_code::not_found, "no job named " + id);
     case hosted::cancel_outcome::not_cancelled:
-        return bad(core::error_code::unavailable, "job " + id + ": certainly not cancelled");
+        return error_result(
+            core::error_code::unavailable, "job " + id + ": certainly not cancelled");
     case hosted::cancel_outcome::unknown:
         break;
     }
-    return bad(core::error_code::unknown_effect, "job " + id + ": it may have been cancelled");
+    return error_result(
+        core::error_code::unknown_effect, "job " + id + ": it may have been cancelled");
 }
 
 } // namespace
 
-struct hosted_operators_state : std::enable_shared_from_this<hosted_operators_state>
+struct hosted_operators_impl : std::enable_shared_from_this<hosted_operators_impl>
 {
     hosted_sources from;
     std::string token;
 
-    hosted_operators_state(hosted_sources s, std::string t)
-        : from(std::move(s)), token(std::move(t))
+    hosted_operators_impl(hosted_sources s, std::string t) : from(std::move(s)), token(std::move(t))
     {
     }
 
-    /// The statements of one call, one after the other.
+    /// The statements of one call, which run in order.
     struct work
     {
         statement_batch batch;
@@ -95,10 +98,10 @@
 
     core::mono_time deadline() const
     {
-        return from.ctx.time.now() + operator_patience;
+        return from.ctx.time.now() + operator_timeout;
     }
 
-    void next(const std::shared_ptr<work>& w);
+    void run_next(const std::shared_ptr<work>& w);
     void run_one(const language::show_statement& s,
         const std::string& document,
         const result_callback& done);
@@ -118,12 +121,12 @@
     void show_hosts(const language::show_statement& s,
         const std::string& document,
         const result_callback& done);
-    void take_host(const ports::stored_item& it, std::vector<coordinator::host_listing>& all) const;
+    void add_host(const ports::stored_item& it, std::vector<coordinator::host_listing>& all) const;
     void handle(
         const ports::http_request& r, const std::function<void(ports::http_response)>& answer);
 };
 
-void hosted_operators_state::next(const std::shared_ptr<work>& w)
+void hosted_operators_impl::run_next(const std::shared_ptr<work>& w)
 {
     const bool failed = !w->results.empty() && !w->results.back().ok;
     if (failed || w->index == w->parsed.statements.size())
@@ -138,21 +141,21 @@
             "command",
             {{"command", w->batch.command}, {"text", language::to_text(what)}});
     }
-    const auto took = [self = shared_from_this(), w](statement_result it)
+    const auto on_result = [self = shared_from_this(), w](statement_result it)
     {
         w->results.push_back(std::move(it));
-        self->next(w);
+        self->run_next(w);
     };
-    std::visit([&](const auto& s) { run_one(s, w->batch.name, took); }, what);
+    std::visit([&](const auto& s) { run_one(s, w->batch.name, on_result); }, what);
 }
 
 template <class Other>
-void hosted_operators_state::run_one(const Other&, const std::string&, const result_callback& done)
+void hosted_operators_impl::run_one(const Other&, const std::string&, const result_callback& done)
 {
-    done(bad(core::error_code::invalid, not_here));
+    done(error_result(core::error_code::invalid, unsupported_statement));
 }
 
-void hosted_operators_state::run_one(
+void hosted_operators_impl::run_one(
     const language::show_statement& s, const std::string& document, const result_callback& done)
 {
     if (s.table == language::table_kind::jobs)
@@ -169,21 +172,21 @@
         s.table == language::table_kind::pools || s.table == language::table_kind::config;
     if (!of_config)
     {
-        done(bad(core::error_code::invalid, not_here));
+        done(error_result(core::error_code::invalid, unsupported_statement));
         return;
     }
     const auto* const config = from.config();
     if (config == nullptr)
     {
-        done(bad(core::error_code::unavailable, "no configuration is known yet"));
+        done(error_result(core::error_code::unavailable, "no configuration is known yet"));
         return;
     }
     const bool pools = s.table == language::table_kind::pools;
-    const auto age = from.ctx.time.now() - from.config_heard();
+    const auto age = from.ctx.time.now() - from.config_confirmed_at();
     done(shown(s, pools ? pool_table(*config) : config_table(*config, age), document));
 }
 
-void hosted_operators_state::show_jobs(
+void hosted_operators_impl::show_jobs(
     const language::show_statement& s, const std::string& document, const result_callback& done)
 {
     hosted::list_jobs(from.ctx,
@@ -192,14 +195,14 @@
         {
             if (!core::is_ok(all))
             {
-                done(bad(core::failure(all).code, core::failure(all).message));
+                done(error_result(core::failure(all).code, core::failure(all).message));
                 return;
             }
             done(shown(s, job_table(core::value(all), self->unix_ms()), document));
         });
 }
 
-void hosted_operators_state::take_host(
+void hosted_operators_impl::add_host(
     const ports::stored_item& it, std::vector<coordinator::host_listing>& all) const
 {
     const auto id = it.key.substr(from.formats.runner_prefix.size());
@@ -214,7 +217,7 @@
         {{"host", id}, {"reason", core::failure(read).message}});
 }
 
-void hosted_operators_state::show_hosts(
+void hosted_operators_impl::show_hosts(
     const language::show_statement& s, const std::string& document, const result_callback& done)
 {
     const auto all = std::make_shared<std::vector<coordinator::host_listing>>();
@@ -222,20 +225,21 @@
         from.ctx,
         from.formats.runner_prefix,
         [self = shared_from_this(), all](const ports::stored_item& it)
-        { self->take_host(it, *all); },
+        { self->add_host(it, *all); },
         [s, document, done, all](bool whole)
         {
-            done(whole ? shown(s, host_table(*all), document)
-                       : bad(core::error_code::unavailable, "the store can't be read now"));
+            done(whole
+                     ? shown(s, host_table(*all), document)
+                     : error_result(core::error_code::unavailable, "the store can't be read now"));
         });
 }
 
-void hosted_operators_state::run_one(
+void hosted_operators_impl::run_one(
     const language::why_statement& s, const std::string&, const result_callback& done)
 {
     if (s.kind != language::subject_kind::job)
     {
-        done(bad(core::error_code::invalid, not_here));
+        done(error_result(core::error_code::invalid, unsupported_statement));
         return;
     }
     hosted::find_job(from.ctx,
@@ -244,30 +248,30 @@
         {
             if (!core::is_ok(found))
             {
-                done(bad(core::failure(found).code, core::failure(found).message));
+                done(error_result(core::failure(found).code, core::failure(found).message));
                 return;
             }
             const auto& j = core::value(found);
             const auto steps = self->from.driver.explain_job(j.id);
             const auto leader = self->from.lead.leader();
-            done(good(explain(j, steps, leader, self->from.ctx.member, self->unix_ms())));
+            done(success_result(explain(j, steps, leader, self->from.ctx.member, self->unix_ms())));
         });
 }
 
-void hosted_operators_state::run_one(const language::submit_job_statement& s,
+void hosted_operators_impl::run_one(const language::submit_job_statement& s,
     const std::string& document,
     const result_callback& done)
 {
     auto read = workflow::read_request(s.json, document);
-    if (const auto* wrong = std::get_if<core::findings>(&read))
+    if (const auto* findings = std::get_if<core::findings>(&read))
     {
-        done(bad(*wrong));
+        done(error_result(*findings));
         return;
     }
     auto& request = std::get<workflow::job_request>(read);
-    if (const auto wrong = from.formats.check_job_id(request.id); !wrong.empty())
+    if (const auto reason = from.formats.check_job_id(request.id); !reason.empty())
     {
-        done(bad(core::findings{{{document, "/id", 0, 0}, wrong, {}}}));
+        done(error_result(core::findings{{{document, "/id", 0, 0}, reason, {}}}));
         return;
     }
     const auto* const config = from.config();
@@ -276,8 +280,8 @@
     if (q == nullptr)
     {
         done(config == nullptr
-                 ? bad(core::error_code::unavailable, "no configuration is known yet")
-                 : bad(core::error_code::not_found, "no queue named " + request.queue));
+                 ? error_result(core::error_code::unavailable, "no configuration is known yet")
+                 : error_result(core::error_code::not_found, "no queue named " + request.queue));
         return;
     }
     workflow::job j;
@@ -286,19 +290,19 @@
     j.steps = std::move(request.steps);
     j.timing = request.timing;
     hosted::put_into_queue(j, *q, unix_ms());
-    from.desk.submit(
+    from.job_requests.submit(
         j, deadline(), [done, id = j.id](hosted::submit_outcome it) { done(submitted(id, it)); });
 }
 
-void hosted_operators_state::run_one(
+void hosted_operators_impl::run_one(
     const language::cancel_job_statement& s, const std::string&, const result_callback& done)
 {
-    from.desk.cancel(s.id.text,
+    from.job_requests.cancel(s.id.text,
         deadline(),
         [done, id = s.id.text](hosted::cancel_outcome it) { done(cancelled(id, it)); });
 }
 
-void hosted_operators_state::handle(
+void hosted_operators_impl::handle(
     const ports::http_request& r, const std::function<void(ports::http_response)>& answer)
 {
     if (!is_authorized(r, token))
@@ -319,7 +323,7 @@
             status_bad_request, "the body must be an object with the texts 'text' and 'command'"));
         return;
     }
-    const answer_heading heading{from.ctx.member, true, true, true};
+    const answer_metadata heading{from.ctx.member, true, true, true};
     if (batch->check_only)
     {
         answer(answer_results(heading, {}));
@@ -334,14 +338,14 @@
     };
     if (!w->parsed.findings.empty())
     {
-        w->done({bad(w->parsed.findings)});
+        w->done({error_result(w->parsed.findings)});
         return;
     }
-    next(w);
+    run_next(w);
 }
 
 hosted_operators::hosted_operators(hosted_sources from, std::string token)
-    : state_(std::make_shared<hosted_operators_state>(std::move(from), std::move(token)))
+    : state_(std::make_shared<hosted_operators_impl>(std::move(from), std::move(token)))
 {
 }
 
--- a/programs/camphorhitchd/src/hosted_operators.hpp
+++ b/programs/camphorhitchd/src/hosted_operators.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// The operators' interface of a node on a hosting platform: the same language over the same calls
-/// as elsewhere. What the platform's own operators change, such as pools, is only shown.
+/// The operators' interface of a node on a hosting platform: the same language and HTTP calls as
+/// outside such a platform. Objects that the platform's own operators change, such as pools, are
+/// read-only.
 #pragma once
 
 #include "hosted/entry_desk.hpp"
@@ -8,9 +9,9 @@
 #include "hosted/formats.hpp"
 #include "hosted/leadership.hpp"
 #include "language/parse.hpp"
-#include "operator_parts.hpp"
 #include "operator_wire.hpp"
 #include "ports/http.hpp"
+#include "service_refs.hpp"
 
 #include <functional>
 #include <memory>
@@ -20,20 +21,24 @@
 namespace camphorhitch::daemon
 {
 
-/// What the node knows, and where it sends what is asked of it. All outlive the interface.
+/// Data sources of the operators' interface, and the components that execute its commands. All must
+/// outlive the interface.
 struct hosted_sources
 {
     hosted::context ctx;
     const hosted::formats& formats;
-    hosted::entry_desk& desk;
+    hosted::entry_desk& job_requests;
     const hosted::leadership& lead;
     const hosted::fleet_driver& driver;
-    std::function<const hosted::fleet_config*()> config; ///< nullptr: none is known yet
-    std::function<core::mono_time()> config_heard;       ///< when the store last answered about it
+    std::function<const hosted::fleet_config*()>
+        config; ///< returns nullptr while no configuration is known
+    std::function<core::mono_time()>
+        config_confirmed_at; ///< time of the store's last answer about the configuration
 };
 
-struct hosted_operators_state;
+struct hosted_operators_impl;
 
+/// HTTP handler of the operators' interface.
 class hosted_operators
 {
 public:
@@ -42,10 +47,12 @@
     hosted_operators(const hosted_operators&) = delete;
     hosted_operators& operator=(const hosted_operators&) = delete;
 
+    /// \param server returns the server that sends the answers.
+    /// \return the handlers for an HTTP server; they stay valid after this object is destroyed.
     ports::http_events events(const std::function<const ports::http_server&()>& server);
 
 private:
-    std::shared_ptr<hosted_operators_state> state_;
+    std::shared_ptr<hosted_operators_impl> state_;
 };
 
 } // namespace camphorhitch::daemon
--- a/programs/camphorhitchd/src/hosted_policy.cpp
+++ b/programs/camphorhitchd/src/hosted_policy.cpp
@@ -6,7 +6,7 @@
 namespace
 {
 
-coordinator::placement_policy placement_of(const settings::hosted_policy& p)
+coordinator::placement_policy make_placement_policy(const settings::hosted_policy& p)
 {
     using coordinator::host_choice;
     using coordinator::job_order;
@@ -17,7 +17,7 @@
     return out;
 }
 
-void take_demand(const settings::hosted_policy& p, coordinator::demand_settings& to)
+void apply_demand(const settings::hosted_policy& p, coordinator::demand_settings& to)
 {
     to.margin = p.margin;
     to.horizon = p.horizon;
@@ -29,7 +29,7 @@
     to.early_phase_share = p.young_share;
 }
 
-void take_moves(const settings::hosted_policy& p, coordinator::rebalance_settings& to)
+void apply_rebalance(const settings::hosted_policy& p, coordinator::rebalance_settings& to)
 {
     to.spare_hosts = p.spare_hosts;
     to.urgent_shortage = p.far_short;
@@ -47,9 +47,9 @@
     to.hands_over = from.hands_over;
     to.repeats_calls = from.repeats_calls;
     to.sends_paces = from.paces;
-    to.rules.placement = placement_of(from);
-    take_demand(from, to.demand);
-    take_moves(from, to.rebalance);
+    to.rules.placement = make_placement_policy(from);
+    apply_demand(from, to.demand);
+    apply_rebalance(from, to.rebalance);
 }
 
 } // namespace camphorhitch::daemon
--- a/programs/camphorhitchd/src/hosted_policy.hpp
+++ b/programs/camphorhitchd/src/hosted_policy.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The operators' policy as the coordinator's settings.
+/// Conversion of the operators' policy to the coordinator's settings.
 #pragma once
 
 #include "hosted/fleet_driver.hpp"
@@ -8,7 +8,7 @@
 namespace camphorhitch::daemon
 {
 
-/// Takes the policy into the settings of a term.
+/// Applies the policy to the settings with which the node coordinates.
 void apply_policy(const settings::hosted_policy& from, hosted::driver_settings& to);
 
 } // namespace camphorhitch::daemon
--- a/programs/camphorhitchd/src/hosted_tables.cpp
+++ b/programs/camphorhitchd/src/hosted_tables.cpp
@@ -54,8 +54,8 @@
     return out;
 }
 
-/// What the store shows of the steps, for nodes that don't coordinate.
-std::string stored_steps(const hosted::stored_job& it)
+/// Describes the steps by the stored state, for nodes that don't coordinate.
+std::string describe_stored_steps(const hosted::stored_job& it)
 {
     std::string out;
     const auto& j = *it.spec;
@@ -74,7 +74,7 @@
     return out;
 }
 
-std::string who_knows(const std::string& leader, const std::string& own)
+std::string describe_leader(const std::string& leader, const std::string& own)
 {
     if (leader.empty())
     {
@@ -190,7 +190,7 @@
     }
     if (steps.empty())
     {
-        return out + stored_steps(j) + who_knows(leader, own);
+        return out + describe_stored_steps(j) + describe_leader(leader, own);
     }
     for (const auto& it : steps)
     {
--- a/programs/camphorhitchd/src/hosted_tables.hpp
+++ b/programs/camphorhitchd/src/hosted_tables.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tables and explanations of what a node on a hosting platform knows, for people who ask.
+/// Tables and explanations for operators, from the state of a node on a hosting platform.
 #pragma once
 
 #include "hosted/formats.hpp"
@@ -12,22 +12,24 @@
 namespace camphorhitch::daemon
 {
 
-/// Jobs of which only the end is known have empty cells but for id and state.
+/// Jobs of which only the end is stored have empty cells except for id and state.
 language::table job_table(const std::vector<hosted::stored_job>& all, std::int64_t unix_ms);
 
+/// \return the table for `show hosts`.
 language::table host_table(const std::vector<coordinator::host_listing>& all);
 
+/// \return the table for `show pools`.
 language::table pool_table(const hosted::fleet_config& config);
 
-/// \param age since the store last answered this node about the configuration: one that came later
-/// is not known here
+/// \param age time since the store last answered this node about the configuration; a later version
+/// is not known to this node
 language::table config_table(const hosted::fleet_config& config, core::micros age);
 
-/// \param steps what the coordinator says of the steps; empty when another node coordinates, or
-///     this one has not read the job yet
-/// \param leader the node that coordinates; empty: none is known
-/// \param own this node
-/// \return why the job is where it is, a line each.
+/// \param steps the coordinator's explanation of each step; empty when another node coordinates, or
+/// this node has not read the job yet
+/// \param leader id of the node that coordinates; empty when none is known
+/// \param own id of this node
+/// \return the state of the job and the reasons for it, one per line.
 std::string explain(const hosted::stored_job& j,
     const std::vector<std::string>& steps,
     const std::string& leader,
--- a/programs/camphorhitchd/src/job_intake.cpp
+++ b/programs/camphorhitchd/src/job_intake.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-constexpr core::millis gather{5}; ///< the first of a burst waits this long for the others
+constexpr core::millis batch_delay{5}; ///< wait of a burst's first request for the others
 
 intake_outcome outcome_of(const std::string& id, const jobs::submit_outcome& it)
 {
@@ -43,20 +43,21 @@
     return out;
 }
 
-/// Collects outcomes of several documents and calls back once, in the order asked.
-struct gathering
+/// Collects the outcomes from several documents and calls back once, with the outcomes in the order
+/// of the requests.
+struct outcome_collector
 {
     std::vector<intake_outcome> outcomes;
-    std::size_t missing = 0;
+    std::size_t pending = 0;
     intake_callback done;
 
-    std::function<void(intake_outcome)> slot(
-        const std::shared_ptr<gathering>& self, std::size_t place)
+    std::function<void(intake_outcome)> callback_for(
+        const std::shared_ptr<outcome_collector>& self, std::size_t index)
     {
-        return [self, place](intake_outcome it)
+        return [self, index](intake_outcome it)
         {
-            self->outcomes[place] = std::move(it);
-            if (--self->missing == 0)
+            self->outcomes[index] = std::move(it);
+            if (--self->pending == 0)
             {
                 self->done(std::move(self->outcomes));
             }
@@ -64,11 +65,11 @@
     }
 };
 
-std::shared_ptr<gathering> gather_for(std::size_t n, intake_callback done)
+std::shared_ptr<outcome_collector> make_collector(std::size_t n, intake_callback done)
 {
-    auto all = std::make_shared<gathering>();
+    auto all = std::make_shared<outcome_collector>();
     all->outcomes.resize(n);
-    all->missing = n;
+    all->pending = n;
     all->done = std::move(done);
     return all;
 }
@@ -88,10 +89,10 @@
         done({});
         return;
     }
-    const auto together = gather_for(all.size(), std::move(done));
+    const auto collector = make_collector(all.size(), std::move(done));
     for (std::size_t i = 0; i < all.size(); ++i)
     {
-        add(pool, {all[i], all[i].id, "", together->slot(together, i)});
+        add(pool, {all[i], all[i].id, "", collector->callback_for(collector, i)});
     }
 }
 
@@ -105,10 +106,10 @@
         done({});
         return;
     }
-    const auto together = gather_for(ids.size(), std::move(done));
+    const auto collector = make_collector(ids.size(), std::move(done));
     for (std::size_t i = 0; i < ids.size(); ++i)
     {
-        add(pool, {std::nullopt, ids[i], command, together->slot(together, i)});
+        add(pool, {std::nullopt, ids[i], command, collector->callback_for(collector, i)});
     }
 }
 
@@ -117,37 +118,37 @@
     const auto key = jobs::document_key(pool, jobs::bucket_of(it.id));
     pool_of_key_[key] = pool;
     queues_[key].waiting.push_back(std::move(it));
-    plan(key);
+    schedule_write(key);
 }
 
-void job_intake::plan(const std::string& key)
+void job_intake::schedule_write(const std::string& key)
 {
     auto& q = queues_[key];
-    if (q.writing || q.planned || q.waiting.empty())
+    if (q.writing || q.scheduled || q.waiting.empty())
     {
         return;
     }
-    q.planned = true;
-    context_.scheduler.after(gather, [this, key] { write(key); });
+    q.scheduled = true;
+    context_.scheduler.after(batch_delay, [this, key] { write(key); });
 }
 
 void job_intake::write(const std::string& key)
 {
     auto& q = queues_[key];
-    q.planned = false;
+    q.scheduled = false;
     q.writing = true;
     auto batch = std::make_shared<std::vector<entry>>(std::exchange(q.waiting, {}));
     auto outcomes = std::make_shared<std::vector<intake_outcome>>();
     update_document(
-        context_.writer(),
+        context_.document_updater(),
         key,
         [this, key, batch, outcomes](const std::string* current)
-        { return change(key, current, *batch, *outcomes); },
+        { return apply_batch(key, current, *batch, *outcomes); },
         [this, key, batch, outcomes](const core::result<core::done>& end)
         { finish(key, *batch, *outcomes, end); });
 }
 
-change_result job_intake::change(const std::string& key,
+change_result job_intake::apply_batch(const std::string& key,
     const std::string* current,
     const std::vector<entry>& batch,
     std::vector<intake_outcome>& outcomes)
@@ -164,9 +165,9 @@
     if (current != nullptr)
     {
         auto decoded = jobs::decode_jobs(*current, key);
-        if (const auto* wrong = std::get_if<core::findings>(&decoded))
+        if (const auto* findings = std::get_if<core::findings>(&decoded))
         {
-            return core::error{core::error_code::unavailable, core::to_text(*wrong)};
+            return core::error{core::error_code::unavailable, core::to_text(*findings)};
         }
         document = std::get<jobs::job_document>(std::move(decoded));
     }
@@ -214,7 +215,7 @@
             batch[i].done({batch[i].id, ec.code, false, ec.message});
         }
     }
-    plan(key);
+    schedule_write(key);
 }
 
 } // namespace camphorhitch::daemon
--- a/programs/camphorhitchd/src/job_service.cpp
+++ b/programs/camphorhitchd/src/job_service.cpp
@@ -13,10 +13,10 @@
 namespace
 {
 
-constexpr core::millis poll_every{2000};
-constexpr core::millis leave_soon{0};
+constexpr core::millis poll_interval{2000};
+constexpr core::millis leave_immediately{0};
 
-bool under(const std::string& key, const std::string& prefix)
+bool has_prefix(const std::string& key, const std::string& prefix)
 {
     return key.compare(0, prefix.size(), prefix) == 0;
 }
@@ -34,10 +34,10 @@
 
 void job_service::start()
 {
-    context_.every(context_.rounds.jobs,
+    context_.run_every(context_.timing.jobs_interval,
         [this]
         {
-            on_roster(); // a pool that is new in the configuration has an owner too
+            on_roster(); // also takes over pools that are new in the configuration
             std::vector<std::string> pools;
             for (const auto& [pool, o] : owned_)
             {
@@ -45,12 +45,12 @@
             }
             for (const auto& pool : pools)
             {
-                round(pool);
+                run_round(pool);
             }
         });
 }
 
-job_service::owned* job_service::find_owned(const std::string& pool)
+job_service::owned_pool* job_service::find_owned(const std::string& pool)
 {
     const auto it = owned_.find(pool);
     return it == owned_.end() ? nullptr : &it->second;
@@ -78,27 +78,28 @@
     {
         return;
     }
-    const auto mark_text = context_.self.incarnation + "/" + std::to_string(++take_overs_);
-    owned fresh;
+    const auto token_text = context_.self.incarnation + "/" + std::to_string(++takeover_count_);
+    owned_pool fresh;
     fresh.jobs =
-        jobs::make_pool_jobs(pool, {members_.roster().epoch, mark_text}, context_.scheduler.now());
-    fresh.revisions.fill(-1);
-    fresh.tried.fill(-1);
+        jobs::make_pool_jobs(pool, {members_.roster().epoch, token_text}, context_.scheduler.now());
+    fresh.stored_revisions.fill(-1);
+    fresh.uncertain_revisions.fill(-1);
     auto& o = owned_[pool] = std::move(fresh);
     for (int bucket = 0; bucket < jobs::buckets_per_pool; ++bucket)
     {
-        offer(o, bucket);
+        load_bucket(o, bucket);
     }
 }
 
-/// Hands the stored document to the pool's jobs when it is newer than what they have.
-void job_service::offer(owned& o, int bucket)
+/// Passes the stored document to the pool's jobs when it is newer than their copy.
+void job_service::load_bucket(owned_pool& o, int bucket)
 {
     const auto n = static_cast<std::size_t>(bucket);
     const auto key = jobs::document_key(o.jobs.pool, bucket);
     const auto* entry = context_.documents->find(key);
     const ports::revision revision = entry == nullptr ? 0 : entry->modified;
-    if (revision <= o.revisions[n] && o.revisions[n] >= 0 && revision != o.tried[n])
+    if (revision <= o.stored_revisions[n] && o.stored_revisions[n] >= 0 &&
+        revision != o.uncertain_revisions[n])
     {
         return;
     }
@@ -110,17 +111,18 @@
     {
         stored = it->second;
     }
-    const auto cause = revision == o.tried[n] ? jobs::read_cause::same : jobs::read_cause::newer;
+    const auto cause =
+        revision == o.uncertain_revisions[n] ? jobs::read_cause::same : jobs::read_cause::newer;
     if (jobs::apply_document(o.jobs, bucket, std::move(stored), cause, context_.scheduler.now()))
     {
-        o.revisions[n] = revision;
-        o.tried[n] = -1;
+        o.stored_revisions[n] = revision;
+        o.uncertain_revisions[n] = -1;
     }
 }
 
 void job_service::on_document(const ports::kv_entry& entry)
 {
-    if (!under(entry.key, model::keys::jobs))
+    if (!has_prefix(entry.key, model::keys::jobs))
     {
         return;
     }
@@ -130,39 +132,39 @@
         return;
     }
     auto decoded = jobs::decode_jobs(entry.value, entry.key);
-    if (const auto* wrong = std::get_if<core::findings>(&decoded))
+    if (const auto* findings = std::get_if<core::findings>(&decoded))
     {
         context_.log(ports::log_level::error,
             "job_document_damaged",
-            {{"key", entry.key}, {"findings", core::to_text(*wrong)}});
+            {{"key", entry.key}, {"findings", core::to_text(*findings)}});
         return;
     }
     auto& stored = stored_[entry.key] = std::get<jobs::job_document>(std::move(decoded));
     if (auto* o = find_owned(stored.pool))
     {
-        offer(*o, stored.bucket);
+        load_bucket(*o, stored.bucket);
     }
 }
 
-std::map<std::string, core::millis> job_service::leaving_in(const std::string& pool) const
+std::map<std::string, core::millis> job_service::leaving_hosts(const std::string& pool) const
 {
     std::map<std::string, core::millis> all;
-    const auto asked = asked_to_leave_.find(pool);
-    if (asked != asked_to_leave_.end())
+    const auto requested = evacuation_requests_.find(pool);
+    if (requested != evacuation_requests_.end())
     {
-        all = asked->second;
+        all = requested->second;
     }
     for (const auto& it : fleet_.live().hosts)
     {
         if (it.state == ports::live_state::leaving)
         {
-            all[it.id] = leave_soon;
+            all[it.id] = leave_immediately;
         }
     }
     return all;
 }
 
-void job_service::round(const std::string& pool)
+void job_service::run_round(const std::string& pool)
 {
     auto* o = find_owned(pool);
     const auto* hosts = fleet_.find_pool(pool);
@@ -171,7 +173,7 @@
         return;
     }
     const auto now = context_.scheduler.now();
-    const auto stopped = members_.older_epochs_stopped();
+    const auto stopped = members_.older_epochs_stopped_at();
     if (stopped <= now && !o->jobs.predecessor_stopped_at)
     {
         o->jobs.predecessor_stopped_at = stopped;
@@ -179,20 +181,20 @@
     for (int bucket = 0; bucket < jobs::buckets_per_pool; ++bucket)
     {
         if (!o->jobs.buckets[static_cast<std::size_t>(bucket)].loaded ||
-            o->tried[static_cast<std::size_t>(bucket)] >= 0)
+            o->uncertain_revisions[static_cast<std::size_t>(bucket)] >= 0)
         {
-            offer(*o, bucket);
+            load_bucket(*o, bucket);
         }
     }
-    if (now - o->polled > poll_every)
+    if (now - o->last_poll_at > poll_interval)
     {
-        o->polled = now;
+        o->last_poll_at = now;
         for (const auto& it : jobs::hosts_to_poll(o->jobs))
         {
             poll(pool, it);
         }
     }
-    const auto leaving = leaving_in(pool);
+    const auto leaving = leaving_hosts(pool);
     const jobs::round_input in{hosts->document,
         fleet_.config().teams,
         leaving,
@@ -201,12 +203,12 @@
         context_.scheduler.wall_now()};
     for (const auto& action : jobs::decide_round(o->jobs, in))
     {
-        std::visit([&](const auto& it) { act(pool, it); }, action);
+        std::visit([&](const auto& it) { execute(pool, it); }, action);
     }
-    write_due(pool);
+    write_due_documents(pool);
 }
 
-void job_service::write_due(const std::string& pool)
+void job_service::write_due_documents(const std::string& pool)
 {
     auto* o = find_owned(pool);
     if (o == nullptr || o->jobs.superseded)
@@ -219,7 +221,7 @@
         const auto n = static_cast<std::size_t>(due.bucket);
         context_.store.put_if(jobs::document_key(pool, due.bucket),
             text,
-            std::max<ports::revision>(o->revisions[n], 0),
+            std::max<ports::revision>(o->stored_revisions[n], 0),
             0,
             [this, pool, bucket = due.bucket, text, token = o->jobs.token](
                 const ports::kv_write& reply)
@@ -242,24 +244,25 @@
     switch (reply.status)
     {
     case ports::kv_status::ok:
-        o.revisions[n] = reply.modified;
-        o.tried[n] = -1;
+        o.stored_revisions[n] = reply.modified;
+        o.uncertain_revisions[n] = -1;
         jobs::record_write_result(o.jobs, bucket, jobs::write_result::stored);
-        context_.documents->note({key, text, reply.modified, 0});
-        round(pool);
+        context_.documents->apply_entry({key, text, reply.modified, 0});
+        run_round(pool);
         return;
     case ports::kv_status::conflict:
         jobs::record_write_result(o.jobs, bucket, jobs::write_result::conflict);
         if (!reply.current.key.empty())
         {
-            context_.documents->note(reply.current);
+            context_.documents->apply_entry(reply.current);
         }
-        offer(o, bucket);
+        load_bucket(o, bucket);
         return;
     default:
-        // No answer tells: read it again, and only then go on with this document.
+        // The effect of the write is unknown: the document must be read again before the next
+        // write.
         jobs::record_write_result(o.jobs, bucket, jobs::write_result::unknown);
-        o.tried[n] = o.revisions[n];
+        o.uncertain_revisions[n] = o.stored_revisions[n];
         context_.documents->refresh();
         return;
     }
@@ -268,7 +271,7 @@
 void job_service::poll(const std::string& pool, const std::string& host)
 {
     auto* o = find_owned(pool);
-    if (o == nullptr || !o->polling.insert(host).second)
+    if (o == nullptr || !o->polls_in_flight.insert(host).second)
     {
         return;
     }
@@ -277,13 +280,13 @@
         {
             if (auto* still = find_owned(pool))
             {
-                still->polling.erase(host);
+                still->polls_in_flight.erase(host);
                 jobs::record_reports(still->jobs, host, reports, context_.scheduler.now());
             }
         });
 }
 
-void job_service::act(const std::string& pool, const jobs::start_task& it)
+void job_service::execute(const std::string& pool, const jobs::start_task& it)
 {
     context_.log(ports::log_level::info,
         "task_ordered",
@@ -298,7 +301,7 @@
         });
 }
 
-void job_service::act(const std::string& pool, const jobs::command_tasks& it)
+void job_service::execute(const std::string& pool, const jobs::command_tasks& it)
 {
     context_.platform.act_on_tasks(it.host,
         it.tasks,
@@ -312,25 +315,25 @@
         });
 }
 
-void job_service::act(const std::string& pool, const jobs::poll_host& it)
+void job_service::execute(const std::string& pool, const jobs::poll_host& it)
 {
     poll(pool, it.host);
 }
 
-void job_service::act(const std::string& pool, const jobs::quota_request& it)
+void job_service::execute(const std::string& pool, const jobs::quota_request& it)
 {
     const auto& teams = fleet_.config().teams;
     const auto team = std::find_if(
         teams.begin(), teams.end(), [&](const auto& one) { return one.name == it.team; });
-    if (team == teams.end() || !adjusting_.insert(it.team + '/' + pool).second)
+    if (team == teams.end() || !quota_updates_in_flight_.insert(it.team + '/' + pool).second)
     {
         return;
     }
     const jobs::resources quota{team->processors, team->memory_gb, team->accelerators};
-    // What the update leaves behind, whether it had to write or not.
+    // The grant after the update, whether the update had to write or not.
     const auto granted = std::make_shared<std::optional<jobs::resources>>();
     update_document(
-        context_.writer(),
+        context_.document_updater(),
         jobs::quota_key(it.team),
         [it, quota, granted](const std::string* current) -> change_result
         {
@@ -354,17 +357,17 @@
         },
         [this, pool, it, granted](const core::result<core::done>& end)
         {
-            adjusting_.erase(it.team + '/' + pool);
+            quota_updates_in_flight_.erase(it.team + '/' + pool);
             auto* o = find_owned(pool);
             if (o != nullptr && core::is_ok(end) && *granted)
             {
                 jobs::record_grant(o->jobs, it, **granted);
-                round(pool);
+                run_round(pool);
             }
         });
 }
 
-void job_service::act(const std::string& pool, const jobs::worker_health_changed& it)
+void job_service::execute(const std::string& pool, const jobs::worker_health_changed& it)
 {
     context_.log(it.set_aside ? ports::log_level::warning : ports::log_level::info,
         it.set_aside ? "worker_set_aside" : "worker_back",
@@ -383,7 +386,7 @@
 
 void job_service::move_off(const std::string& pool, const std::string& host, core::millis time_left)
 {
-    asked_to_leave_[pool][host] = time_left;
+    evacuation_requests_[pool][host] = time_left;
 }
 
 std::map<std::string, std::vector<const jobs::job*>> job_service::all_jobs() const
--- a/programs/camphorhitchd/src/job_statements.cpp
+++ b/programs/camphorhitchd/src/job_statements.cpp
@@ -16,16 +16,16 @@
 
 using ids_by_pool = std::map<std::string, std::vector<std::string>>;
 
-/// Collects the outcomes of several pools, and tells the end once.
-struct gathering
+/// Collects the outcomes of several pools and reports one result.
+struct outcome_collector
 {
-    std::size_t missing = 0;
+    std::size_t pending = 0;
     std::size_t cancelled = 0;
     std::string problems;
     core::error_code code = core::error_code::not_found;
     result_callback done;
 
-    void take(const std::vector<intake_outcome>& outcomes)
+    void record(const std::vector<intake_outcome>& outcomes)
     {
         for (const auto& it : outcomes)
         {
@@ -33,63 +33,64 @@
             problems += it.accepted ? std::string{} : it.id + ": " + it.text + "\n";
             code = it.accepted ? code : it.code;
         }
-        if (--missing == 0)
+        if (--pending == 0)
         {
             const auto n = std::to_string(cancelled);
-            done(problems.empty() ? good(n + " jobs cancelled\n") : bad(code, problems));
+            done(problems.empty() ? success_result(n + " jobs cancelled\n")
+                                  : error_result(code, problems));
         }
     }
 };
 
-void cancel(const operator_parts& parts,
+void cancel(const service_refs& services,
     const ids_by_pool& all_ids,
     const std::string& command,
     const result_callback& done)
 {
     if (all_ids.empty())
     {
-        done(good("no job matches\n"));
+        done(success_result("no job matches\n"));
         return;
     }
-    auto all = std::make_shared<gathering>();
-    all->missing = all_ids.size();
+    auto all = std::make_shared<outcome_collector>();
+    all->pending = all_ids.size();
     all->done = done;
     for (const auto& [pool, ids] : all_ids)
     {
-        parts.intake.cancel(pool,
+        services.intake.cancel(pool,
             ids,
             command,
-            [all](const std::vector<intake_outcome>& outcomes) { all->take(outcomes); });
+            [all](const std::vector<intake_outcome>& outcomes) { all->record(outcomes); });
     }
 }
 
 } // namespace
 
-void cancel_job(const operator_parts& parts,
+void cancel_job(const service_refs& services,
     const language::cancel_job_statement& s,
     const std::string& command,
     const result_callback& done)
 {
     std::string pool;
-    if (parts.jobs.find(s.id.text, pool) == nullptr)
+    if (services.jobs.find(s.id.text, pool) == nullptr)
     {
-        done(bad(core::error_code::not_found, "no job named " + s.id.text));
+        done(error_result(core::error_code::not_found, "no job named " + s.id.text));
         return;
     }
-    cancel(parts, {{pool, {s.id.text}}}, command, done);
+    cancel(services, {{pool, {s.id.text}}}, command, done);
 }
 
-void cancel_jobs(const operator_parts& parts,
+void cancel_jobs(const service_refs& services,
     const language::cancel_jobs_statement& s,
     const std::string& document,
     const std::string& command,
     const result_callback& done)
 {
-    const auto all = make_table(language::table_kind::jobs, parts);
+    const auto all = make_table(language::table_kind::jobs, services);
     const auto rows = language::select_rows(all, s.where, document);
-    if (const auto* wrong = std::get_if<core::findings>(&rows))
+    if (const auto* findings = std::get_if<core::findings>(&rows))
     {
-        done(bad(*wrong));
+        done(error_result(*findings));
         return;
     }
     ids_by_pool by_pool;
@@ -99,33 +100,33 @@
         const auto& pool = std::get<std::string>(all.rows[n][1]);
         by_pool[pool].push_back(id);
     }
-    cancel(parts, by_pool, command, done);
+    cancel(services, by_pool, command, done);
 }
 
-void submit_job(const operator_parts& parts,
+void submit_job(const service_refs& services,
     const language::submit_job_statement& s,
     const std::string& document,
     const result_callback& done)
 {
     auto read = read_submission(s, document);
-    if (const auto* wrong = std::get_if<core::findings>(&read))
+    if (const auto* findings = std::get_if<core::findings>(&read))
     {
-        done(bad(*wrong));
+        done(error_result(*findings));
         return;
     }
     const auto& [pool, job] = std::get<named_submission>(read);
-    if (parts.fleet.find_pool(pool) == nullptr)
+    if (services.fleet.find_pool(pool) == nullptr)
     {
-        done(bad(core::error_code::not_found, "no pool named " + pool));
+        done(error_result(core::error_code::not_found, "no pool named " + pool));
         return;
     }
-    parts.intake.submit(pool,
+    services.intake.submit(pool,
         {job},
         [done](const std::vector<intake_outcome>& outcomes)
         {
             const auto& it = outcomes.front();
-            done(it.accepted ? good("job " + it.id + ": " + it.text + "\n")
-                             : bad(it.code, "job " + it.id + ": " + it.text));
+            done(it.accepted ? success_result("job " + it.id + ": " + it.text + "\n")
+                             : error_result(it.code, "job " + it.id + ": " + it.text));
         });
 }
 
--- a/programs/camphorhitchd/src/main.cpp
+++ b/programs/camphorhitchd/src/main.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// camphorhitchd: the daemon of every entry host.
+/// camphorhitchd: the daemon that runs on every entry host.
 
 #include "hosted_node.hpp"
 #include "node.hpp"
@@ -23,17 +23,17 @@
     exit_cannot_start = 4 ///< an address can't be opened, or a library failed
 };
 
-/// \param read the settings, or what is wrong with them
-/// \param open makes the node from them
+/// \param read the settings, or the findings about them
+/// \param open makes the node from the settings
 template <class Settings, class Open>
 int check_and_run(const std::string& file,
     const std::variant<Settings, core::findings>& read,
     bool only_check,
     Open open)
 {
-    if (const auto* wrong = std::get_if<core::findings>(&read))
+    if (const auto* findings = std::get_if<core::findings>(&read))
     {
-        std::cerr << core::to_text(*wrong);
+        std::cerr << core::to_text(*findings);
         return exit_settings;
     }
     if (only_check)
--- a/programs/camphorhitchd/src/membership_service.cpp
+++ b/programs/camphorhitchd/src/membership_service.cpp
@@ -13,8 +13,8 @@
 namespace
 {
 
-/// A keep-alive this often per life of the lease survives two lost calls.
-constexpr int keep_alives_per_ttl = 4;
+/// Number of renewals per time to live of the lease; the lease survives two lost calls.
+constexpr int renewals_per_ttl = 4;
 
 model::member_record sender_of(const ports::heartbeat& it, const std::string& address)
 {
@@ -37,10 +37,10 @@
 void membership_service::start()
 {
     grant_lease();
-    context_.every(context_.rounds.lease_ttl / keep_alives_per_ttl, [this] { keep_lease(); });
-    context_.every(context_.rounds.confirm, [this] { confirm(); });
-    context_.every(context_.rounds.beat, [this] { beat_all(); });
-    context_.every(context_.rounds.membership, [this] { look(); });
+    context_.run_every(context_.timing.lease_ttl / renewals_per_ttl, [this] { renew_lease(); });
+    context_.run_every(context_.timing.confirm_interval, [this] { confirm(); });
+    context_.run_every(context_.timing.heartbeat_interval, [this] { send_heartbeats(); });
+    context_.run_every(context_.timing.membership_interval, [this] { run_round(); });
 }
 
 bool membership_service::fresh() const
@@ -68,12 +68,12 @@
     return roster_;
 }
 
-core::mono_time membership_service::older_epochs_stopped() const
+core::mono_time membership_service::older_epochs_stopped_at() const
 {
     return membership::stopped_from(stop_, roster_);
 }
 
-membership::member_list membership_service::recent_formers(core::millis longest) const
+membership::member_list membership_service::recent_previous_members(core::millis longest) const
 {
     const auto now = context_.scheduler.now();
     membership::member_list found;
@@ -98,7 +98,7 @@
     return peers_;
 }
 
-void membership_service::set_config(config_in_force it)
+void membership_service::set_config_in_force(config_in_force it)
 {
     config_ = std::move(it);
 }
@@ -106,12 +106,12 @@
 void membership_service::leave(std::function<void()> done)
 {
     leaving_ = true;
-    left_ = std::move(done);
+    on_left_ = std::move(done);
     membership::leave(roster_state_);
-    look();
+    run_round();
 }
 
-void membership_service::give_up_lease(std::function<void()> done)
+void membership_service::revoke_own_lease(std::function<void()> done)
 {
     stopped_ = true;
     if (lease_ == 0)
@@ -129,7 +129,7 @@
         return;
     }
     granting_ = true;
-    context_.store.grant_lease(context_.rounds.lease_ttl,
+    context_.store.grant_lease(context_.timing.lease_ttl,
         [this](ports::kv_lease it)
         {
             granting_ = false;
@@ -141,7 +141,7 @@
         });
 }
 
-void membership_service::keep_lease()
+void membership_service::renew_lease()
 {
     if (lease_ == 0)
     {
@@ -155,8 +155,8 @@
     context_.store.keep_alive(lease_,
         [this](ports::kv_lease it)
         {
-            const bool lapsed = it.status == ports::kv_status::ok && it.ttl.count() <= 0;
-            if (lapsed || it.status == ports::kv_status::rejected)
+            const bool expired = it.status == ports::kv_status::ok && it.ttl.count() <= 0;
+            if (expired || it.status == ports::kv_status::rejected)
             {
                 context_.log(ports::log_level::warning, "lease_lapsed", {});
                 lease_ = 0;
@@ -174,7 +174,7 @@
     registering_ = true;
     const auto text = model::encode(context_.self);
     update_document(
-        context_.writer(),
+        context_.document_updater(),
         model::keys::members + context_.self.id,
         [text](const std::string*) -> change_result { return std::optional<std::string>{text}; },
         [this](const core::result<core::done>& it)
@@ -185,14 +185,15 @@
                 context_.log(ports::log_level::warning,
                     "register_failed",
                     {{"text", core::failure(it).message}});
-                lease_ = 0; // granted again at the next round, then registered
+                lease_ = 0; // the next renewal grants a new lease and registers the record
             }
         },
         lease_);
 }
 
-/// Confirms by the store that the roster adopted here is still the one in force. The time that
-/// counts is when the question was sent: an answer read after a pause tells of the time before it.
+/// Confirms with the store that the roster adopted by this process is still in force. The
+/// confirmation counts from the time the request was sent, because an answer that is read after a
+/// pause describes the state before the pause.
 void membership_service::confirm()
 {
     if (confirming_ || roster_revision_ == 0)
@@ -218,7 +219,7 @@
         });
 }
 
-ports::heartbeat membership_service::own_beat() const
+ports::heartbeat membership_service::make_heartbeat() const
 {
     ports::heartbeat it;
     it.member = context_.self.id;
@@ -232,25 +233,25 @@
     return it;
 }
 
-void membership_service::beat_all()
+void membership_service::send_heartbeats()
 {
     ++sequence_;
-    std::set<std::string> asked;
+    std::set<std::string> contacted;
     for (const auto* list : {&roster_.members, &roster_state_.leased})
     {
         for (const auto& it : *list)
         {
-            if (!membership::same_process(it, context_.self) && asked.insert(it.address).second)
+            if (!membership::same_process(it, context_.self) && contacted.insert(it.address).second)
             {
-                beat(it);
+                send_heartbeat(it);
             }
         }
     }
 }
 
-void membership_service::beat(const model::member_record& to)
+void membership_service::send_heartbeat(const model::member_record& to)
 {
-    auto message = own_beat();
+    auto message = make_heartbeat();
     const auto known = peers_.find(to.id);
     if (known != peers_.end() && known->second.epoch < roster_.epoch)
     {
@@ -264,10 +265,10 @@
     context_.peers.beat(to.address,
         std::move(message),
         [this, to, started](ports::peer_status status, const ports::heartbeat& reply)
-        { on_beat_reply(to, status, reply, started); });
+        { on_heartbeat_reply(to, status, reply, started); });
 }
 
-void membership_service::on_beat_reply(const model::member_record& to,
+void membership_service::on_heartbeat_reply(const model::member_record& to,
     ports::peer_status status,
     const ports::heartbeat& reply,
     core::mono_time started)
@@ -276,7 +277,7 @@
     if (status == ports::peer_status::refused)
     {
         membership::on_refused(roster_state_, to, now);
-        note_gone(to);
+        record_process_gone(to);
         return;
     }
     if (status != ports::peer_status::ok)
@@ -285,16 +286,16 @@
     }
     if (reply.member == to.id && reply.incarnation != to.incarnation)
     {
-        // Another process answers at that address, so the one we meant is gone.
-        note_gone(to);
+        // Another process answers at that address, so the addressed process has ended.
+        record_process_gone(to);
         return;
     }
     membership::on_peer_confirmed(freshness_, reply, started);
     membership::on_heard(roster_state_, to, reply.silent_peers, now);
-    take_word(reply);
+    apply_heartbeat(reply);
 }
 
-void membership_service::note_replaced()
+void membership_service::record_replaced_processes()
 {
     for (const auto& former : roster_.history)
     {
@@ -302,23 +303,24 @@
         {
             if (is_replaced(it))
             {
-                note_gone(it);
+                record_process_gone(it);
             }
         }
     }
 }
 
-void membership_service::note_gone(const model::member_record& who)
+void membership_service::record_process_gone(const model::member_record& who)
 {
     membership::on_process_gone(stop_, who, context_.scheduler.now());
-    if (gone_.insert(membership::process_name(who)).second)
+    if (ended_processes_.insert(membership::process_name(who)).second)
     {
         context_.log(ports::log_level::info, "process_gone", {{"member", who.id}});
         events_.on_process_gone(who);
     }
 }
 
-/// Two processes can't listen at one address: where another one is a member now, the older is gone.
+/// Two processes can't listen at one address: when another process at that address is a member, the
+/// older process has ended.
 bool membership_service::is_replaced(const model::member_record& who) const
 {
     const auto in_its_place = [&](const model::member_record& it)
@@ -331,10 +333,10 @@
 
 bool membership_service::is_gone(const model::member_record& who) const
 {
-    return gone_.count(membership::process_name(who)) > 0 || is_replaced(who);
+    return ended_processes_.count(membership::process_name(who)) > 0 || is_replaced(who);
 }
 
-ports::heartbeat membership_service::on_beat(const ports::heartbeat& from)
+ports::heartbeat membership_service::on_heartbeat(const ports::heartbeat& from)
 {
     const auto now = context_.scheduler.now();
     membership::on_epoch_heard(freshness_, from.epoch);
@@ -348,8 +350,8 @@
             }
         }
     }
-    take_word(from);
-    auto reply = own_beat();
+    apply_heartbeat(from);
+    auto reply = make_heartbeat();
     reply.sequence = from.sequence;
     if (from.epoch < roster_.epoch)
     {
@@ -362,15 +364,16 @@
     return reply;
 }
 
-void membership_service::take_word(const ports::heartbeat& from)
+void membership_service::apply_heartbeat(const ports::heartbeat& from)
 {
     const auto now = context_.scheduler.now();
     peers_[from.member] = {from.config_version, from.epoch, from.fresh, now};
     membership::on_word(stop_, sender_of(from, ""), from.epoch, now);
     if (from.store_reachable && !store_reachable())
     {
-        // The peer reaches the store again, so its word no longer counts for us. Without asking the
-        // store at once this member would refuse requests until its next turn to ask.
+        // The peer reaches the store again, so its confirmations no longer keep this member fresh.
+        // Without an immediate request to the store, this member would refuse requests until its
+        // next periodic confirmation.
         confirm();
     }
     if (!from.roster_document.empty())
@@ -391,7 +394,7 @@
     }
     else if (entry.key.compare(0, model::keys::members.size(), model::keys::members) == 0)
     {
-        take_leased();
+        apply_member_records();
     }
 }
 
@@ -404,26 +407,27 @@
     }
     else
     {
-        // The same document again tells the roster logic that it has been read since a pause.
+        // Passing the unchanged document shows the roster logic that the document has been read
+        // since a pause.
         membership::on_roster(roster_state_, roster_, roster_revision_, now);
     }
-    take_leased();
-    // A read sent before it was asked for may tell of the time before a pause.
-    if (asked_reread_ && asked_at >= asked_reread_->at)
+    apply_member_records();
+    // A read sent before the request for it may describe the state before a pause.
+    if (reread_request_ && asked_at >= reread_request_->at)
     {
-        membership::on_reread(roster_state_, asked_reread_->ticket, now);
-        asked_reread_.reset();
+        membership::on_reread(roster_state_, reread_request_->ticket, now);
+        reread_request_.reset();
     }
 }
 
-void membership_service::take_leased()
+void membership_service::apply_member_records()
 {
     if (!context_.documents->loaded())
     {
         return;
     }
     membership::member_list leased;
-    for (const auto* it : context_.documents->under(model::keys::members))
+    for (const auto* it : context_.documents->entries_with_prefix(model::keys::members))
     {
         auto one = model::decode_member(it->value, it->key);
         if (const auto* record = std::get_if<model::member_record>(&one))
@@ -470,7 +474,7 @@
     roster_revision_ = modified;
     membership::on_roster_adopted(freshness_, roster_);
     membership::on_epoch_adopted(stop_, roster_, now);
-    note_replaced();
+    record_replaced_processes();
     context_.log(ports::log_level::info,
         "roster_adopted",
         {{"epoch", std::to_string(roster_.epoch)},
@@ -482,13 +486,13 @@
     }
     confirm();
     events_.on_roster();
-    if (left_ && !in_roster())
+    if (on_left_ && !in_roster())
     {
-        std::exchange(left_, nullptr)();
+        std::exchange(on_left_, nullptr)();
     }
 }
 
-void membership_service::look()
+void membership_service::run_round()
 {
     const auto now = context_.scheduler.now();
     const bool reachable = store_reachable();
@@ -499,15 +503,15 @@
     }
     was_reachable_ = reachable;
     context_.telemetry.gauge("camphorhitch_fresh", {}, fresh() ? 1 : 0);
-    for (const auto& it : membership::on_tick(roster_state_, context_.unit(), now))
+    for (const auto& it : membership::on_tick(roster_state_, context_.random_unit(), now))
     {
         if (const auto* next = std::get_if<membership::propose_roster>(&it))
         {
-            act(*next);
+            write_roster(*next);
         }
         else if (const auto* reread = std::get_if<membership::reread_store>(&it))
         {
-            asked_reread_ = {reread->ticket, now};
+            reread_request_ = {reread->ticket, now};
             context_.documents->refresh();
         }
         else
@@ -517,7 +521,7 @@
     }
 }
 
-void membership_service::act(const membership::propose_roster& it)
+void membership_service::write_roster(const membership::propose_roster& it)
 {
     std::string reasons;
     for (const auto& one : it.reasons)
@@ -536,11 +540,11 @@
         {
             if (reply.status == ports::kv_status::ok)
             {
-                context_.documents->note({model::keys::roster, text, reply.modified, 0});
+                context_.documents->apply_entry({model::keys::roster, text, reply.modified, 0});
             }
             else if (reply.status == ports::kv_status::conflict && !reply.current.key.empty())
             {
-                context_.documents->note(reply.current);
+                context_.documents->apply_entry(reply.current);
             }
             else
             {
--- a/programs/camphorhitchd/src/mirror.cpp
+++ b/programs/camphorhitchd/src/mirror.cpp
@@ -18,15 +18,15 @@
     boost::random::mt19937_64 random;
 
     std::map<std::string, ports::kv_entry> entries;
-    std::map<std::string, ports::revision> deleted; ///< revision at which a key was seen gone
+    std::map<std::string, ports::revision> deleted; ///< revision of the last known deletion, by key
     ports::revision read_revision = 0;
     bool loaded = false;
     bool reading = false;
-    bool read_again = false;
+    bool read_again_requested = false;
     ports::watch_id watch = 0;
-    core::mono_time watch_began{};
+    core::mono_time watch_started_at{};
     ports::timer_id timer = 0;
-    core::millis pause{0};
+    core::millis retry_delay{0};
 
     parts(mirror_settings s,
         const ports::key_value& kv,
@@ -34,17 +34,18 @@
         const ports::telemetry& tel,
         mirror_events ev)
         : settings(std::move(s)), store(kv), scheduler(sch), telemetry(tel), events(std::move(ev)),
-          random(settings.seed), pause(settings.retry_first)
+          random(settings.seed), retry_delay(settings.min_retry_delay)
     {
     }
 
-    core::millis jittered(core::millis most)
+    core::millis jittered(core::millis max_delay)
     {
-        boost::random::uniform_int_distribution<std::int64_t> pick(most.count() / 2, most.count());
+        boost::random::uniform_int_distribution<std::int64_t> pick(
+            max_delay.count() / 2, max_delay.count());
         return core::millis{pick(random)};
     }
 
-    void plan_read(core::millis delay)
+    void schedule_read(core::millis delay)
     {
         scheduler.cancel(timer);
         timer = scheduler.after(delay,
@@ -62,7 +63,7 @@
     {
         if (reading)
         {
-            read_again = true;
+            read_again_requested = true;
             return;
         }
         reading = true;
@@ -83,51 +84,52 @@
         if (reply.status != ports::kv_status::ok)
         {
             telemetry.count("camphorhitch_mirror_read_failures_total", {}, 1);
-            plan_read(jittered(pause));
-            pause = std::min(pause * 2, settings.retry_most);
+            schedule_read(jittered(retry_delay));
+            retry_delay = std::min(retry_delay * 2, settings.max_retry_delay);
             return;
         }
-        pause = settings.retry_first;
-        take_all(reply);
+        retry_delay = settings.min_retry_delay;
+        apply_read(reply);
         loaded = true;
         if (watch == 0)
         {
             start_watch(reply.store_revision + 1);
         }
         events.on_read(asked_at);
-        plan_read(read_again ? settings.retry_first : jittered(settings.reread));
-        read_again = false;
+        schedule_read(
+            read_again_requested ? settings.min_retry_delay : jittered(settings.reread_interval));
+        read_again_requested = false;
     }
 
-    /// A read that is older than what is known here (a stale replica answered) must not bring back
-    /// an old document or hide a new one; each entry is compared by its own revision.
-    void take_all(const ports::kv_read& reply)
+    /// A read that is older than the mirror (a stale replica answered) must not bring back an old
+    /// document or hide a new one, so each entry is compared by its own revision.
+    void apply_read(const ports::kv_read& reply)
     {
         std::set<std::string> seen;
         for (const auto& it : reply.entries)
         {
             seen.insert(it.key);
-            take(it);
+            apply_entry(it);
         }
-        std::vector<std::string> gone;
+        std::vector<std::string> deleted_keys;
         for (const auto& [key, entry] : entries)
         {
             if (seen.count(key) == 0 && entry.modified <= reply.store_revision)
             {
-                gone.push_back(key);
+                deleted_keys.push_back(key);
             }
         }
-        for (const auto& key : gone)
+        for (const auto& key : deleted_keys)
         {
-            drop(key, reply.store_revision);
+            apply_deletion(key, reply.store_revision);
         }
         read_revision = std::max(read_revision, reply.store_revision);
     }
 
-    void take(const ports::kv_entry& entry)
+    void apply_entry(const ports::kv_entry& entry)
     {
-        const auto tomb = deleted.find(entry.key);
-        if (tomb != deleted.end() && entry.modified <= tomb->second)
+        const auto deletion = deleted.find(entry.key);
+        if (deletion != deleted.end() && entry.modified <= deletion->second)
         {
             return;
         }
@@ -140,7 +142,7 @@
         }
     }
 
-    void drop(const std::string& key, ports::revision at)
+    void apply_deletion(const std::string& key, ports::revision at)
     {
         const auto it = entries.find(key);
         if (it == entries.end() || it->second.modified > at)
@@ -156,7 +158,7 @@
 
     void start_watch(ports::revision from)
     {
-        watch_began = scheduler.now();
+        watch_started_at = scheduler.now();
         watch = store.watch(
             settings.prefix,
             from,
@@ -176,15 +178,17 @@
             });
     }
 
-    /// A watch that lived long ended for want of news: the next one goes on from what was seen,
-    /// which saves reading every document again. One that ended at once can't go on from there.
+    /// A watch that lasted for min_watch_time has most likely ended because no event arrived. The
+    /// next watch continues from the last revision, which saves a read of all documents. After a
+    /// watch that ended earlier, the mirror reads all documents again, because the service may not
+    /// be able to continue from that revision.
     void on_watch_end()
     {
         watch = 0;
         telemetry.count("camphorhitch_mirror_watch_ends_total", {}, 1);
-        if (scheduler.now() - watch_began < settings.long_watch)
+        if (scheduler.now() - watch_started_at < settings.min_watch_time)
         {
-            plan_read(jittered(pause));
+            schedule_read(jittered(retry_delay));
             return;
         }
         start_watch(read_revision + 1);
@@ -197,11 +201,11 @@
             read_revision = std::max(read_revision, it.entry.modified);
             if (it.deleted)
             {
-                drop(it.entry.key, it.entry.modified);
+                apply_deletion(it.entry.key, it.entry.modified);
             }
             else
             {
-                take(it.entry);
+                apply_entry(it.entry);
             }
         }
     }
@@ -247,7 +251,7 @@
     return it == parts_->entries.end() ? nullptr : &it->second;
 }
 
-std::vector<const ports::kv_entry*> mirror::under(const std::string& prefix) const
+std::vector<const ports::kv_entry*> mirror::entries_with_prefix(const std::string& prefix) const
 {
     std::vector<const ports::kv_entry*> found;
     for (auto it = parts_->entries.lower_bound(prefix); it != parts_->entries.end(); ++it)
@@ -261,11 +265,11 @@
     return found;
 }
 
-void mirror::note(const ports::kv_entry& entry)
+void mirror::apply_entry(const ports::kv_entry& entry)
 {
     if (entry.modified > 0)
     {
-        parts_->take(entry);
+        parts_->apply_entry(entry);
     }
 }
 
@@ -273,10 +277,10 @@
 {
     if (parts_->reading)
     {
-        parts_->read_again = true;
+        parts_->read_again_requested = true;
         return;
     }
-    parts_->plan_read(parts_->jittered(core::millis{50}));
+    parts_->schedule_read(parts_->jittered(core::millis{50}));
 }
 
 } // namespace camphorhitch::daemon
--- a/programs/camphorhitchd/src/node.cpp
+++ b/programs/camphorhitchd/src/node.cpp
@@ -23,10 +23,12 @@
 namespace
 {
 
-/// A target takes 64 connections of all entry hosts together, and there are at most 9 of these.
+/// A target accepts 64 connections from all entry hosts together, and there are at most 9 entry
+/// hosts.
 constexpr std::size_t connections_per_target = 7;
-/// What lies between may forget an idle connection; an old one is not worth its risk.
-constexpr core::millis longest_idle{5000};
+/// Network devices on the path may drop the state of an idle connection, and a request on such a
+/// connection would be lost; a new connection is cheaper than this risk.
+constexpr core::millis max_idle_time{5000};
 
 service_settings service_settings_of(const settings::daemon_settings& s)
 {
@@ -53,16 +55,18 @@
     settings::daemon_settings settings;
     reactor::event_loop loop;
     telemetry::hub tel;
-    // Its listening socket closes with it, which proves to the others that this process is gone; so
-    // it is destroyed after whatever may still send to a target.
+    // The network's listening socket closes when it is destroyed, which proves to the peers that
+    // this process has ended. The network is therefore destroyed after all
+    // objects that may still send to a target.
     std::unique_ptr<peer::network> network;
-    std::optional<http::client> client;        ///< to the platform
-    std::optional<http::client> target_client; ///< to targets, which bound their connections
+    std::optional<http::client> client; ///< client for the store and the platform
+    /// Client for targets, which limit the number of connections.
+    std::optional<http::client> target_client;
     std::optional<store::etcd_store> store;
     std::optional<platform::platform_client> platform;
     context ctx;
-    std::unique_ptr<services> all;
-    std::unique_ptr<wire_metrics> wire;
+    std::unique_ptr<services> daemon_services;
+    std::unique_ptr<wire_metrics> wire_counters;
     std::optional<http::server> callers;
     std::optional<http::server> operator_server;
 
@@ -89,7 +93,7 @@
     client = http::client::builder().loop(loop).build();
     http::client_limits limits;
     limits.most_connections_per_host = connections_per_target;
-    limits.longest_idle = longest_idle;
+    limits.longest_idle = max_idle_time;
     target_client = http::client::builder().loop(loop).limits(limits).build();
     auto made = store::etcd_store::builder()
                     .client(*client)
@@ -103,45 +107,45 @@
         return core::failure(made);
     }
     store = std::move(core::value(made));
-    auto reached = platform::platform_client::builder()
-                       .http(client->port())
-                       .live_list(settings.platform.live_list)
-                       .workers(settings.platform.workers)
-                       .token(settings.platform.token)
-                       .build();
-    if (!core::is_ok(reached))
+    auto opened = platform::platform_client::builder()
+                      .http(client->port())
+                      .live_list(settings.platform.live_list)
+                      .workers(settings.platform.workers)
+                      .token(settings.platform.token)
+                      .build();
+    if (!core::is_ok(opened))
     {
-        return core::failure(reached);
+        return core::failure(opened);
     }
-    platform = std::move(core::value(reached));
+    platform = std::move(core::value(opened));
     return core::done{};
 }
 
 core::result<core::done> node::parts::open_network()
 {
-    // The handlers look the services up when a call comes, which is after all of them were made.
-    ports::peer_handlers late;
-    const auto pass = [this](auto member)
+    // The handlers look the services up when a call arrives, which is after all services were made.
+    ports::peer_handlers handlers;
+    const auto forward = [this](auto member)
     {
         return [this, member](auto message, auto reply)
         {
-            (all->handlers().*member)(std::move(message), std::move(reply));
+            (daemon_services->handlers().*member)(std::move(message), std::move(reply));
         };
     };
-    late.beat = pass(&ports::peer_handlers::beat);
-    late.request_permit = pass(&ports::peer_handlers::request_permit);
-    late.return_permits = pass(&ports::peer_handlers::return_permits);
-    late.query_held = pass(&ports::peer_handlers::query_held);
-    late.claim = pass(&ports::peer_handlers::claim);
-    late.finish_claim = pass(&ports::peer_handlers::finish_claim);
-    late.copy_claim = pass(&ports::peer_handlers::copy_claim);
-    late.pull_slots = pass(&ports::peer_handlers::pull_slots);
-    late.explain = pass(&ports::peer_handlers::explain);
+    handlers.beat = forward(&ports::peer_handlers::beat);
+    handlers.request_permit = forward(&ports::peer_handlers::request_permit);
+    handlers.return_permits = forward(&ports::peer_handlers::return_permits);
+    handlers.query_held = forward(&ports::peer_handlers::query_held);
+    handlers.claim = forward(&ports::peer_handlers::claim);
+    handlers.finish_claim = forward(&ports::peer_handlers::finish_claim);
+    handlers.copy_claim = forward(&ports::peer_handlers::copy_claim);
+    handlers.pull_slots = forward(&ports::peer_handlers::pull_slots);
+    handlers.explain = forward(&ports::peer_handlers::explain);
     auto made = peer::network::builder()
                     .listen(settings.peer_address)
                     .token(settings.peer_token)
                     .scheduler(loop.scheduler())
-                    .handlers(std::move(late))
+                    .handlers(std::move(handlers))
                     .build();
     if (!core::is_ok(made))
     {
@@ -158,11 +162,11 @@
         settings.peer_address.substr(0, settings.peer_address.rfind(':') + 1) +
             std::to_string(network->port()),
         settings.zone};
-    ctx.rounds.beat = settings.timing.beat_interval;
-    ctx.rounds.lease_ttl = settings.store.lease_ttl;
-    ctx.rounds.live_list = settings.platform.poll;
-    ctx.rounds.live_list_lag = settings.platform.list_lag;
-    ctx.rounds.stop_bound = settings.timing.drain_stop;
+    ctx.timing.heartbeat_interval = settings.timing.beat_interval;
+    ctx.timing.lease_ttl = settings.store.lease_ttl;
+    ctx.timing.live_list_interval = settings.platform.poll;
+    ctx.timing.max_live_list_age = settings.platform.list_lag;
+    ctx.timing.max_stop_time = settings.timing.drain_stop;
     ctx.scheduler = loop.scheduler();
     ctx.store = store->port();
     ctx.http = target_client->port();
@@ -170,18 +174,18 @@
     ctx.platform = platform->port();
     ctx.telemetry = tel.port();
     ctx.random.seed(std::random_device{}());
-    auto wanted = service_settings_of(settings);
-    wanted.metrics = [this]
+    auto service_config = service_settings_of(settings);
+    service_config.metrics = [this]
     {
         return metrics();
     };
-    wire = std::make_unique<wire_metrics>(ctx.telemetry);
-    all = std::make_unique<services>(ctx, std::move(wanted));
+    wire_counters = std::make_unique<wire_metrics>(ctx.telemetry);
+    daemon_services = std::make_unique<services>(ctx, std::move(service_config));
 }
 
 std::string node::parts::metrics()
 {
-    wire->update(*store, network->counters(), platform->counts());
+    wire_counters->update(*store, network->counters(), platform->counts());
     return tel.render();
 }
 
@@ -208,20 +212,20 @@
 
 core::result<core::done> node::parts::open_servers()
 {
-    auto first = open_server(settings.caller_address, all->caller_events());
+    auto first = open_server(settings.caller_address, daemon_services->caller_events());
     if (!core::is_ok(first))
     {
         return core::failure(first);
     }
     callers.emplace(std::move(core::value(first)));
-    all->requests->set_server(callers->port());
-    auto second = open_server(settings.operator_address, all->operator_events());
+    daemon_services->requests->set_server(callers->port());
+    auto second = open_server(settings.operator_address, daemon_services->operator_events());
     if (!core::is_ok(second))
     {
         return core::failure(second);
     }
     operator_server.emplace(std::move(core::value(second)));
-    all->operators->set_server(operator_server->port());
+    daemon_services->operators->set_server(operator_server->port());
     return core::done{};
 }
 
@@ -266,9 +270,9 @@
         [&p](int number)
         {
             p.ctx.log(ports::log_level::info, "stopping", {{"signal", std::to_string(number)}});
-            p.all->stopping->begin([&p] { p.loop.stop(); });
+            p.daemon_services->stopping->begin([&p] { p.loop.stop(); });
         });
-    p.all->start();
+    p.daemon_services->start();
     p.loop.run();
     p.ctx.log(ports::log_level::info, "stopped", {});
     return 0;
--- a/programs/camphorhitchd/src/node.hpp
+++ b/programs/camphorhitchd/src/node.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// One camphorhitchd: the adapters, the services, and what they tell one another.
+/// A camphorhitchd process: its adapters, its services and their connections.
 #pragma once
 
 #include "core/result.hpp"
@@ -10,11 +10,12 @@
 namespace camphorhitch::daemon
 {
 
+/// A camphorhitchd process outside hosting platforms.
 class node
 {
 public:
     /// Opens all addresses.
-    /// \return the node, or why it can't start.
+    /// \return the node, or the reason why it can't start.
     static core::result<std::unique_ptr<node>> open(const settings::daemon_settings& s);
     ~node();
     node(const node&) = delete;
--- a/programs/camphorhitchd/src/operator_service.cpp
+++ b/programs/camphorhitchd/src/operator_service.cpp
@@ -29,9 +29,9 @@
 } // namespace
 
 operator_service::operator_service(
-    context& c, operator_parts parts, std::string token, std::function<std::string()> metrics)
-    : context_(c), parts_(parts), token_(std::move(token)), metrics_(std::move(metrics)),
-      setup_(c, parts), runner_(c, parts)
+    context& c, service_refs services, std::string token, std::function<std::string()> metrics)
+    : context_(c), services_(services), token_(std::move(token)), metrics_(std::move(metrics)),
+      setup_(c, services), runner_(c, services)
 {
 }
 
@@ -40,7 +40,7 @@
     server_ = std::move(server);
 }
 
-void operator_service::on_gone(ports::exchange_id exchange)
+void operator_service::on_disconnected(ports::exchange_id exchange)
 {
     open_.erase(exchange);
 }
@@ -99,18 +99,18 @@
 
 std::string operator_service::status() const
 {
-    const auto& claims = parts_.claims.table();
+    const auto& claims = services_.claims.table();
     return dump({{"member", context_.self.id},
         {"incarnation", context_.self.incarnation},
-        {"fresh", parts_.members.fresh()},
-        {"store_reachable", parts_.members.store_reachable()},
-        {"epoch", parts_.members.roster().epoch},
-        {"members", parts_.members.roster().members.size()},
-        {"in_roster", parts_.members.in_roster()},
-        {"ready", parts_.requests.ready()},
-        {"config_version", parts_.config.current().version},
-        {"open_requests", parts_.requests.open_requests()},
-        {"pools_owned", parts_.permits.dispatchers().size()},
+        {"fresh", services_.members.fresh()},
+        {"store_reachable", services_.members.store_reachable()},
+        {"epoch", services_.members.roster().epoch},
+        {"members", services_.members.roster().members.size()},
+        {"in_roster", services_.members.in_roster()},
+        {"ready", services_.requests.ready()},
+        {"config_version", services_.config.current().version},
+        {"open_requests", services_.requests.open_requests()},
+        {"pools_owned", services_.permits.dispatchers().size()},
         {"keys_remembered", claims::stored_key_count(claims)},
         {"slots_waiting", claims::waiting_slot_count(claims)}});
 }
@@ -118,8 +118,8 @@
 void operator_service::answer_results(
     ports::exchange_id exchange, const std::vector<statement_result>& all, bool settled)
 {
-    const answer_heading heading{
-        context_.self.id, parts_.members.fresh(), parts_.members.store_reachable(), settled};
+    const answer_metadata heading{
+        context_.self.id, services_.members.fresh(), services_.members.store_reachable(), settled};
     answer(exchange, daemon::answer_results(heading, all));
 }
 
@@ -135,12 +135,12 @@
     }
     if (batch->check_only)
     {
-        answer_results(exchange, {}, runner_.settled(*batch));
+        answer_results(exchange, {}, runner_.is_settled(*batch));
         return;
     }
     runner_.run(*batch,
         [this, exchange, batch](const std::vector<statement_result>& all)
-        { answer_results(exchange, all, runner_.settled(*batch)); });
+        { answer_results(exchange, all, runner_.is_settled(*batch)); });
 }
 
 void operator_service::apply(ports::exchange_id exchange, const ports::http_request& request)
@@ -166,19 +166,19 @@
                           ? request.query.substr(prefix.size())
                           : std::string{};
     auto decoded = jobs::decode_submissions(request.body, "submission");
-    if (const auto* wrong = std::get_if<core::findings>(&decoded))
+    if (const auto* findings = std::get_if<core::findings>(&decoded))
     {
         answer_results(
-            exchange, {{false, core::error_code::invalid, core::to_text(*wrong), "null"}}, true);
+            exchange, {{false, core::error_code::invalid, core::to_text(*findings), "null"}}, true);
         return;
     }
-    if (parts_.fleet.find_pool(pool) == nullptr)
+    if (services_.fleet.find_pool(pool) == nullptr)
     {
         const auto text = "no pool '" + pool + "'; use " + jobs_path + "?pool=NAME\n";
         answer_results(exchange, {{false, core::error_code::not_found, text, "null"}}, true);
         return;
     }
-    parts_.intake.submit(pool,
+    services_.intake.submit(pool,
         std::get<std::vector<jobs::submission>>(decoded),
         [this, exchange](const std::vector<intake_outcome>& all)
         {
@@ -196,7 +196,7 @@
 void operator_service::show_job(ports::exchange_id exchange, const std::string& id)
 {
     std::string pool;
-    const auto* job = parts_.jobs.find(id, pool);
+    const auto* job = services_.jobs.find(id, pool);
     if (job == nullptr)
     {
         answer(exchange, answer_text(status_not_found, "no such job"));
--- a/programs/camphorhitchd/src/operator_service.hpp
+++ b/programs/camphorhitchd/src/operator_service.hpp
@@ -1,10 +1,11 @@
 /// \file
-/// The operators' interface over HTTP: one address, a token, statements, jobs, metrics.
+/// The operators' HTTP interface: statements, setup files, jobs, status and metrics at one address,
+/// protected by a token.
 #pragma once
 
 #include "context.hpp"
 #include "fleet_setup.hpp"
-#include "operator_parts.hpp"
+#include "service_refs.hpp"
 #include "statement_runner.hpp"
 
 #include <functional>
@@ -15,16 +16,21 @@
 namespace camphorhitch::daemon
 {
 
+/// HTTP handler of the operators' interface.
 class operator_service
 {
 public:
+    /// \param token that each request must carry.
     /// \param metrics renders all metrics as Prometheus text.
     operator_service(
-        context& c, operator_parts parts, std::string token, std::function<std::string()> metrics);
+        context& c, service_refs services, std::string token, std::function<std::string()> metrics);
 
+    /// Sets the server that sends the answers; called once the server listens.
     void set_server(ports::http_server server);
+    /// Handles a request of an operator.
     void on_request(ports::exchange_id exchange, ports::http_request request);
-    void on_gone(ports::exchange_id exchange);
+    /// The operator's client closed the connection; the exchange is not answered.
+    void on_disconnected(ports::exchange_id exchange);
 
 private:
     void answer(ports::exchange_id exchange, int status, std::string body, const char* type);
@@ -38,7 +44,7 @@
     std::string status() const;
 
     context& context_;
-    operator_parts parts_;
+    service_refs services_;
     std::string token_;
     std::function<std::string()> metrics_;
     ports::http_server server_;
--- a/programs/camphorhitchd/src/operator_wire.cpp
+++ b/programs/camphorhitchd/src/operator_wire.cpp
@@ -27,7 +27,8 @@
         body.dump(-1, ' ', false, json::error_handler_t::replace)};
 }
 
-/// Takes as long whatever the difference, so that answers' times tell nothing of the token.
+/// Compares in a time that does not depend on the difference, so that response times reveal nothing
+/// about the token.
 bool same_secret(const std::string& a, const std::string& b)
 {
     unsigned char difference = a.size() == b.size() ? 0 : 1;
@@ -67,7 +68,7 @@
 }
 
 ports::http_response answer_results(
-    const answer_heading& h, const std::vector<statement_result>& all)
+    const answer_metadata& h, const std::vector<statement_result>& all)
 {
     json results = json::array();
     for (const auto& it : all)
--- a/programs/camphorhitchd/src/operator_wire.hpp
+++ b/programs/camphorhitchd/src/operator_wire.hpp
@@ -1,9 +1,9 @@
 /// \file
-/// How operators' clients and daemons talk over HTTP: the token, calls of statements, answers.
+/// The HTTP format of operators' calls: the token, batches of statements, and answers.
 #pragma once
 
-#include "operator_parts.hpp"
 #include "ports/http.hpp"
+#include "service_refs.hpp"
 
 #include <optional>
 #include <string>
@@ -12,34 +12,35 @@
 namespace camphorhitch::daemon
 {
 
-/// The statements of one call.
+/// The statements of one HTTP call.
 struct statement_batch
 {
     std::string text;
-    std::string name;        ///< where the text came from, for findings
-    std::string command;     ///< its id; a repeat has its effect once
-    bool check_only = false; ///< asks only whether the command is in force by now
+    std::string name;        ///< name of the text in findings, such as a file
+    std::string command;     ///< id of the command; a repeated command takes effect once
+    bool check_only = false; ///< only query whether the command has settled
 };
 
-/// \return whether the call carries the operators' token.
+/// \return whether the request carries the operators' token.
 bool is_authorized(const ports::http_request& request, const std::string& token);
 
-/// \return the call's statements; nothing when its body lacks a text or a command.
+/// \return the statements of the call, or nothing when \p body lacks a text or a command.
 std::optional<statement_batch> read_batch(const std::string& body);
 
-/// What an answer tells beside the results.
-struct answer_heading
+/// Data of an answer besides the results.
+struct answer_metadata
 {
-    std::string member; ///< that answers
-    bool fresh = true;  ///< it knows the roster in force
+    std::string member; ///< id of the member that answers
+    bool fresh = true;  ///< the member's roster is confirmed to be in force
     bool store_reachable = true;
-    bool settled = true; ///< the command is in force everywhere
+    bool settled = true; ///< the command is in force at all members
 };
 
+/// Makes an answer with the results of statements.
 ports::http_response answer_results(
-    const answer_heading& h, const std::vector<statement_result>& all);
+    const answer_metadata& h, const std::vector<statement_result>& all);
 
-/// An answer of one text.
+/// Makes an answer that consists of one message.
 ports::http_response answer_text(int status, const std::string& text);
 
 } // namespace camphorhitch::daemon
--- a/programs/camphorhitchd/src/permit_service.cpp
+++ b/programs/camphorhitchd/src/permit_service.cpp
@@ -11,15 +11,17 @@
 namespace
 {
 
-constexpr core::millis round{20};          ///< between looks at timers of all dispatchers
-constexpr core::millis ask_again{300};     ///< between two rounds of asking for held permits
-constexpr core::millis ask_patience{3000}; ///< for the reports of members that are not suspected
-constexpr core::millis return_again{50};   ///< between two tries to give permits back
-constexpr core::millis return_for{30000};
-/// Numbers of permits never repeat within an incarnation; each take-over starts a block.
+constexpr core::millis tick_interval{20};   ///< interval between checks of all dispatchers' timers
+constexpr core::millis query_interval{300}; ///< interval between queries for held permits
+constexpr core::millis report_timeout{
+    3000}; ///< minimum wait for the members' reports of held permits
+constexpr core::millis return_retry_interval{50}; ///< interval between attempts to return permits
+constexpr core::millis max_return_time{30000};
+/// Size of a block of permit numbers. Each takeover starts a new block, so that numbers never
+/// repeat within an incarnation.
 constexpr std::uint64_t permit_block = std::uint64_t{1} << 32;
 
-ports::permit_reply not_here(ports::permit_verdict verdict)
+ports::permit_reply refusal_reply(ports::permit_verdict verdict)
 {
     ports::permit_reply reply;
     reply.verdict = verdict;
@@ -33,16 +35,16 @@
     context& c, membership_service& members, dispatch::dispatcher_settings settings)
     : context_(c), members_(members), settings_(settings)
 {
-    context_.every(round, [this] { tick(); });
-    context_.every(return_again, [this] { send_returns(); });
-    context_.every(ask_again,
+    context_.run_every(tick_interval, [this] { tick(); });
+    context_.run_every(return_retry_interval, [this] { send_returns(); });
+    context_.run_every(query_interval,
         [this]
         {
             for (const auto& [pool, d] : dispatchers_)
             {
                 if (!dispatch::is_ready(d))
                 {
-                    ask_members(pool);
+                    query_members(pool);
                 }
             }
         });
@@ -97,25 +99,26 @@
         const bool had = dispatchers_.count(pool.name) > 0;
         if (!mine)
         {
-            drop(pool.name);
+            release_pool(pool.name);
             continue;
         }
-        const bool gap = had && dispatch::needs_take_over(
-                                    roster, last_owned_[pool.name], context_.self.id, pool.name);
+        const bool gap =
+            had && dispatch::needs_take_over(
+                       roster, last_owned_epochs_[pool.name], context_.self.id, pool.name);
         if (!had || gap)
         {
-            drop(pool.name);
+            release_pool(pool.name);
             take_over(pool);
         }
         else
         {
             dispatchers_.at(pool.name).epoch = roster.epoch;
         }
-        last_owned_[pool.name] = roster.epoch;
+        last_owned_epochs_[pool.name] = roster.epoch;
     }
 }
 
-void permit_service::drop(const std::string& pool)
+void permit_service::release_pool(const std::string& pool)
 {
     const auto it = dispatchers_.find(pool);
     if (it == dispatchers_.end())
@@ -126,7 +129,7 @@
     {
         for (const auto& one : queue)
         {
-            answer({{one.key, not_here(ports::permit_verdict::wrong_owner)}});
+            answer({{one.key, refusal_reply(ports::permit_verdict::wrong_owner)}});
         }
     }
     dispatchers_.erase(it);
@@ -159,9 +162,9 @@
     }
     const auto now = context_.scheduler.now();
     taken_over_at_[pool.name] = now;
-    auto& awaited = former_owners_[pool.name];
+    auto& awaited = previous_owners_[pool.name];
     awaited.clear();
-    for (const auto& it : members_.recent_formers(dispatch::max_use_time(*d)))
+    for (const auto& it : members_.recent_previous_members(dispatch::max_use_time(*d)))
     {
         if (may_still_grant(it, pool.name))
         {
@@ -173,9 +176,10 @@
             plan.previous_members.push_back({it.id, it.incarnation, members_.is_gone(it), {}});
         }
     }
-    // The live members need time to answer even when nobody else can be acting any more: without it
-    // all of them would count as silent at once, and drains would wait for the longest request.
-    plan.report_deadline = std::max(members_.older_epochs_stopped(), now + ask_patience);
+    // The live members need time to answer even when no other process can still act. Without this
+    // minimum all of them would count as unresponsive at once, and drains would wait for the
+    // longest request.
+    plan.report_deadline = std::max(members_.older_epochs_stopped_at(), now + report_timeout);
     dispatch::begin_take_over(*d, plan, now);
     auto& mine = dispatchers_.emplace(pool.name, std::move(*d)).first->second;
     const auto document = documents_.find(pool.name);
@@ -188,20 +192,21 @@
         {{"pool", pool.name},
             {"epoch", std::to_string(roster.epoch)},
             {"former", std::to_string(plan.previous_members.size())}});
-    ask_members(pool.name);
+    query_members(pool.name);
 }
 
-/// A former owner that was taken out of the roster while it lives may be fresh by what it heard
-/// before, or alone and without the store, and then it grants on: a target would get the slots of
-/// two owners at once. So it is awaited as members are, until it tells that it has adopted our
-/// epoch, is proven gone, or must have stopped.
+/// A previous owner that was removed from the roster while it runs may still be fresh by earlier
+/// confirmations, or isolated from both peers and store, and then continues to grant permits: a
+/// target would get the slots of two owners at once. The takeover therefore awaits its report like
+/// a member's, until the previous owner reports that it has adopted this epoch, has provably ended,
+/// or must have stopped.
 bool permit_service::may_still_grant(const model::member_record& who, const std::string& pool) const
 {
     const auto& roster = members_.roster();
     const bool replaced = std::any_of(roster.members.begin(),
         roster.members.end(),
         [&](const auto& it) { return it.id == who.id; });
-    const bool stopped = members_.older_epochs_stopped() <= context_.scheduler.now();
+    const bool stopped = members_.older_epochs_stopped_at() <= context_.scheduler.now();
     if (replaced || stopped || members_.is_gone(who))
     {
         return false;
@@ -216,14 +221,14 @@
         });
 }
 
-void permit_service::ask_members(const std::string& pool)
+void permit_service::query_members(const std::string& pool)
 {
     ports::held_query query;
     query.epoch = members_.roster().epoch;
     query.member = context_.self.id;
     query.pools = {pool};
     auto all = members_.roster().members;
-    const auto& awaited = former_owners_[pool];
+    const auto& awaited = previous_owners_[pool];
     all.insert(all.end(), awaited.begin(), awaited.end());
     for (const auto& to : all)
     {
@@ -284,12 +289,12 @@
     }
 }
 
-void permit_service::ask(const ports::permit_request& request, reply_callback done)
+void permit_service::request_permit(const ports::permit_request& request, reply_callback done)
 {
     const auto* to = owner(request.pool);
     if (to == nullptr)
     {
-        done(ports::peer_status::ok, not_here(ports::permit_verdict::not_ready));
+        done(ports::peer_status::ok, refusal_reply(ports::permit_verdict::not_ready));
         return;
     }
     if (membership::same_process(*to, context_.self))
@@ -309,18 +314,18 @@
     if (it == dispatchers_.end() || request.epoch > members_.roster().epoch)
     {
         const bool mine = owns(request.pool);
-        done(
-            not_here(mine ? ports::permit_verdict::not_ready : ports::permit_verdict::wrong_owner));
+        done(refusal_reply(
+            mine ? ports::permit_verdict::not_ready : ports::permit_verdict::wrong_owner));
         return;
     }
     if (!members_.fresh())
     {
-        // Another member may own the pool by now and grant the same slots, or drain the hosts.
-        done(not_here(ports::permit_verdict::not_ready));
+        // Another member may already own the pool and grant the same slots, or drain the hosts.
+        done(refusal_reply(ports::permit_verdict::not_ready));
         return;
     }
     const dispatch::permit_request_key key{request.member, request.incarnation, request.request};
-    waiting_[key] = std::move(done);
+    waiting_replies_[key] = std::move(done);
     answer(dispatch::on_request(it->second, request, context_.scheduler.now()));
 }
 
@@ -328,18 +333,18 @@
 {
     for (const auto& one : all)
     {
-        const auto it = waiting_.find(one.to);
-        if (it == waiting_.end())
+        const auto it = waiting_replies_.find(one.to);
+        if (it == waiting_replies_.end())
         {
             continue;
         }
         auto done = std::move(it->second);
-        waiting_.erase(it);
+        waiting_replies_.erase(it);
         done(one.reply);
     }
 }
 
-void permit_service::give_back(const ports::permit_return& back)
+void permit_service::return_permit(const ports::permit_return& back)
 {
     const auto* to = owner(back.pool);
     if (to != nullptr && membership::same_process(*to, context_.self))
@@ -347,7 +352,7 @@
         on_returns({back});
         return;
     }
-    returns_.push_back({back, context_.scheduler.now() + return_for});
+    returns_.push_back({back, context_.scheduler.now() + max_return_time});
     send_returns();
 }
 
@@ -355,7 +360,7 @@
 {
     for (const auto& back : all)
     {
-        waiting_.erase({back.member, back.incarnation, back.request});
+        waiting_replies_.erase({back.member, back.incarnation, back.request});
         const auto it = dispatchers_.find(back.pool);
         if (it != dispatchers_.end())
         {
@@ -364,7 +369,8 @@
     }
 }
 
-/// All permits for one owner go in one message; what was not acknowledged is sent again.
+/// Sends all returns for one owner in one message; returns that are not acknowledged are sent
+/// again.
 void permit_service::send_returns()
 {
     if (returns_.empty())
@@ -411,13 +417,15 @@
     const auto now = context_.scheduler.now();
     for (auto& [pool, d] : dispatchers_)
     {
-        // When the take-over began nobody had told of the new epoch yet, and so many silent members
-        // might have gone on by themselves for the whole grace of an outage. Each word since then
-        // leaves fewer; without this look one paused member would keep the pool shut for minutes.
+        // At the start of the takeover no member has reported the new epoch yet, so enough
+        // unresponsive members might have continued on their own for the whole outage grace time.
+        // Each later heartbeat leaves fewer such members. Without this update of the deadline, one
+        // paused member would keep the pool closed for minutes.
         if (!dispatch::is_ready(d))
         {
-            const auto first = taken_over_at_[pool] + ask_patience;
-            dispatch::advance_report_deadline(d, std::max(first, members_.older_epochs_stopped()));
+            const auto first = taken_over_at_[pool] + report_timeout;
+            dispatch::advance_report_deadline(
+                d, std::max(first, members_.older_epochs_stopped_at()));
         }
         if (dispatch::next_wakeup(d) <= now)
         {
@@ -426,7 +434,7 @@
     }
 }
 
-std::optional<dispatch::host_use> permit_service::use_of(
+std::optional<dispatch::host_use> permit_service::usage_of_host(
     const std::string& pool, const std::string& host) const
 {
     if (!ready(pool))
--- a/programs/camphorhitchd/src/refusal.cpp
+++ b/programs/camphorhitchd/src/refusal.cpp
@@ -7,16 +7,18 @@
 namespace camphorhitch::daemon
 {
 
-std::string key_of(const ports::http_request& r)
+std::string idempotency_key_of(const ports::http_request& r)
 {
     const auto* key = ports::find_field(r.fields, dispatch::fields::idempotency_key);
     return key == nullptr ? std::string{} : *key;
 }
 
-// Without the difference: a deposit's first call ends unknown, the caller repeats it with its key
-// through an entry host that is stopping, hears "not run", and books the deposit as not charged.
-// Only the key's holders know better, and a host that refuses by itself hasn't asked them.
-ports::http_response answer_of(const refusal& it)
+// The outcome must differ for a repeat: suppose that the first call of a deposit ends unknown and
+// the caller repeats the call with its key through an entry host that is stopping. With the answer
+// "not-run" the caller would record the deposit as not charged, although the first call may have
+// run. Only the holders of the key have a record of that call, and a host that refuses a request
+// itself has not queried them.
+ports::http_response make_response(const refusal& it)
 {
     const std::string outcome = it.may_have_run_before ? "unknown" : "not-run";
     ports::http_response out;
--- a/programs/camphorhitchd/src/refusal.hpp
+++ b/programs/camphorhitchd/src/refusal.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Answers to requests that this entry host refuses by itself, before the flow of a request begins.
+/// Answers to requests that this entry host refuses itself, before the request flow starts.
 #pragma once
 
 #include "ports/http.hpp"
@@ -9,20 +9,22 @@
 namespace camphorhitch::daemon
 {
 
+/// Reason and status of a refusal.
 struct refusal
 {
     int status = 0;
-    std::string reason;    ///< the rule's name
-    std::string text;      ///< for people
-    int retry_after_s = 0; ///< 0: no use in repeating
-    /// The same request, by its key, may have run through another entry host before.
+    std::string reason;    ///< name of the rule that refused the request
+    std::string text;      ///< message for the caller's developers
+    int retry_after_s = 0; ///< 0 when a retry is pointless
+    /// A request with the same key may already have run through another entry host.
     bool may_have_run_before = false;
 };
 
-/// \return the key that the request brings, or an empty string.
-std::string key_of(const ports::http_request& r);
+/// \return the request's idempotency key, or an empty string.
+std::string idempotency_key_of(const ports::http_request& r);
 
-/// \return the answer: not-run, or for a request that may have run before unknown and not-sent.
-ports::http_response answer_of(const refusal& it);
+/// \return the response. Its outcome is not-run, or unknown with attempt not-sent for a request
+/// that may have run before.
+ports::http_response make_response(const refusal& it);
 
 } // namespace camphorhitch::daemon
--- a/programs/camphorhitchd/src/request_service.cpp
+++ b/programs/camphorhitchd/src/request_service.cpp
@@ -11,14 +11,15 @@
 namespace
 {
 
-constexpr core::millis round{5};              ///< between looks at the flows' timers
-constexpr std::size_t remembered_ends = 2000; ///< requests that `why request` still finds
+constexpr core::millis tick_interval{5}; ///< interval between checks of the flows' timers
+constexpr std::size_t max_recorded_requests =
+    2000; ///< number of ended requests that `why request` can explain
 constexpr int status_not_found = 404;
 constexpr int status_bad_request = 400;
 constexpr int status_unavailable = 503;
 const std::string call_prefix = "/call/";
 
-/// Fields that belong to one connection only and are never passed on.
+/// Header fields that belong to one connection and are not forwarded.
 const char* const hop_fields[] = {"Connection",
     "Keep-Alive",
     "Transfer-Encoding",
@@ -90,7 +91,7 @@
     sender_.incarnation = c.self.incarnation;
     sender_.zone = c.self.zone;
     sender_.settings = settings;
-    context_.every(round, [this] { tick(); });
+    context_.run_every(tick_interval, [this] { tick(); });
 }
 
 void request_service::set_server(ports::http_server server)
@@ -110,8 +111,8 @@
     sender_.settings.claims.key_memory = key_memory;
 }
 
-/// Only requests whose pool has another owner ask anew: the others would lose their place in the
-/// queue.
+/// Only requests whose pool has a new owner request a permit again; the others would lose their
+/// place in the queue.
 void request_service::on_roster()
 {
     sender_.epoch = members_.roster().epoch;
@@ -135,7 +136,8 @@
         const auto it = open_.find(id);
         if (it != open_.end())
         {
-            run(id, dispatch::on_owner_changed(it->second.flow, sender_, context_.scheduler.now()));
+            execute_actions(
+                id, dispatch::on_owner_changed(it->second.flow, sender_, context_.scheduler.now()));
         }
     }
 }
@@ -153,20 +155,20 @@
 void request_service::stop(std::function<void()> done)
 {
     stopping_ = true;
-    stopped_ = std::move(done);
-    end_if_over(0);
+    on_stopped_ = std::move(done);
+    remove_if_ended(0);
 }
 
-void request_service::answer_last(std::function<void()> done)
+void request_service::drain_connections(std::function<void()> done)
 {
-    last_.emplace(context_.scheduler, server_);
-    last_->begin(std::move(done));
+    drainer_.emplace(context_.scheduler, server_);
+    drainer_->begin(std::move(done));
 }
 
 void request_service::refuse(ports::exchange_id exchange, const refusal& why)
 {
     context_.telemetry.count("camphorhitch_refused_total", {{"reason", why.reason}}, 1);
-    server_.respond(exchange, answer_of(why));
+    server_.respond(exchange, make_response(why));
 }
 
 void request_service::on_request(ports::exchange_id exchange, ports::http_request request)
@@ -185,7 +187,7 @@
             exchange, {status_not_found, "no_such_path", "use /call/<service>/<path>", 0, false});
         return;
     }
-    const bool keyed = !key_of(request).empty();
+    const bool keyed = !idempotency_key_of(request).empty();
     if (!ready())
     {
         const char* why = stopping_ ? "stopping" : "not_ready";
@@ -205,19 +207,19 @@
     by_exchange_[exchange] = id;
     r.exchange = exchange;
     r.service = service;
-    r.began = context_.scheduler.now();
+    r.started_at = context_.scheduler.now();
     r.http = std::move(request);
     r.http.path = rest;
-    begin(id, *pool);
+    start_request(id, *pool);
 }
 
-void request_service::begin(request_id id, const model::pool_config& pool)
+void request_service::start_request(request_id id, const model::pool_config& pool)
 {
     auto& r = open_.at(id);
-    auto asked = dispatch::read_caller_request(r.http, pool);
-    if (const auto* wrong = std::get_if<core::findings>(&asked))
+    auto parsed = dispatch::read_caller_request(r.http, pool);
+    if (const auto* findings = std::get_if<core::findings>(&parsed))
     {
-        refuse(r.exchange, {status_bad_request, "bad_request", core::to_text(*wrong), 0, false});
+        refuse(r.exchange, {status_bad_request, "bad_request", core::to_text(*findings), 0, false});
         by_exchange_.erase(r.exchange);
         open_.erase(id);
         return;
@@ -225,12 +227,13 @@
     const auto* parent = ports::find_field(r.http.fields, "traceparent");
     r.span = context_.telemetry.start_span("request", parent == nullptr ? "" : *parent);
     r.span.tag("service", r.service);
-    note(r, "began pool=" + pool.name);
+    record_step(r, "began pool=" + pool.name);
     const auto now = context_.scheduler.now();
-    run(id, dispatch::start_flow(r.flow, sender_, std::get<dispatch::caller_request>(asked), now));
+    execute_actions(
+        id, dispatch::start_flow(r.flow, sender_, std::get<dispatch::caller_request>(parsed), now));
 }
 
-void request_service::run(request_id id, const dispatch::flow_actions& actions)
+void request_service::execute_actions(request_id id, const dispatch::flow_actions& actions)
 {
     for (const auto& action : actions)
     {
@@ -239,18 +242,18 @@
             {
                 if (open_.count(id) > 0)
                 {
-                    step(id, it);
+                    execute(id, it);
                 }
             },
             action);
     }
-    end_if_over(id);
+    remove_if_ended(id);
 }
 
-void request_service::step(request_id id, const dispatch::request_claim& it)
+void request_service::execute(request_id id, const dispatch::request_claim& it)
 {
-    note(open_.at(id), "asks claim key=" + it.message.key);
-    claims_.ask(it.message,
+    record_step(open_.at(id), "asks claim key=" + it.message.key);
+    claims_.request_claim(it.message,
         [this, id](ports::peer_status status, const ports::claim_reply& reply)
         {
             const auto found = open_.find(id);
@@ -258,31 +261,33 @@
             {
                 return;
             }
-            note(found->second, "claim verdict=" + std::to_string(static_cast<int>(reply.verdict)));
-            run(id,
+            record_step(
+                found->second, "claim verdict=" + std::to_string(static_cast<int>(reply.verdict)));
+            execute_actions(id,
                 dispatch::on_claim(
                     found->second.flow, sender_, status, reply, context_.scheduler.now()));
         });
 }
 
-void request_service::step(request_id id, const dispatch::request_permit& it)
+void request_service::execute(request_id id, const dispatch::request_permit& it)
 {
-    note(open_.at(id), "asks permit pool=" + it.message.pool);
-    permits_.ask(it.message,
+    record_step(open_.at(id), "asks permit pool=" + it.message.pool);
+    permits_.request_permit(it.message,
         [this, id, ask = it.message.request, pool = it.message.pool](
             ports::peer_status status, const ports::permit_reply& reply)
         {
             const auto found = open_.find(id);
             if (found == open_.end())
             {
-                // The flow gave the ask up before the answer came; its return names the ask, which
-                // is enough for the owner.
+                // The flow abandoned the permit request before the answer arrived. The flow's
+                // return message names the permit request, which is sufficient for the owner.
                 return;
             }
-            note(found->second, "permit host=" + reply.host + " rule=" + reply.reason);
-            // Asked just before the send: after a pause between the two the old answer is void.
+            record_step(found->second, "permit host=" + reply.host + " rule=" + reply.reason);
+            // Freshness is checked right before the send: a permit that arrives after a pause of
+            // this process must not be used unless the member is still fresh.
             const bool fresh = members_.fresh();
-            run(id,
+            execute_actions(id,
                 dispatch::on_permit(found->second.flow,
                     sender_,
                     ask,
@@ -293,10 +298,10 @@
         });
 }
 
-void request_service::step(request_id id, const dispatch::send_request& it)
+void request_service::execute(request_id id, const dispatch::send_request& it)
 {
     auto& r = open_.at(id);
-    note(r, "sends host=" + it.host + " address=" + it.address);
+    record_step(r, "sends host=" + it.host + " address=" + it.address);
     ports::http_call call;
     call.address = it.address;
     call.request = r.http;
@@ -324,17 +329,18 @@
     }
     auto& r = found->second;
     r.call = 0;
-    note(r, "send ended status=" + std::to_string(outcome.response.status) + " " + outcome.detail);
+    record_step(
+        r, "send ended status=" + std::to_string(outcome.response.status) + " " + outcome.detail);
     r.send_span.tag("status", std::to_string(outcome.response.status));
     r.send_span.finish();
     context_.telemetry.count(
         "camphorhitch_sends_total", {{"connection", outcome.new_connection ? "new" : "kept"}}, 1);
     auto cleaned = outcome;
     cleaned.response.fields = without_hop_fields(outcome.response.fields);
-    run(id, dispatch::on_outcome(r.flow, sender_, cleaned, context_.scheduler.now()));
+    execute_actions(id, dispatch::on_outcome(r.flow, sender_, cleaned, context_.scheduler.now()));
 }
 
-void request_service::step(request_id id, const dispatch::cancel_send& /*it*/)
+void request_service::execute(request_id id, const dispatch::cancel_send& /*it*/)
 {
     auto& r = open_.at(id);
     if (r.call != 0)
@@ -345,38 +351,38 @@
     }
 }
 
-void request_service::step(request_id /*id*/, const dispatch::return_permit& it)
+void request_service::execute(request_id /*id*/, const dispatch::return_permit& it)
 {
-    permits_.give_back(it.message);
+    permits_.return_permit(it.message);
 }
 
-void request_service::step(request_id id, const dispatch::finish_claim& it)
+void request_service::execute(request_id id, const dispatch::finish_claim& it)
 {
-    claims_.finish(it.message,
+    claims_.finish_claim(it.message,
         [this, id](ports::peer_status status, const ports::ack& ack)
         {
             const auto found = open_.find(id);
             if (found != open_.end())
             {
-                run(id,
+                execute_actions(id,
                     dispatch::on_finish_ack(
                         found->second.flow, sender_, status, ack, context_.scheduler.now()));
             }
         });
 }
 
-void request_service::step(request_id id, const dispatch::answer_caller& it)
+void request_service::execute(request_id id, const dispatch::answer_caller& it)
 {
     auto& r = open_.at(id);
     const auto outcome = std::string(core::name_of(dispatch::caller_outcome_names, it.outcome));
-    const std::chrono::duration<double> took = context_.scheduler.now() - r.began;
+    const std::chrono::duration<double> took = context_.scheduler.now() - r.started_at;
     const auto klass =
         std::string(core::name_of(dispatch::request_class_names, r.flow.request.klass));
     context_.telemetry.count("camphorhitch_requests_total",
         {{"service", r.service}, {"class", klass}, {"outcome", outcome}},
         1);
     context_.telemetry.observe("camphorhitch_request_seconds", {{"class", klass}}, took.count());
-    note(r, "answers outcome=" + outcome + " rule=" + it.reason);
+    record_step(r, "answers outcome=" + outcome + " rule=" + it.reason);
     r.span.tag("outcome", outcome);
     r.span.tag("rule", it.reason);
     r.span.finish();
@@ -384,13 +390,14 @@
     server_.respond(r.exchange, it.response);
 }
 
-void request_service::note(open_request& r, std::string text)
+void request_service::record_step(open_request& r, std::string text)
 {
-    const auto ms = std::chrono::duration_cast<core::micros>(context_.scheduler.now() - r.began);
+    const auto ms =
+        std::chrono::duration_cast<core::micros>(context_.scheduler.now() - r.started_at);
     r.steps.push_back("+" + std::to_string(ms.count()) + "us " + std::move(text));
 }
 
-void request_service::end_if_over(request_id id)
+void request_service::remove_if_ended(request_id id)
 {
     const auto it = open_.find(id);
     if (it != open_.end() && dispatch::has_ended(it->second.flow))
@@ -398,20 +405,21 @@
         auto& r = it->second;
         by_exchange_.erase(r.exchange);
         const auto* own = ports::find_field(r.http.fields, "Request-Id");
-        ended_.push_back({own == nullptr ? "" : *own, key_of(r.http), std::move(r.steps)});
+        ended_.push_back(
+            {own == nullptr ? "" : *own, idempotency_key_of(r.http), std::move(r.steps)});
         open_.erase(it);
-        if (ended_.size() > remembered_ends)
+        if (ended_.size() > max_recorded_requests)
         {
             ended_.pop_front();
         }
     }
-    if (stopping_ && open_.empty() && stopped_)
+    if (stopping_ && open_.empty() && on_stopped_)
     {
-        std::exchange(stopped_, nullptr)();
+        std::exchange(on_stopped_, nullptr)();
     }
 }
 
-void request_service::on_gone(ports::exchange_id exchange)
+void request_service::on_disconnected(ports::exchange_id exchange)
 {
     const auto it = by_exchange_.find(exchange);
     if (it == by_exchange_.end())
@@ -419,11 +427,12 @@
         return;
     }
     const auto id = it->second;
-    note(open_.at(id), "caller went away");
-    run(id, dispatch::on_caller_disconnected(open_.at(id).flow, sender_, context_.scheduler.now()));
+    record_step(open_.at(id), "caller went away");
+    execute_actions(
+        id, dispatch::on_caller_disconnected(open_.at(id).flow, sender_, context_.scheduler.now()));
 }
 
-ports::held_reply request_service::held(const ports::held_query& query)
+ports::held_reply request_service::held_permits(const ports::held_query& query)
 {
     ports::held_reply reply;
     reply.epoch = members_.roster().epoch;
@@ -431,7 +440,7 @@
     reply.incarnation = context_.self.incarnation;
     if (reply.epoch < query.epoch)
     {
-        return reply; // the owner asks again once this member has adopted its epoch
+        return reply; // the owner queries again until this member has adopted its epoch
     }
     dispatch::on_held_query(sender_, query);
     for (const auto& [id, r] : open_)
@@ -463,7 +472,7 @@
         const auto it = open_.find(id);
         if (it != open_.end())
         {
-            run(id, dispatch::on_timer(it->second.flow, sender_, now));
+            execute_actions(id, dispatch::on_timer(it->second.flow, sender_, now));
         }
     }
 }
--- a/programs/camphorhitchd/src/operator_parts.hpp
+++ b/programs/camphorhitchd/src/service_refs.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The services that operators' requests look at and act through.
+/// References to the services that operators' statements read and change.
 #pragma once
 
 #include "claim_service.hpp"
@@ -15,7 +15,8 @@
 namespace camphorhitch::daemon
 {
 
-struct operator_parts
+/// References to a daemon's services.
+struct service_refs
 {
     membership_service& members;
     config_service& config;
@@ -28,13 +29,13 @@
     experiment_service& experiments;
 };
 
-/// What became of one statement or change, as operators' clients read it.
+/// Result of one statement or change, as operators' clients receive it.
 struct statement_result
 {
     bool ok = true;
-    core::error_code code = core::error_code::invalid; ///< when not ok
-    std::string text;                                  ///< for people, ends with a newline
-    std::string json = "null";                         ///< the same as data
+    core::error_code code = core::error_code::invalid; ///< valid only when not ok
+    std::string text;          ///< message for operators; ends with a newline
+    std::string json = "null"; ///< the same result as JSON
 };
 
 } // namespace camphorhitch::daemon
--- a/programs/camphorhitchd/src/services.cpp
+++ b/programs/camphorhitchd/src/services.cpp
@@ -11,9 +11,10 @@
 namespace
 {
 
-constexpr core::millis permit_slack{5000}; ///< from a claim's grant to the ask for a permit
+constexpr core::millis permit_slack{
+    5000}; ///< allowance for the time from a claim's grant to the permit request
 
-/// The daemon's settings of claims with what the operators' configuration says of them.
+/// Combines the daemon's claim settings with those of the operators' configuration.
 claims::claim_settings claim_settings_for(claims::claim_settings out, const model::configuration& c)
 {
     out.key_memory = c.key_memory;
@@ -23,7 +24,8 @@
     {
         out.max_request_time = std::max(out.max_request_time, pool.long_running.longest);
     }
-    // A grant must outlast the wait for a permit, or requests that wait long would never be sent.
+    // A claim's grant must outlast the wait for a permit; otherwise requests with a long wait would
+    // never be sent.
     out.permit_ttl = out.max_request_time + permit_slack;
     return out;
 }
@@ -63,15 +65,15 @@
     intake = std::make_unique<job_intake>(ctx, *fleet, settings.jobs);
     experiments = std::make_unique<experiment_service>(ctx, *members, *fleet, *jobs);
     operators = std::make_unique<operator_service>(ctx,
-        operator_parts{
+        service_refs{
             *members, *config, *permits, *claims, *requests, *fleet, *jobs, *intake, *experiments},
         settings.operator_token,
         settings.metrics);
     stopping = std::make_unique<stop_sequence>(ctx, *members, *claims, *requests);
     handlers_ = make_handlers();
-    permits->set_held([this](const ports::held_query& it) { return requests->held(it); });
+    permits->set_held([this](const ports::held_query& it) { return requests->held_permits(it); });
     config->set_listener([this](const model::configuration& it) { on_config(it); });
-    fleet->set_jobs({[this](const std::string& pool, const std::string& host)
+    fleet->set_job_hooks({[this](const std::string& pool, const std::string& host)
         { return jobs->tasks_on(pool, host); },
         [this](const std::string& pool, const std::string& host, core::millis left)
         {
@@ -91,7 +93,7 @@
     ports::peer_handlers h;
     h.beat = [this](const auto& it, const auto& reply)
     {
-        reply(members->on_beat(it));
+        reply(members->on_heartbeat(it));
     };
     h.request_permit = [this](const auto& it, const auto& reply)
     {
@@ -104,7 +106,7 @@
     };
     h.query_held = [this](const auto& it, const auto& reply)
     {
-        reply(requests->held(it));
+        reply(requests->held_permits(it));
     };
     h.claim = [this](const auto& it, const auto& reply)
     {
@@ -135,7 +137,7 @@
         { requests->on_request(id, std::move(r)); },
         [this](ports::exchange_id id)
         {
-            requests->on_gone(id);
+            requests->on_disconnected(id);
         }};
 }
 
@@ -145,7 +147,7 @@
         { operators->on_request(id, std::move(r)); },
         [this](ports::exchange_id id)
         {
-            operators->on_gone(id);
+            operators->on_disconnected(id);
         }};
 }
 
@@ -178,9 +180,9 @@
 
 void services::on_config(const model::configuration& c)
 {
-    const auto held = claim_settings_for(settings.claims, c);
-    claims->on_settings(held);
-    requests->on_claim_settings(held.permit_ttl, held.key_memory);
+    const auto claim_config = claim_settings_for(settings.claims, c);
+    claims->on_settings(claim_config);
+    requests->on_claim_settings(claim_config.permit_ttl, claim_config.key_memory);
     fleet->on_config(c);
     requests->on_config(c);
     permits->on_config(c);
--- a/programs/camphorhitchd/src/services.hpp
+++ b/programs/camphorhitchd/src/services.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// All services of one daemon over its ports, and what they tell one another. No adapter is named
-/// here, so that tests run a whole daemon on fakes and virtual time.
+/// All services of one daemon and their connections. The services depend only on ports, not on
+/// adapters, so that tests can run a whole daemon on fakes and virtual time.
 #pragma once
 
 #include "claim_service.hpp"
@@ -23,6 +23,7 @@
 namespace camphorhitch::daemon
 {
 
+/// Settings of all services.
 struct service_settings
 {
     membership::freshness_settings freshness;
@@ -31,21 +32,25 @@
     claims::claim_settings claims;
     jobs::settings jobs;
     std::string operator_token;
-    std::function<std::string()> metrics; ///< renders them as Prometheus text
+    std::function<std::string()> metrics; ///< renders all metrics as Prometheus text
 };
 
+/// The services of one daemon.
 struct services
 {
-    /// \param c its ports are set; the mirror of the documents is made here.
+    /// \param c context with its ports set; the constructor creates the mirror of the documents.
     services(context& c, service_settings s);
     ~services();
     services(const services&) = delete;
     services& operator=(const services&) = delete;
 
-    /// \return what answers peers; good as long as this object.
+    /// \return the handlers of peers' calls; valid as long as this object.
     const ports::peer_handlers& handlers() const;
+    /// \return the handlers of callers' HTTP requests; valid as long as this object.
     ports::http_events caller_events();
+    /// \return the handlers of operators' HTTP requests; valid as long as this object.
     ports::http_events operator_events();
+    /// Starts the mirror and all periodic tasks.
     void start();
 
     context& ctx;
