--- a/programs/camphorhitchd/src/statement_checks.cpp
+++ b/programs/camphorhitchd/src/statement_checks.cpp
@@ -13,10 +13,10 @@
 namespace
 {
 
-/// \return the table's columns alone: whether a field exists does not depend on the rows.
-language::table columns_of(language::table_kind kind, const operator_parts& parts)
+/// \return the table without its rows; whether a field exists does not depend on the rows.
+language::table columns_of(language::table_kind kind, const service_refs& services)
 {
-    auto t = make_table(kind, parts);
+    auto t = make_table(kind, services);
     t.rows.clear();
     return t;
 }
@@ -24,18 +24,18 @@
 template <class Checked>
 core::findings findings_in(const Checked& checked)
 {
-    const auto* wrong = std::get_if<core::findings>(&checked);
-    return wrong == nullptr ? core::findings{} : *wrong;
+    const auto* findings = std::get_if<core::findings>(&checked);
+    return findings == nullptr ? core::findings{} : *findings;
 }
 
 struct checker
 {
-    const operator_parts& parts;
+    const service_refs& services;
     const std::string& document;
 
     core::findings operator()(const language::show_statement& s) const
     {
-        return findings_in(language::evaluate(s, columns_of(s.table, parts), document));
+        return findings_in(language::evaluate(s, columns_of(s.table, services), document));
     }
     core::findings operator()(const language::start_wave_statement& s) const
     {
@@ -57,22 +57,22 @@
 
     core::findings conditions(language::table_kind kind, const language::conditions& where) const
     {
-        return findings_in(language::select_rows(columns_of(kind, parts), where, document));
+        return findings_in(language::select_rows(columns_of(kind, services), where, document));
     }
 };
 
 } // namespace
 
 core::findings check_statements(
-    const language::parse_result& text, const operator_parts& parts, const std::string& document)
+    const language::parse_result& text, const service_refs& services, const std::string& document)
 {
     auto all = text.findings;
-    // Beside a text that can't be read the statements that can be are checked as well, so that
-    // all mistakes come together.
+    // The statements that could be parsed are checked even when others could not, so that all
+    // errors are reported together.
     for (const auto& it : text.statements)
     {
-        const auto wrong = std::visit(checker{parts, document}, it.body);
-        all.insert(all.end(), wrong.begin(), wrong.end());
+        const auto findings = std::visit(checker{services, document}, it.body);
+        all.insert(all.end(), findings.begin(), findings.end());
     }
     std::stable_sort(all.begin(),
         all.end(),
@@ -97,15 +97,16 @@
     object.erase("pool");
     const nlohmann::json list = {{"jobs", {object}}};
     auto decoded = jobs::decode_submissions(list.dump(), document);
-    if (auto* wrong = std::get_if<core::findings>(&decoded))
+    if (auto* findings = std::get_if<core::findings>(&decoded))
     {
-        // The places in the list made here are not the text's: the statement's is.
-        for (auto& it : *wrong)
+        // Positions in this generated list do not exist in the text, so findings get the
+        // statement's position.
+        for (auto& it : *findings)
         {
             it.where.line = s.at.line;
             it.where.column = s.at.column;
         }
-        return std::move(*wrong);
+        return std::move(*findings);
     }
     out.job = std::move(std::get<std::vector<jobs::submission>>(decoded).front());
     return out;
--- a/programs/camphorhitchd/src/statement_checks.hpp
+++ b/programs/camphorhitchd/src/statement_checks.hpp
@@ -1,31 +1,31 @@
 /// \file
-/// Finds the mistakes of a whole text before any of its statements is run.
+/// Checks all statements of a text before any of them runs.
 #pragma once
 
 #include "core/findings.hpp"
 #include "language/parse.hpp"
-#include "operator_parts.hpp"
+#include "service_refs.hpp"
 
 #include <string>
 
 namespace camphorhitch::daemon
 {
 
-/// \param document the text's name in findings.
-/// \return what the parser found, and what is wrong with statements whatever the fleet's state:
-///     fields, kinds of values, and what a job lacks. A name that nothing bears is found when its
-///     statement's turn comes.
+/// \param document name of the text in findings.
+/// \return the parser's findings, and the errors that do not depend on the fleet's state: unknown
+/// fields, wrong kinds of values, and missing parts of a job. An unknown name is reported when its
+/// statement runs.
 core::findings check_statements(
-    const language::parse_result& text, const operator_parts& parts, const std::string& document);
+    const language::parse_result& text, const service_refs& services, const std::string& document);
 
-/// A job as a statement submits it.
+/// A job that a statement submits, and its pool.
 struct named_submission
 {
     std::string pool;
     jobs::submission job;
 };
 
-/// \return the job that the statement submits, or what is wrong with it.
+/// \return the job that the statement submits, or the findings about it.
 std::variant<named_submission, core::findings> read_submission(
     const language::submit_job_statement& s, const std::string& document);
 
--- a/programs/camphorhitchd/src/statement_results.cpp
+++ b/programs/camphorhitchd/src/statement_results.cpp
@@ -6,12 +6,12 @@
 namespace camphorhitch::daemon
 {
 
-statement_result good(const std::string& text)
+statement_result success_result(const std::string& text)
 {
     return {true, {}, text, nlohmann::json(text).dump()};
 }
 
-statement_result bad(core::error_code code, std::string text)
+statement_result error_result(core::error_code code, std::string text)
 {
     if (text.empty() || text.back() != '\n')
     {
@@ -20,9 +20,9 @@
     return {false, code, std::move(text), "null"};
 }
 
-statement_result bad(const core::findings& all)
+statement_result error_result(const core::findings& all)
 {
-    return bad(core::error_code::invalid, core::to_text(all));
+    return error_result(core::error_code::invalid, core::to_text(all));
 }
 
 } // namespace camphorhitch::daemon
--- a/programs/camphorhitchd/src/statement_runner.cpp
+++ b/programs/camphorhitchd/src/statement_runner.cpp
@@ -26,7 +26,7 @@
     return command + "/" + std::to_string(index);
 }
 
-core::error not_read(const std::string& key, const core::findings& why)
+core::error unreadable_document(const std::string& key, const core::findings& why)
 {
     return {core::error_code::unavailable, key + ": " + core::to_text(why)};
 }
@@ -42,7 +42,8 @@
     callback done;
 };
 
-statement_runner::statement_runner(context& c, operator_parts parts) : context_(c), parts_(parts)
+statement_runner::statement_runner(context& c, service_refs services)
+    : context_(c), services_(services)
 {
 }
 
@@ -52,15 +53,15 @@
     w->batch = batch;
     w->parsed = language::parse(batch.text, batch.name);
     w->done = std::move(done);
-    if (const auto wrong = check_statements(w->parsed, parts_, batch.name); !wrong.empty())
+    if (const auto findings = check_statements(w->parsed, services_, batch.name); !findings.empty())
     {
-        w->done({bad(wrong)});
+        w->done({error_result(findings)});
         return;
     }
-    next(w);
+    run_next(w);
 }
 
-void statement_runner::next(const std::shared_ptr<work>& w)
+void statement_runner::run_next(const std::shared_ptr<work>& w)
 {
     const bool failed = !w->results.empty() && !w->results.back().ok;
     if (failed || w->index == w->parsed.statements.size())
@@ -69,7 +70,7 @@
         return;
     }
     const auto index = w->index++;
-    const place at{w->batch.name, statement_command(w->batch.command, index)};
+    const statement_context at{w->batch.name, statement_command(w->batch.command, index)};
     const auto& what = w->parsed.statements[index].body;
     if (!language::is_query(what))
     {
@@ -85,13 +86,13 @@
                 [this, w](statement_result it)
                 {
                     w->results.push_back(std::move(it));
-                    next(w);
+                    run_next(w);
                 });
         },
         what);
 }
 
-bool statement_runner::settled(const statement_batch& batch) const
+bool statement_runner::is_settled(const statement_batch& batch) const
 {
     const auto parsed = language::parse(batch.text, batch.name);
     for (std::size_t i = 0; i < parsed.statements.size(); ++i)
@@ -99,14 +100,14 @@
         const auto command = statement_command(batch.command, i);
         const auto& what = parsed.statements[i].body;
         if (std::holds_alternative<language::set_statement>(what) &&
-            (!parts_.config.applied(command) ||
-                !parts_.config.in_force_everywhere(parts_.config.current().version)))
+            (!services_.config.is_applied(command) ||
+                !services_.config.in_force_everywhere(services_.config.current().version)))
         {
             return false;
         }
         const bool starts_wave = std::holds_alternative<language::start_wave_statement>(what) ||
                                  std::holds_alternative<language::drain_statement>(what);
-        if (starts_wave && !has_ended(command, parts_.fleet))
+        if (starts_wave && !wave_has_ended(command, services_.fleet))
         {
             return false;
         }
@@ -122,7 +123,7 @@
 {
     if (const auto* moved = std::get_if<language::move_statement>(&what))
     {
-        const auto owner = fleet::owner_of(moved->host.text, parts_.fleet.pools());
+        const auto owner = fleet::owner_of(moved->host.text, services_.fleet.pools());
         return owner.pool == moved->pool.text && !owner.in_transit;
     }
     const auto* drain = std::get_if<language::drain_statement>(&what);
@@ -130,8 +131,8 @@
     {
         return true;
     }
-    const auto owner = fleet::owner_of(drain->scope_name.text, parts_.fleet.pools());
-    const auto* pool = parts_.fleet.find_pool(owner.pool);
+    const auto owner = fleet::owner_of(drain->scope_name.text, services_.fleet.pools());
+    const auto* pool = services_.fleet.find_pool(owner.pool);
     const auto* host =
         pool == nullptr ? nullptr : model::find_host(pool->document, drain->scope_name.text);
     const bool under_way = host != nullptr && host->purpose != model::drain_purpose::none;
@@ -140,12 +141,12 @@
 }
 
 void statement_runner::run_one(
-    const language::show_statement& s, const place& at, const result_callback& done)
+    const language::show_statement& s, const statement_context& at, const result_callback& done)
 {
-    const auto shown = language::evaluate(s, make_table(s.table, parts_), at.document);
-    if (const auto* wrong = std::get_if<core::findings>(&shown))
+    const auto shown = language::evaluate(s, make_table(s.table, services_), at.document);
+    if (const auto* findings = std::get_if<core::findings>(&shown))
     {
-        done(bad(*wrong));
+        done(error_result(*findings));
         return;
     }
     const auto& t = std::get<language::table>(shown);
@@ -153,42 +154,43 @@
 }
 
 void statement_runner::run_one(
-    const language::why_statement& s, const place& /*at*/, result_callback done)
+    const language::why_statement& s, const statement_context& /*at*/, result_callback done)
 {
     if (s.kind == language::subject_kind::request)
     {
-        ask_peers(s, std::move(done));
+        query_peers(s, std::move(done));
         return;
     }
-    const auto text = explain(s.kind, s.id.text, parts_);
+    const auto text = explain(s.kind, s.id.text, services_);
     const auto kind = std::string(core::name_of(language::subject_kind_names, s.kind));
-    done(text ? good(*text)
-              : bad(core::error_code::not_found, "no " + kind + " named " + s.id.text));
+    done(text ? success_result(*text)
+              : error_result(core::error_code::not_found, "no " + kind + " named " + s.id.text));
 }
 
-/// A request's steps are remembered by the entry host that carried it, so all of them are asked.
-void statement_runner::ask_peers(const language::why_statement& s, result_callback done)
+/// The steps of a request are recorded by the entry host that handled it, so all members are
+/// queried.
+void statement_runner::query_peers(const language::why_statement& s, result_callback done)
 {
-    struct gathering
+    struct reply_collector
     {
         std::string text;
-        std::size_t missing = 0;
+        std::size_t pending = 0;
         result_callback done;
     };
-    auto all = std::make_shared<gathering>();
-    all->text = explain(s.kind, s.id.text, parts_).value_or("");
+    auto all = std::make_shared<reply_collector>();
+    all->text = explain(s.kind, s.id.text, services_).value_or("");
     all->done = std::move(done);
     const auto finish = [all, id = s.id.text]
     {
-        all->done(all->text.empty()
-                      ? bad(core::error_code::not_found, "no entry host remembers request " + id)
-                      : good(all->text));
+        all->done(all->text.empty() ? error_result(core::error_code::not_found,
+                                          "no entry host remembers request " + id)
+                                    : success_result(all->text));
     };
-    const auto& members = parts_.members.roster().members;
-    all->missing = static_cast<std::size_t>(std::count_if(members.begin(),
+    const auto& members = services_.members.roster().members;
+    all->pending = static_cast<std::size_t>(std::count_if(members.begin(),
         members.end(),
         [&](const auto& it) { return !membership::same_process(it, context_.self); }));
-    if (all->missing == 0)
+    if (all->pending == 0)
     {
         finish();
         return;
@@ -211,7 +213,7 @@
                         all->text += "  " + line + "\n";
                     }
                 }
-                if (--all->missing == 0)
+                if (--all->pending == 0)
                 {
                     finish();
                 }
@@ -220,54 +222,56 @@
 }
 
 void statement_runner::run_one(
-    const language::set_statement& s, const place& at, result_callback done)
+    const language::set_statement& s, const statement_context& at, result_callback done)
 {
-    if (const auto wrong = language::check(s, at.document); !wrong.empty())
+    if (const auto findings = language::check(s, at.document); !findings.empty())
     {
-        done(bad(wrong));
+        done(error_result(findings));
         return;
     }
-    parts_.config.change(
+    services_.config.change(
         at.command,
         [s, document = at.document](model::configuration& c) -> core::result<core::done>
         {
-            const auto wrong = language::apply(s, c, document);
-            return wrong.empty() ? core::result<core::done>{core::done{}}
-                                 : core::error{core::error_code::invalid, core::to_text(wrong)};
+            const auto findings = language::apply(s, c, document);
+            return findings.empty()
+                       ? core::result<core::done>{core::done{}}
+                       : core::error{core::error_code::invalid, core::to_text(findings)};
         },
         [done = std::move(done)](const core::result<std::int64_t>& end)
         {
             done(core::is_ok(end)
-                     ? good("configuration version " + std::to_string(core::value(end)) + "\n")
-                     : bad(core::failure(end).code, core::failure(end).message));
+                     ? success_result(
+                           "configuration version " + std::to_string(core::value(end)) + "\n")
+                     : error_result(core::failure(end).code, core::failure(end).message));
         });
 }
 
 void statement_runner::change_host(
     const std::string& host, fleet::pool_event event, result_callback done)
 {
-    const auto owner = fleet::owner_of(host, parts_.fleet.pools());
+    const auto owner = fleet::owner_of(host, services_.fleet.pools());
     if (owner.pool.empty())
     {
-        done(bad(core::error_code::not_found, "no host named " + host));
+        done(error_result(core::error_code::not_found, "no host named " + host));
         return;
     }
     const auto note = std::make_shared<std::string>();
     update_document(
-        context_.writer(),
+        context_.document_updater(),
         model::keys::pools + owner.pool,
         [this, event = std::move(event), note, pool = owner.pool](
             const std::string* current) -> change_result
         {
             auto decoded = model::decode_pool(
                 current == nullptr ? "{}" : *current, pool, model::strictness::lenient);
-            if (const auto* wrong = std::get_if<core::findings>(&decoded))
+            if (const auto* findings = std::get_if<core::findings>(&decoded))
             {
-                return not_read(pool, *wrong);
+                return unreadable_document(pool, *findings);
             }
             const auto changed = fleet::change(std::get<model::pool_document>(decoded),
                 event,
-                parts_.config.current(),
+                services_.config.current(),
                 context_.scheduler.wall_now());
             if (!core::is_ok(changed))
             {
@@ -279,18 +283,18 @@
                        : std::optional<std::string>{};
         },
         [note, host, done = std::move(done)](const core::result<core::done>& end)
-        { done(told(end, note->empty() ? "host " + host + ": done\n" : *note + "\n")); });
+        { done(result_of(end, note->empty() ? "host " + host + ": done\n" : *note + "\n")); });
 }
 
 void statement_runner::run_one(
-    const language::move_statement& s, const place& at, result_callback done)
+    const language::move_statement& s, const statement_context& at, result_callback done)
 {
     change_host(
         s.host.text, fleet::move_request{s.host.text, s.pool.text, at.command}, std::move(done));
 }
 
 void statement_runner::run_one(
-    const language::drain_statement& s, const place& at, result_callback done)
+    const language::drain_statement& s, const statement_context& at, result_callback done)
 {
     if (s.leaving && s.scope == language::drain_scope::host)
     {
@@ -301,7 +305,7 @@
     }
     if (s.leaving)
     {
-        done(bad(core::error_code::invalid, "'for leaving' takes one host"));
+        done(error_result(core::error_code::invalid, "'for leaving' takes one host"));
         return;
     }
     if (s.scope == language::drain_scope::host && !s.wave)
@@ -311,72 +315,74 @@
             std::move(done));
         return;
     }
-    start_wave(wish_of(s, at.command), std::move(done));
+    start_wave(make_wave_start_request(s, at.command), std::move(done));
 }
 
 void statement_runner::run_one(
-    const language::start_wave_statement& s, const place& at, result_callback done)
+    const language::start_wave_statement& s, const statement_context& at, result_callback done)
 {
-    fleet::wave_start_request wish{
+    fleet::wave_start_request request{
         s.id.text, {}, s.policy ? s.policy->text : std::string{}, at.command};
     if (!s.where.empty())
     {
-        const auto hosts = make_table(language::table_kind::hosts, parts_);
+        const auto hosts = make_table(language::table_kind::hosts, services_);
         const auto rows = language::select_rows(hosts, s.where, at.document);
-        if (const auto* wrong = std::get_if<core::findings>(&rows))
+        if (const auto* findings = std::get_if<core::findings>(&rows))
         {
-            done(bad(*wrong));
+            done(error_result(*findings));
             return;
         }
         for (const auto n : std::get<std::vector<std::size_t>>(rows))
         {
-            wish.selection.hosts.push_back(std::get<std::string>(hosts.rows[n].front()));
+            request.selection.hosts.push_back(std::get<std::string>(hosts.rows[n].front()));
         }
-        if (wish.selection.hosts.empty())
+        if (request.selection.hosts.empty())
         {
-            done(bad(core::error_code::not_found, "no host matches the conditions"));
+            done(error_result(core::error_code::not_found, "no host matches the conditions"));
             return;
         }
     }
-    start_wave(wish, std::move(done));
+    start_wave(request, std::move(done));
 }
 
-void statement_runner::start_wave(const fleet::wave_start_request& wish, result_callback done)
+void statement_runner::start_wave(const fleet::wave_start_request& request, result_callback done)
 {
     write_wave_start(context_,
-        parts_.fleet,
-        wish,
-        [id = wish.id, done = std::move(done)](const core::result<std::string>& end) {
-            done(told(end, core::is_ok(end) ? "wave " + id + ": " + core::value(end) + "\n" : ""));
+        services_.fleet,
+        request,
+        [id = request.id, done = std::move(done)](const core::result<std::string>& end) {
+            done(result_of(
+                end, core::is_ok(end) ? "wave " + id + ": " + core::value(end) + "\n" : ""));
         });
 }
 
 void statement_runner::run_one(
-    const language::cancel_wave_statement& s, const place& at, result_callback done)
+    const language::cancel_wave_statement& s, const statement_context& at, result_callback done)
 {
     write_wave_change(context_,
-        parts_.fleet,
+        services_.fleet,
         s.id.text,
         wave_verb::cancel,
         at.command,
         [id = s.id.text, done = std::move(done)](const core::result<std::string>& end)
-        { done(told(end, "wave " + id + " cancelled\n")); });
+        { done(result_of(end, "wave " + id + " cancelled\n")); });
 }
 
 void statement_runner::run_one(
-    const language::resume_wave_statement& s, const place& at, result_callback done)
+    const language::resume_wave_statement& s, const statement_context& at, result_callback done)
 {
     write_wave_change(context_,
-        parts_.fleet,
+        services_.fleet,
         s.id.text,
         wave_verb::resume,
         at.command,
         [id = s.id.text, done = std::move(done)](const core::result<std::string>& end)
-        { done(told(end, "wave " + id + " resumed\n")); });
+        { done(result_of(end, "wave " + id + " resumed\n")); });
 }
 
-void statement_runner::run_one(
-    const language::start_experiment_statement& s, const place& at, result_callback done)
+void statement_runner::run_one(const language::start_experiment_statement& s,
+    const statement_context& at,
+    result_callback done)
 {
     constexpr core::millis default_duration{14LL * 24 * 3600 * 1000};
     experiment::start_request request;
@@ -392,38 +398,42 @@
     }
     request.duration = s.duration.value_or(default_duration);
     request.seed = static_cast<std::uint64_t>(s.seed.value_or(1));
-    parts_.experiments.begin(request,
+    services_.experiments.start_experiment(request,
         [done = std::move(done)](const core::result<std::string>& end)
-        { done(told(end, core::is_ok(end) ? core::value(end) : "")); });
+        { done(result_of(end, core::is_ok(end) ? core::value(end) : "")); });
 }
 
 void statement_runner::run_one(
-    const language::stop_experiment_statement& s, const place& at, result_callback done)
+    const language::stop_experiment_statement& s, const statement_context& at, result_callback done)
 {
-    parts_.experiments.stop(s.id.text,
+    services_.experiments.stop_experiment(s.id.text,
         at.command,
-        [this, id = s.id.text, done = std::move(done)](const core::result<core::done>& end) {
-            done(
-                told(end, parts_.experiments.report(id).value_or("experiment " + id + " stops\n")));
+        [this, id = s.id.text, done = std::move(done)](const core::result<core::done>& end)
+        {
+            done(result_of(
+                end, services_.experiments.report(id).value_or("experiment " + id + " stops\n")));
         });
 }
 
-void statement_runner::run_one(
-    const language::cancel_job_statement& s, const place& at, const result_callback& done)
+void statement_runner::run_one(const language::cancel_job_statement& s,
+    const statement_context& at,
+    const result_callback& done)
 {
-    cancel_job(parts_, s, at.command, done);
+    cancel_job(services_, s, at.command, done);
 }
 
-void statement_runner::run_one(
-    const language::cancel_jobs_statement& s, const place& at, const result_callback& done)
+void statement_runner::run_one(const language::cancel_jobs_statement& s,
+    const statement_context& at,
+    const result_callback& done)
 {
-    cancel_jobs(parts_, s, at.document, at.command, done);
+    cancel_jobs(services_, s, at.document, at.command, done);
 }
 
-void statement_runner::run_one(
-    const language::submit_job_statement& s, const place& at, const result_callback& done)
+void statement_runner::run_one(const language::submit_job_statement& s,
+    const statement_context& at,
+    const result_callback& done)
 {
-    submit_job(parts_, s, at.document, done);
+    submit_job(services_, s, at.document, done);
 }
 
 } // namespace camphorhitch::daemon
--- a/programs/camphorhitchd/src/stop_sequence.cpp
+++ b/programs/camphorhitchd/src/stop_sequence.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-constexpr core::millis look_again{50};
-constexpr core::millis lease_patience{1000};
+constexpr core::millis check_interval{50};
+constexpr core::millis lease_revoke_timeout{1000};
 
 } // namespace
 
@@ -21,12 +21,12 @@
 
 void stop_sequence::begin(std::function<void()> ended)
 {
-    if (std::exchange(begun_, true))
+    if (std::exchange(started_, true))
     {
         return;
     }
     ended_ = std::move(ended);
-    context_.scheduler.after(context_.rounds.stop_bound, [this] { finish("bound_passed"); });
+    context_.scheduler.after(context_.timing.max_stop_time, [this] { finish("bound_passed"); });
     requests_.stop([this] { leave(); });
 }
 
@@ -35,44 +35,45 @@
     context_.log(ports::log_level::info, "requests_finished", {});
     if (!members_.in_roster())
     {
-        wait_for_hand_over();
+        wait_for_handover();
         return;
     }
-    members_.leave([this] { wait_for_hand_over(); });
+    members_.leave([this] { wait_for_handover(); });
 }
 
-/// Ending before the new holders have our slots would leave one copy of each of them; the loss of
-/// one more member would then put its keys into quarantine.
-void stop_sequence::wait_for_hand_over()
+/// Waits until the new holders have a copy of this member's slots. An earlier end would leave one
+/// copy of each slot, and the loss of one more member would then put the slot's keys into
+/// quarantine.
+void stop_sequence::wait_for_handover()
 {
-    if (over_)
+    if (finished_)
     {
         return;
     }
-    if (claims_.handed_over())
+    if (claims_.handover_complete())
     {
         finish("handed_over");
         return;
     }
-    context_.scheduler.after(look_again, [this] { wait_for_hand_over(); });
+    context_.scheduler.after(check_interval, [this] { wait_for_handover(); });
 }
 
 void stop_sequence::finish(const char* why)
 {
-    if (std::exchange(over_, true))
+    if (std::exchange(finished_, true))
     {
         return;
     }
     context_.log(ports::log_level::info, "stop_ended", {{"why", why}});
-    context_.scheduler.after(lease_patience, [this] { answer_last(); });
-    members_.give_up_lease([this] { answer_last(); });
+    context_.scheduler.after(lease_revoke_timeout, [this] { drain_connections(); });
+    members_.revoke_own_lease([this] { drain_connections(); });
 }
 
-void stop_sequence::answer_last()
+void stop_sequence::drain_connections()
 {
-    if (!std::exchange(answering_, true))
+    if (!std::exchange(draining_connections_, true))
     {
-        requests_.answer_last([this] { std::exchange(ended_, [] {})(); });
+        requests_.drain_connections([this] { std::exchange(ended_, [] {})(); });
     }
 }
 
--- a/programs/camphorhitchd/src/stop_sequence.hpp
+++ b/programs/camphorhitchd/src/stop_sequence.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// A graceful stop: refuse new requests, finish those in flight, leave the roster, hand over what
-/// is remembered of idempotency keys, give the lease back, answer who is still connected, end. Each
-/// step waits for a condition, and the whole for no longer than its bound.
+/// A graceful stop: refuses new requests, finishes those in flight, leaves the roster, hands over
+/// the records of idempotency keys, revokes the lease, answers callers that are still connected,
+/// and ends. Each step waits for a condition; a bound limits the time until the lease is revoked.
 #pragma once
 
 #include "claim_service.hpp"
@@ -14,29 +14,31 @@
 namespace camphorhitch::daemon
 {
 
+/// Runs the steps of a graceful stop in order.
 class stop_sequence
 {
 public:
     stop_sequence(
         context& c, membership_service& members, claim_service& claims, request_service& requests);
 
-    /// \param ended called once; a second begin changes nothing.
+    /// Starts the stop; a second call has no effect.
+    /// \param ended called once, when the stop is complete.
     void begin(std::function<void()> ended);
 
 private:
     void leave();
-    void wait_for_hand_over();
+    void wait_for_handover();
     void finish(const char* why);
-    void answer_last();
+    void drain_connections();
 
     context& context_;
     membership_service& members_;
     claim_service& claims_;
     request_service& requests_;
     std::function<void()> ended_;
-    bool begun_ = false;
-    bool over_ = false;
-    bool answering_ = false;
+    bool started_ = false;
+    bool finished_ = false;
+    bool draining_connections_ = false;
 };
 
 } // namespace camphorhitch::daemon
--- a/programs/camphorhitchd/src/updater.cpp
+++ b/programs/camphorhitchd/src/updater.cpp
@@ -9,33 +9,34 @@
 namespace
 {
 
-constexpr core::millis pause_after_conflict{20};
+constexpr core::millis conflict_delay{20};
 
 struct running_update : std::enable_shared_from_this<running_update>
 {
-    updater with;
+    updater update;
     std::string key;
     change_function change;
     update_callback finished;
     ports::lease_id lease = 0;
-    int tries = 0;
-    std::string written;             ///< the text of the newest write
-    std::optional<std::string> lost; ///< the text of a write whose answer was lost
+    int attempts = 0;
+    std::string written;                         ///< text of the last write
+    std::optional<std::string> unconfirmed_text; ///< text of a write whose answer was lost
 
-    explicit running_update(const updater& u) : with(u)
+    explicit running_update(const updater& u) : update(u)
     {
     }
 
     void fail(core::error_code code, const std::string& text)
     {
-        const auto truthful =
-            lost && code == core::error_code::unavailable ? core::error_code::unknown_effect : code;
-        finished(core::error{truthful, key + ": " + text});
+        const auto reported_code = unconfirmed_text && code == core::error_code::unavailable
+                                       ? core::error_code::unknown_effect
+                                       : code;
+        finished(core::error{reported_code, key + ": " + text});
     }
 
-    void attempt(const ports::kv_entry* current)
+    void try_update(const ports::kv_entry* current)
     {
-        if (++tries > with.most_tries)
+        if (++attempts > update.max_attempts)
         {
             fail(core::error_code::unavailable, "too many conflicting changes, try again");
             return;
@@ -57,7 +58,7 @@
     void put(std::string text, ports::revision expected)
     {
         written = text;
-        with.store.put_if(key,
+        update.store.put_if(key,
             std::move(text),
             expected,
             lease,
@@ -69,16 +70,16 @@
         switch (reply.status)
         {
         case ports::kv_status::ok:
-            with.documents.note({key, written, reply.modified, lease});
+            update.documents.apply_entry({key, written, reply.modified, lease});
             finished(core::done{});
             return;
         case ports::kv_status::conflict:
             on_conflict(reply.current);
             return;
         case ports::kv_status::unknown:
-            // The write may stand although no answer came. Reading tells: if our very text is
-            // there, it was written. Without this a repeat would have its effect twice.
-            lost = written;
+            // The write may have taken effect although no answer came. If a read returns exactly
+            // this text, it was written. Without this read a repeat would take effect twice.
+            unconfirmed_text = written;
             read_again();
             return;
         case ports::kv_status::unavailable:
@@ -92,20 +93,20 @@
 
     void on_conflict(const ports::kv_entry& current)
     {
-        with.documents.note(current);
-        if (lost && current.value == *lost)
+        update.documents.apply_entry(current);
+        if (unconfirmed_text && current.value == *unconfirmed_text)
         {
             finished(core::done{});
             return;
         }
-        with.scheduler.after(pause_after_conflict,
+        update.scheduler.after(conflict_delay,
             [self = shared_from_this(), entry = current]
-            { self->attempt(entry.key.empty() ? nullptr : &entry); });
+            { self->try_update(entry.key.empty() ? nullptr : &entry); });
     }
 
     void read_again()
     {
-        with.store.get(key,
+        update.store.get(key,
             [self = shared_from_this()](const ports::kv_read& reply) { self->on_read(reply); });
     }
 
@@ -119,14 +120,14 @@
         const ports::kv_entry* current = reply.entries.empty() ? nullptr : &reply.entries.front();
         if (current != nullptr)
         {
-            with.documents.note(*current);
-            if (lost && current->value == *lost)
+            update.documents.apply_entry(*current);
+            if (unconfirmed_text && current->value == *unconfirmed_text)
             {
                 finished(core::done{});
                 return;
             }
         }
-        attempt(current);
+        try_update(current);
     }
 };
 
@@ -143,7 +144,7 @@
     run->change = std::move(change);
     run->finished = std::move(finished);
     run->lease = lease;
-    run->attempt(u.documents.find(run->key));
+    run->try_update(u.documents.find(run->key));
 }
 
 } // namespace camphorhitch::daemon
--- a/programs/camphorhitchd/src/updater.hpp
+++ b/programs/camphorhitchd/src/updater.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Compare-and-swap updates of one document, with lost answers resolved by reading again.
+/// Compare-and-swap updates of one document. After a lost answer the update reads the document to
+/// find out whether the write took effect.
 #pragma once
 
 #include "core/result.hpp"
@@ -13,23 +14,25 @@
 namespace camphorhitch::daemon
 {
 
-/// What a change makes of a document: the new text, or nothing to leave it, or an error.
+/// Result of a change function: the new text, nothing to leave the document unchanged, or an error.
 using change_result = core::result<std::optional<std::string>>;
 
-/// Computes the new text from the current one (nullptr: the document does not exist). It may be
-/// called several times, so it must give a repeat no second effect (by a command's id).
+/// Computes the new text from the current one (nullptr: the document does not exist). The function
+/// may be called several times, so it must ensure that a repeated command takes effect once (by the
+/// command's id).
 using change_function = std::function<change_result(const std::string* current)>;
 
-/// Told once how the update ended. An error of code unknown_effect means the store gave no answer
-/// that tells; nothing else may be claimed then.
+/// Called once with the result of the update. The error code unknown_effect means that the store
+/// gave no answer from which the effect is certain; the caller must then not report another result.
 using update_callback = std::function<void(core::result<core::done>)>;
 
+/// What an update needs: the mirror, the store, a scheduler, and the maximum number of attempts.
 struct updater
 {
     mirror& documents;
     const ports::key_value& store;
     const ports::scheduler& scheduler;
-    int most_tries = 8;
+    int max_attempts = 8;
 };
 
 /// Starts an update of \p key. \p lease is attached to the key when not 0.
--- a/programs/camphorhitchd/src/wave_commands.hpp
+++ b/programs/camphorhitchd/src/wave_commands.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Operators' commands on waves, as writes of their documents.
+/// Operators' commands on waves, executed as writes to the waves' documents.
 #pragma once
 
 #include "context.hpp"
@@ -13,21 +13,27 @@
 namespace camphorhitch::daemon
 {
 
+/// Commands that change an existing wave.
 enum class wave_verb
 {
     cancel,
     resume
 };
 
-/// Told a note for people, or why the command had no effect.
+/// Receives a message for operators, or the reason why the command had no effect.
 using wave_callback = std::function<void(core::result<std::string>)>;
 
-fleet::wave_start_request wish_of(const language::drain_statement& s, const std::string& command);
+/// \return the request for the wave that a drain statement starts. Without a name in the statement,
+/// the wave's id is made from the scope and the command id.
+fleet::wave_start_request make_wave_start_request(
+    const language::drain_statement& s, const std::string& command);
 
+/// Starts a wave; a repeated command takes effect once.
 void write_wave_start(context& c,
     const fleet_service& fleet,
-    const fleet::wave_start_request& wish,
+    const fleet::wave_start_request& request,
     wave_callback done);
+/// Cancels or resumes a wave; a repeated command takes effect once.
 void write_wave_change(context& c,
     const fleet_service& fleet,
     const std::string& id,
@@ -35,7 +41,7 @@
     const std::string& command,
     wave_callback done);
 
-/// \return whether the wave that \p command started is over; true when it started none.
-bool has_ended(const std::string& command, const fleet_service& fleet);
+/// \return whether the wave that \p command started has ended; true when \p command started none.
+bool wave_has_ended(const std::string& command, const fleet_service& fleet);
 
 } // namespace camphorhitch::daemon
--- a/programs/camphorhitchd/src/wire_metrics.hpp
+++ b/programs/camphorhitchd/src/wire_metrics.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// What this process has cost on the wire, as counters of /metrics: calls and bytes to the
-/// key-value service, the peers and the platform.
+/// Counters of this process's network traffic for /metrics: calls and bytes to the key-value
+/// service, the peers and the platform.
 #pragma once
 
 #include "peer/network.hpp"
@@ -15,19 +15,20 @@
 namespace camphorhitch::daemon
 {
 
-/// Brings the adapters' own totals into the telemetry's counters.
+/// Transfers the adapters' totals to the telemetry's counters.
 class wire_metrics
 {
 public:
     explicit wire_metrics(ports::telemetry to);
 
-    /// Counts what came since the last call.
+    /// Adds the increase since the last call to the counters.
     void update(const store::etcd_store& store,
         const peer::counters& peers,
         const platform::counters& platform);
 
 private:
-    void raise(const std::string& name, const ports::metric_labels& labels, std::uint64_t total);
+    void count_increase(
+        const std::string& name, const ports::metric_labels& labels, std::uint64_t total);
 
     ports::telemetry to_;
     std::map<std::pair<std::string, ports::metric_labels>, std::uint64_t> last_;
--- a/programs/camphorhitchd/tests/config_tests.cpp
+++ b/programs/camphorhitchd/tests/config_tests.cpp
@@ -8,16 +8,16 @@
 namespace
 {
 
-constexpr core::millis a_while{15000};
+constexpr core::millis settle_time{15000};
 
 std::int64_t version_at(test_daemon& d)
 {
-    return d.all->config->current().version;
+    return d.daemon_services->config->current().version;
 }
 
 int absent_at(test_daemon& d)
 {
-    return d.all->config->current().pools.front().budget.absent;
+    return d.daemon_services->config->current().pools.front().budget.absent;
 }
 
 } // namespace
@@ -35,37 +35,37 @@
     }
 };
 
-// Version 2 is in force, and from then on whole reads show the time of version 1. A daemon that
-// starts then, and those that read again, must not go back to version 1; the newcomer, which has no
-// version of its own to compare with, must not take a request under it.
-TEST(configuration, never_reverts_by_stale_reads)
+// Version 2 is in force, but a stale replica answers all full reads with the state of version 1.
+// Daemons that read again must not revert to version 1. A daemon that starts now has no version to
+// compare with and must not accept requests under version 1.
+TEST(configuration, stale_reads_never_revert_it)
 {
     fleet.store.freeze_ranges();
     const auto set = fleet.execute(fleet.at(0), "set pool quotes budget.absent = 2", "second");
     STRCMP_EQUAL("configuration version 2\n", set.text.c_str());
-    fleet.run_for(a_while);
+    fleet.run_for(settle_time);
     fleet.store.end_watches();
-    fleet.at(1).all->documents->refresh();
+    fleet.at(1).daemon_services->documents->refresh();
     auto& newcomer = fleet.add("e4", "e4-first");
-    const auto took_under_the_old = [&]
+    const auto serves_with_old_version = [&]
     {
-        return newcomer.all->requests->ready() && version_at(newcomer) < 2;
+        return newcomer.daemon_services->requests->ready() && version_at(newcomer) < 2;
     };
-    CHECK_FALSE(fleet.run_until(took_under_the_old, a_while));
+    CHECK_FALSE(fleet.run_until(serves_with_old_version, settle_time));
     for (std::size_t i = 0; i < 3; ++i)
     {
         LONGS_EQUAL(2, version_at(fleet.at(i)));
     }
     fleet.store.thaw_ranges();
-    CHECK_FALSE(fleet.run_until(took_under_the_old, a_while));
+    CHECK_FALSE(fleet.run_until(serves_with_old_version, settle_time));
     LONGS_EQUAL(2, version_at(newcomer));
-    CHECK(newcomer.all->requests->ready());
+    CHECK(newcomer.daemon_services->requests->ready());
 }
 
-// Two operators change the configuration through two daemons at the same instant. One write meets
-// the other: changes of different settings both stand, and a whole file meant for the version that
-// is no longer there gets a conflict.
-TEST(configuration, two_operators_at_once)
+// Two operators change the configuration through two daemons at the same instant, so their writes
+// conflict. Both changes must take effect, and a setup file for a version that is no longer in
+// force must be answered with a conflict.
+TEST(configuration, concurrent_changes_by_two_operators)
 {
     struct row
     {
@@ -90,9 +90,9 @@
             r.body = std::string(R"({"command": "c)") + std::to_string(++n) + R"(", "text": ")" +
                      text + "\"}";
             auto& d = fleet.at(daemon++);
-            asked.push_back(d.operators.send(d.process, d.all->operator_events(), r));
+            asked.push_back(d.operators.send(d.process, d.daemon_services->operator_events(), r));
         }
-        fleet.run_for(a_while);
+        fleet.run_for(settle_time);
         CHECK(fleet.at(0).operators.find(asked[0]) != nullptr);
         CHECK(fleet.at(1).operators.find(asked[1]) != nullptr);
         for (std::size_t i = 0; i < 3; ++i)
@@ -107,16 +107,17 @@
         "conflict: the file is for version 1, but version 5 is in force\n", late.text.c_str());
 }
 
-// The answer to a command is lost on its way to the operator, who repeats it through another
-// daemon. The repeat is told the version, and changes nothing; not even after another change.
-TEST(configuration, a_commands_repeat_has_one_effect)
+// The answer to a command is lost on its way to the operator, who repeats the command through
+// another daemon. The repeat is answered with the version and must change nothing, even after
+// another change.
+TEST(configuration, a_repeated_command_takes_effect_once)
 {
     const auto* text = "set pool quotes budget.absent = 2";
     CHECK(fleet.execute(fleet.at(0), text, "same").answered);
     fleet.execute(fleet.at(1), "set pool quotes budget.absent = 3", "other");
     const auto again = fleet.execute(fleet.at(2), text, "same");
     STRCMP_EQUAL("configuration version 3\n", again.text.c_str());
-    fleet.run_for(a_while);
+    fleet.run_for(settle_time);
     LONGS_EQUAL(3, version_at(fleet.at(2)));
     LONGS_EQUAL(3, absent_at(fleet.at(2)));
 }
--- a/programs/camphorhitchd/tests/last_answers_tests.cpp
+++ b/programs/camphorhitchd/tests/connection_drainer_tests.cpp
@@ -1,4 +1,4 @@
-#include "last_answers.hpp"
+#include "connection_drainer.hpp"
 
 #include <deque>
 
@@ -7,7 +7,7 @@
 using namespace camphorhitch;
 using namespace camphorhitch::daemon;
 
-TEST_GROUP(last_answers)
+TEST_GROUP(connection_drainer)
 {
     std::deque<std::function<void()>> timers;
     ports::scheduler scheduler;
@@ -41,12 +41,12 @@
     }
 };
 
-// A caller connected just before the process ends: its request comes some milliseconds later and is
-// answered before the end.
-TEST(last_answers, the_end_waits_for_requests_on_their_way_and_for_their_answers)
+// A caller connects just before the process ends. Its request arrives some milliseconds later and
+// must be answered before the process ends.
+TEST(connection_drainer, waits_for_requests_on_their_way_and_for_their_answers)
 {
-    daemon::last_answers last(scheduler, server);
-    last.begin([this] { ++ends; });
+    daemon::connection_drainer drainer(scheduler, server);
+    drainer.begin([this] { ++ends; });
     LONGS_EQUAL(1, stops);
     LONGS_EQUAL(0, ends);
     run_timer();
@@ -62,10 +62,10 @@
     LONGS_EQUAL(1, ends);
 }
 
-TEST(last_answers, a_request_that_never_ends_does_not_hold_the_end_up_for_ever)
+TEST(connection_drainer, a_request_that_never_ends_does_not_block_the_stop)
 {
-    daemon::last_answers last(scheduler, server);
-    last.begin([this] { ++ends; });
+    daemon::connection_drainer drainer(scheduler, server);
+    drainer.begin([this] { ++ends; });
     open = 1;
     while (!timers.empty())
     {
--- a/programs/camphorhitchd/tests/failure_tests.cpp
+++ b/programs/camphorhitchd/tests/failure_tests.cpp
@@ -10,14 +10,15 @@
 {
 
 constexpr core::millis answer_bound{15000};
-/// Freshness, margin and a few rounds: nobody acts under an older roster any more.
-constexpr core::millis take_over_bound{30000};
+/// Covers freshness time, margin and a few rounds, after which no process acts under an older
+/// roster.
+constexpr core::millis takeover_bound{30000};
 
-/// \param viewer whose roster tells.
+/// \param viewer index of the daemon whose roster is used.
 std::size_t owner_of_quotes(test_fleet& fleet, std::size_t viewer)
 {
     const auto* owner =
-        membership::owner_of_pool(fleet.at(viewer).all->members->roster(), "quotes");
+        membership::owner_of_pool(fleet.at(viewer).daemon_services->members->roster(), "quotes");
     for (std::size_t i = 0; i < fleet.daemons.size(); ++i)
     {
         if (owner != nullptr && fleet.at(i).ctx.self.id == owner->id)
@@ -35,7 +36,7 @@
 {
     test_fleet fleet{3};
     std::size_t owner = 0;
-    std::size_t other = 0; ///< not the owner
+    std::size_t other = 0; ///< a member that is not the owner
     std::size_t third = 0;
 
     void setup() override
@@ -52,20 +53,20 @@
             CHECK(serves_soon(fleet.at(i), "warm"));
         }
     }
-    outcome call(test_daemon & d, const std::string& body, const std::string& key = {})
+    caller_answer call(test_daemon & d, const std::string& body, const std::string& key = {})
     {
         const auto id = test_fleet::request(d, "quotes", body, key);
         fleet.run_until([&] { return d.callers.find(id) != nullptr; }, answer_bound);
-        return outcome_of(d, id);
+        return caller_answer_of(d, id);
     }
     bool serves(test_daemon & d, const std::string& body)
     {
-        return call(d, body).word == "answered";
+        return call(d, body).outcome == "answered";
     }
-    /// \return whether requests get through \p d before the bound.
+    /// \return whether a request through \p d is answered within the bound.
     bool serves_soon(test_daemon & d, const std::string& body)
     {
-        const auto end = fleet.time.now() + take_over_bound;
+        const auto end = fleet.time.now() + takeover_bound;
         int n = 0;
         while (fleet.time.now() < end)
         {
@@ -86,30 +87,31 @@
     }
 };
 
-// The owner of the pool's permits is killed. Callers at the others are refused or wait for a while,
-// then another owns the pool: no target is set aside, and none gets more than its slots.
+// The owner of the pool's permits is killed. Callers at the other members are refused or wait until
+// another member owns the pool. No target may be excluded, and none may get more requests than its
+// slots.
 TEST(failures, owner_killed)
 {
     fleet.at(owner).process.dead = true;
     CHECK(serves_soon(fleet.at(other), "a"));
     CHECK(serves_soon(fleet.at(third), "b"));
     CHECK(owner != owner_of_quotes(fleet, other));
-    LONGS_EQUAL(2, fleet.at(other).all->members->roster().members.size());
+    LONGS_EQUAL(2, fleet.at(other).daemon_services->members->roster().members.size());
     check_slots();
 }
 
-// The owner is paused with a request of a caller of its own in hand, the others replace it, and
-// then it wakes with its old view. It must hold back until it is fresh again: the request may only
-// then be sent, and a target never runs more than its slots.
-TEST(failures, owner_paused_with_an_old_view)
+// The owner is paused while it handles a request of its own caller, the other members replace it,
+// and then it resumes with its old roster. The previous owner must not send the request before it
+// is fresh again, and a target must never run more requests than its slots.
+TEST(failures, owner_paused_with_an_old_roster)
 {
     auto& old = fleet.at(owner);
     const auto id = test_fleet::request(old, "quotes", "held");
     old.process.paused = true;
     CHECK(serves_soon(fleet.at(other), "a"));
-    fleet.run_for(take_over_bound);
-    const auto epoch = fleet.at(other).all->members->roster().epoch;
-    CHECK(old.all->members->roster().epoch < epoch);
+    fleet.run_for(takeover_bound);
+    const auto epoch = fleet.at(other).daemon_services->members->roster().epoch;
+    CHECK(old.daemon_services->members->roster().epoch < epoch);
     std::vector<ports::exchange_id> asked;
     for (int i = 0; i < 40; ++i)
     {
@@ -121,22 +123,23 @@
         test_fleet::request(old, "quotes", "old" + std::to_string(i));
     }
     fleet.time.resume(old.process);
-    CHECK_FALSE(old.all->members->fresh());
+    CHECK_FALSE(old.daemon_services->members->fresh());
     fleet.run_for(answer_bound);
     CHECK(fleet.targets.runs_of("held") <= 1);
-    const auto told = outcome_of(old, id);
-    CHECK(told.word != "not-run" || fleet.targets.runs_of("held") == 0);
+    const auto answer = caller_answer_of(old, id);
+    CHECK(answer.outcome != "not-run" || fleet.targets.runs_of("held") == 0);
     for (const auto it : asked)
     {
-        STRCMP_EQUAL("answered", outcome_of(fleet.at(other), it).word.c_str());
+        STRCMP_EQUAL("answered", caller_answer_of(fleet.at(other), it).outcome.c_str());
     }
     check_slots();
     CHECK(serves_soon(old, "again"));
 }
 
-// The owner loses its peers, not the store: the others take it out of the roster while it is fresh
-// by the store's last word, and so it grants on for a while. Its successor must not grant
-// meanwhile, or a target gets the slots of two owners at once.
+// The owner loses the connection to its peers, but not to the store. The other members remove it
+// from the roster while the store's last confirmation keeps it fresh, so it continues to grant for
+// a while. Its successor must not grant meanwhile, or a target gets the slots of two owners at
+// once.
 TEST(failures, owner_cut_off_from_its_peers)
 {
     for (auto& [address, it] : fleet.targets.all)
@@ -155,14 +158,14 @@
         }
         fleet.run_for(core::millis{100});
     }
-    CHECK_FALSE(old.all->members->in_roster());
+    CHECK_FALSE(old.daemon_services->members->in_roster());
     check_slots();
     CHECK(serves_soon(fleet.at(other), "a"));
 }
 
-// The owner is killed while another member is paused. The new owner can't hear the paused one, and
-// must wait until that one is stale, not for the whole grace of an outage: callers at the others
-// are served again within seconds.
+// The owner is killed while another member is paused. The new owner gets no report from the paused
+// member and must wait until that member is stale, but not for the whole outage grace time: callers
+// at the other members must be served again within seconds.
 TEST(failures, owner_killed_while_another_is_paused)
 {
     fleet.add("e4", "e4-first");
@@ -178,27 +181,28 @@
     check_slots();
 }
 
-// One entry host loses the store while the others keep it: they may change the roster without its
-// knowledge, so it stops by itself and says "not-run"; the others go on. With the store back it
-// serves again.
+// One entry host loses the store while the others still reach it. The others may change the roster
+// without that entry host's knowledge, so it must stop serving and answer "not-run", while the
+// others continue. When it reaches the store again, it serves again.
 TEST(failures, cut_off_from_the_store)
 {
-    auto& lonely = fleet.at(other);
-    lonely.process.store_cut = true;
-    fleet.run_for(take_over_bound);
-    const auto told = call(lonely, "lonely");
-    LONGS_EQUAL(503, told.status);
-    STRCMP_EQUAL("not-run", told.word.c_str());
+    auto& isolated = fleet.at(other);
+    isolated.process.store_cut = true;
+    fleet.run_for(takeover_bound);
+    const auto answer = call(isolated, "lonely");
+    LONGS_EQUAL(503, answer.status);
+    STRCMP_EQUAL("not-run", answer.outcome.c_str());
     LONGS_EQUAL(0, fleet.targets.runs_of("lonely"));
     CHECK(serves_soon(fleet.at(third), "a"));
     CHECK(serves_soon(fleet.at(owner), "b"));
-    lonely.process.store_cut = false;
-    CHECK(serves_soon(lonely, "back"));
+    isolated.process.store_cut = false;
+    CHECK(serves_soon(isolated, "back"));
 }
 
-// A caller's keyed request is in one entry host's hands when that is paused: before it asked for
-// the claim, while it waits, or with the request at the target. The caller repeats it through
-// another. Whatever each is told, the request runs once at most, also when the first wakes.
+// An entry host is paused while it handles a request with a key: before it requests the claim,
+// while it waits for the claim, or while the target runs the request. The caller repeats the
+// request through another entry host. The request must run at most once, also after the first entry
+// host resumes, and no answer may contradict that.
 TEST(failures, keyed_request_repeated_while_its_executor_is_paused)
 {
     int n = 0;
@@ -215,23 +219,24 @@
         fleet.run_for(core::millis{500});
         const auto repeat = call(fleet.at(third), body, key);
         CHECK(repeat.status != 0);
-        CHECK(repeat.word != "answered" || fleet.targets.runs_of(body) == 1);
-        fleet.run_for(take_over_bound);
+        CHECK(repeat.outcome != "answered" || fleet.targets.runs_of(body) == 1);
+        fleet.run_for(takeover_bound);
         const auto late = call(fleet.at(third), body, key);
         CHECK(late.status != 0);
         fleet.time.resume(first.process);
-        fleet.run_for(take_over_bound);
+        fleet.run_for(takeover_bound);
         CHECK(fleet.targets.runs_of(body) <= 1);
-        const auto told = outcome_of(first, id);
-        CHECK(told.word != "answered" || fleet.targets.runs_of(body) == 1);
+        const auto answer = caller_answer_of(first, id);
+        CHECK(answer.outcome != "answered" || fleet.targets.runs_of(body) == 1);
         CHECK(serves_soon(first, "between"));
     }
-    CHECK(sent_before > 0); // some rows pause it with the request at the target,
-    CHECK(sent_before < n); // and some before
+    CHECK(sent_before > 0); // some rows pause the entry host while the target runs the request,
+    CHECK(sent_before < n); // and some before the send
 }
 
-// An entry host is told to stop with a request at the target. The caller in flight gets its answer,
-// a new one is told to go elsewhere, and only then does the process end, out of the roster.
+// An entry host is stopped while a target runs one of its requests. The caller of that request must
+// get its answer and a new caller must be refused with reason "stopping". The process may end only
+// then, after it has left the roster.
 TEST(failures, graceful_stop_with_a_request_in_flight)
 {
     auto& d = fleet.at(other);
@@ -243,19 +248,19 @@
     CHECK(fleet.run_until(
         [&] { return fleet.targets.runs_of("in-flight") == 1; }, core::millis{1000}));
     bool ended = false;
-    d.all->stopping->begin([&] { ended = true; });
+    d.daemon_services->stopping->begin([&] { ended = true; });
     const auto refused = call(d, "late");
-    STRCMP_EQUAL("not-run", refused.word.c_str());
+    STRCMP_EQUAL("not-run", refused.outcome.c_str());
     STRCMP_EQUAL("stopping", refused.reason.c_str());
     CHECK_FALSE(ended);
-    CHECK(fleet.run_until([&] { return ended; }, take_over_bound));
-    STRCMP_EQUAL("answered", outcome_of(d, id).word.c_str());
-    CHECK_FALSE(d.all->members->in_roster());
+    CHECK(fleet.run_until([&] { return ended; }, takeover_bound));
+    STRCMP_EQUAL("answered", caller_answer_of(d, id).outcome.c_str());
+    CHECK_FALSE(d.daemon_services->members->in_roster());
     CHECK(d.log.has("why=handed_over"));
 }
 
-// A host is to be maintained while a request runs on it. Its permit is out, so it stays draining,
-// and is rebooted only after the answer came; the caller notices nothing.
+// A host is drained while a request runs on it. The request holds a permit, so the host must stay
+// draining and may be rebooted only after the answer; the caller must get a normal answer.
 TEST(failures, a_drain_waits_for_a_permit)
 {
     for (auto& [address, it] : fleet.targets.all)
@@ -275,13 +280,14 @@
     fleet.run_for(core::millis{4000});
     CHECK(fleet.platform.hosts[host].up);
     CHECK(d.callers.find(id) == nullptr);
-    CHECK(fleet.run_until([&] { return !fleet.platform.hosts[host].up; }, take_over_bound));
-    STRCMP_EQUAL("answered", outcome_of(d, id).word.c_str());
+    CHECK(fleet.run_until([&] { return !fleet.platform.hosts[host].up; }, takeover_bound));
+    STRCMP_EQUAL("answered", caller_answer_of(d, id).outcome.c_str());
 }
 
-// The key-value service is down for 60 s. Requests go on at every entry host, those with a key
-// too; a change is told to be unavailable, and is not there afterwards.
-TEST(failures, the_service_is_down_for_a_minute)
+// The key-value service is down for 60 s. Every entry host must continue to serve requests, with
+// and without keys. A change must be answered with "unavailable" and must not be in force
+// afterwards.
+TEST(failures, the_store_is_down_for_a_minute)
 {
     fleet.store.set_down(true);
     for (int second = 0; second < 60; ++second)
@@ -289,16 +295,16 @@
         for (std::size_t i = 0; i < 3; ++i)
         {
             const auto n = std::to_string(second) + "-" + std::to_string(i);
-            STRCMP_EQUAL("answered", call(fleet.at(i), "plain" + n).word.c_str());
-            STRCMP_EQUAL("answered", call(fleet.at(i), "keyed" + n, "key" + n).word.c_str());
+            STRCMP_EQUAL("answered", call(fleet.at(i), "plain" + n).outcome.c_str());
+            STRCMP_EQUAL("answered", call(fleet.at(i), "keyed" + n, "key" + n).outcome.c_str());
             LONGS_EQUAL(1, fleet.targets.runs_of("keyed" + n));
         }
         fleet.run_for(core::millis{900});
     }
-    const auto told = fleet.execute(fleet.at(0), "set pool quotes budget.absent = 2", "in-vain");
-    STRNCMP_EQUAL("unavailable: ", told.text.c_str(), 13);
+    const auto answer = fleet.execute(fleet.at(0), "set pool quotes budget.absent = 2", "in-vain");
+    STRNCMP_EQUAL("unavailable: ", answer.text.c_str(), 13);
     fleet.store.set_down(false);
-    fleet.run_for(take_over_bound);
+    fleet.run_for(takeover_bound);
     CHECK(serves(fleet.at(0), "after"));
-    LONGS_EQUAL(1, fleet.at(0).all->config->current().version);
+    LONGS_EQUAL(1, fleet.at(0).daemon_services->config->current().version);
 }
--- a/programs/camphorhitchd/tests/hosted_operators_tests.cpp
+++ b/programs/camphorhitchd/tests/hosted_operators_tests.cpp
@@ -13,10 +13,10 @@
 {
     cluster c;
     hosted::fleet_config config;
-    core::mono_time heard; ///< when the store answered last
+    core::mono_time config_confirmed_at; ///< time of the store's last answer
     ports::http_server server;
     std::optional<ports::http_response> answer;
-    std::unique_ptr<hosted_operators> people;
+    std::unique_ptr<hosted_operators> operators;
     ports::http_events events;
 
     void begin()
@@ -31,18 +31,18 @@
         {
             answer = std::move(it);
         };
-        people = std::make_unique<hosted_operators>(hosted_sources{n.ctx,
-                                                        n.formats,
-                                                        *n.desk,
-                                                        *n.lead,
-                                                        *n.driver,
-                                                        [this] { return &config; },
-                                                        [this]
-                                                        {
-                                                            return heard;
-                                                        }},
+        operators = std::make_unique<hosted_operators>(hosted_sources{n.ctx,
+                                                           n.formats,
+                                                           *n.desk,
+                                                           *n.lead,
+                                                           *n.driver,
+                                                           [this] { return &config; },
+                                                           [this]
+                                                           {
+                                                               return config_confirmed_at;
+                                                           }},
             "secret");
-        events = people->events([this]() -> const ports::http_server& { return server; });
+        events = operators->events([this]() -> const ports::http_server& { return server; });
         CHECK(c.has_leader());
         c.time.run_for(1s);
     }
@@ -103,7 +103,7 @@
     STRCMP_EQUAL("", c.breaches().c_str());
 }
 
-TEST(hosted_operators, what_is_wrong_is_told_with_its_place)
+TEST(hosted_operators, errors_are_reported_with_their_position)
 {
     begin();
     expect(R"(submit job {"id": "a", "queue": "q", "steps": [{"task": 2}]})",
@@ -134,19 +134,19 @@
     expect("show config where setting = version", "ok", "3");
 }
 
-// The store has not answered this node for some time. The configuration that it shows may be an old
-// one, and nothing in it would say so.
+// The store has not answered this node for some time, so the configuration that the node shows may
+// be outdated. Without its age an operator could not see that.
 TEST(hosted_operators, the_configuration_is_shown_with_its_age)
 {
     begin();
-    heard = c.time.now();
+    config_confirmed_at = c.time.now();
     c.time.run_for(4s);
     expect("show config where setting = store_answered", "ok", "4000 ms ago");
 }
 
-// No host has room for the rest of a step. The explanation says so, and the store need not be
-// asked.
-TEST(hosted_operators, waiting_for_room_is_explained)
+// No host has free capacity for the remaining tasks of a step. The explanation must say so without
+// a call to the store.
+TEST(hosted_operators, waiting_for_capacity_is_explained)
 {
     begin();
     c.hosts.behaviour.run_time = 5s;
@@ -157,17 +157,17 @@
     expect("why job a", "ok", "4 wait: none of the 2 hosts of pool p may take one");
 }
 
-// The coordinator's machine is suspended for a minute. Just awake, it has not heard yet that
-// another node has taken over. An operator asks it why a job waits: what it knew a minute ago is
-// told as if it were so now, tasks that run on runners which may be gone, and that it coordinates.
-TEST(hosted_operators, a_coordinator_that_slept_explains_only_what_is_stored)
+// The coordinator's machine is suspended for a minute and resumes before it learns that another
+// node has taken over. An operator asks the node why a job waits. Its state of a minute ago must
+// not be reported as current: the runners of its tasks may be gone, and it no longer coordinates.
+TEST(hosted_operators, a_resumed_coordinator_explains_only_the_stored_state)
 {
-    core::millis asleep{0};
+    core::millis suspended_for{0};
     c.plant = [&](node& n)
     {
         n.ctx.boot_now = [&]
         {
-            return c.time.now() + asleep;
+            return c.time.now() + suspended_for;
         };
     };
     begin();
@@ -175,30 +175,31 @@
     c.put_job(c.make_job("a", 2));
     c.time.run_for(300ms);
     expect("why job a", "ok", "2 on r");
-    asleep = 60s;
+    suspended_for = 60s;
     expect("why job a", "ok", "step 0: 0 of 2 tasks stored as done");
     expect("why job a", "ok", "no node is known here to coordinate");
 }
 
-// The coordinator reads new jobs late. Asked why one waits, it has nothing to tell of it: an answer
-// that names it as the node which knows, and is to be asked, sends operators in a circle.
-TEST(hosted_operators, a_coordinator_that_has_not_read_a_job_says_so)
+// The coordinator reads new jobs late and has no record of a job that an operator asks about. An
+// answer that refers the operator to the coordinating node would refer the operator to this same
+// node.
+TEST(hosted_operators, a_coordinator_reports_that_it_has_not_read_a_job_yet)
 {
-    bool blind = false;
+    bool watch_blocked = false;
     c.plant = [&](node& n)
     {
         n.ctx.store.watch = [&, real = n.ctx.store.watch](
                                 const std::string& prefix, auto after, auto wait, const auto& done)
         {
-            if (!blind || prefix != hosted::job_prefix)
+            if (!watch_blocked || prefix != hosted::job_prefix)
             {
                 real(prefix, after, wait, done);
             }
         };
     };
     begin();
-    blind = true;
-    c.put_job(c.make_job("a", 1)); // ends the watch that waits
+    watch_blocked = true;
+    c.put_job(c.make_job("a", 1)); // completes the pending watch
     c.time.run_for(1s);
     c.put_job(c.make_job("b", 1));
     c.time.run_for(1s);
@@ -217,9 +218,9 @@
     CHECK(c.time.run_until([this] { return c.running() == 0; }, 2s));
 }
 
-// The store is away. Operators are told that nothing was done, or that it may have been; never that
-// there is no such job.
-TEST(hosted_operators, a_store_that_is_away_is_said_so)
+// The store is unavailable. Operators must be told that the command had no effect or may have had
+// one, never that the job does not exist.
+TEST(hosted_operators, an_unavailable_store_is_reported)
 {
     begin();
     c.put_job(c.make_job("a", 2));
--- a/programs/camphorhitchd/tests/random_run_tests.cpp
+++ b/programs/camphorhitchd/tests/random_run_tests.cpp
@@ -18,11 +18,11 @@
 constexpr int hosts = 3;
 constexpr int steps = 400;
 constexpr int seeds = 6;
-constexpr core::millis healing{90000};
+constexpr core::millis recovery_time{90000};
 constexpr core::millis answer_bound{30000};
 
-/// A call that a caller made.
-struct made_call
+/// A call of a caller and whether its answer has been checked.
+struct recorded_call
 {
     test_daemon* daemon = nullptr;
     ports::exchange_id exchange = 0;
@@ -31,7 +31,7 @@
     bool checked = false;
 };
 
-/// Three daemons under callers and faults, all chosen by one seed.
+/// Three daemons with random calls and faults, all derived from one seed.
 class random_run
 {
 public:
@@ -43,7 +43,7 @@
         CHECK(fleet_.wait_serving());
         for (std::size_t i = 0; i < members; ++i)
         {
-            now_[i] = &fleet_.at(i);
+            current_daemons_[i] = &fleet_.at(i);
         }
     }
 
@@ -55,19 +55,19 @@
             fleet_.run_for(core::millis{pick(0, 400)});
             check();
         }
-        heal();
+        recover();
     }
     int answered = 0;
     int keyed_repeats = 0;
 
 private:
-    int pick(int least, int most)
+    int pick(int min, int max)
     {
-        return boost::random::uniform_int_distribution<int>(least, most)(random_);
+        return boost::random::uniform_int_distribution<int>(min, max)(random_);
     }
     test_daemon& any()
     {
-        return *now_[static_cast<std::size_t>(pick(0, members - 1))];
+        return *current_daemons_[static_cast<std::size_t>(pick(0, members - 1))];
     }
 
     void step()
@@ -79,7 +79,7 @@
         }
         else if (what < 85)
         {
-            flip_pause(any());
+            toggle_pause(any());
         }
         else if (what < 88)
         {
@@ -95,8 +95,8 @@
         }
         else if (what < 93)
         {
-            down_ = !down_;
-            fleet_.store.set_down(down_);
+            store_down_ = !store_down_;
+            fleet_.store.set_down(store_down_);
         }
         else if (what < 94)
         {
@@ -116,16 +116,17 @@
         }
     }
 
-    /// A burst of calls, some with keys, some of them repeats through whatever daemon.
+    /// Makes a burst of calls through random daemons: some with keys, and some of those repeats of
+    /// earlier calls.
     void call()
     {
         for (int n = pick(1, 12); n > 0; --n)
         {
             const bool keyed = pick(0, 1) == 1;
-            const bool repeat = keyed && keys_ > 0 && pick(0, 1) == 1;
+            const bool repeat = keyed && keyed_calls_ > 0 && pick(0, 1) == 1;
             keyed_repeats += repeat ? 1 : 0;
-            const int number =
-                repeat ? pick(std::max(1, keys_ - 8), keys_) : (keyed ? ++keys_ : ++plain_);
+            const int number = repeat ? pick(std::max(1, keyed_calls_ - 8), keyed_calls_)
+                                      : (keyed ? ++keyed_calls_ : ++plain_calls_);
             const auto body = (keyed ? "keyed-" : "plain-") + std::to_string(number);
             auto& d = any();
             const auto id =
@@ -134,7 +135,7 @@
         }
     }
 
-    void flip_pause(test_daemon& d)
+    void toggle_pause(test_daemon& d)
     {
         if (d.process.paused)
         {
@@ -149,9 +150,9 @@
 
     void restart(std::size_t i)
     {
-        now_[i]->process.dead = true;
-        const auto member = now_[i]->ctx.self.id;
-        now_[i] = &fleet_.add(member, member + "-" + std::to_string(++restarts_));
+        current_daemons_[i]->process.dead = true;
+        const auto member = current_daemons_[i]->ctx.self.id;
+        current_daemons_[i] = &fleet_.add(member, member + "-" + std::to_string(++restarts_));
     }
 
     void change_targets()
@@ -171,23 +172,25 @@
         }
         for (auto& it : calls_)
         {
-            const auto told = it.checked ? outcome{} : outcome_of(*it.daemon, it.exchange);
-            if (told.status == 0)
+            const auto answer =
+                it.checked ? caller_answer{} : caller_answer_of(*it.daemon, it.exchange);
+            if (answer.status == 0)
             {
                 continue;
             }
             it.checked = true;
             const int runs = fleet_.targets.runs_of(it.body);
-            answered += told.word == "answered" ? 1 : 0;
+            answered += answer.outcome == "answered" ? 1 : 0;
             CHECK_TEXT(runs <= 1, "a call ran twice");
-            CHECK_TEXT(told.word != "answered" || runs == 1, "answered, and never ran");
-            CHECK_TEXT(it.keyed || told.word != "not-run" || runs == 0, "told not-run, and ran");
+            CHECK_TEXT(answer.outcome != "answered" || runs == 1, "answered, but never ran");
+            CHECK_TEXT(
+                it.keyed || answer.outcome != "not-run" || runs == 0, "answered not-run, but ran");
         }
     }
 
     void end_faults()
     {
-        down_ = false;
+        store_down_ = false;
         fleet_.store.set_down(false);
         fleet_.store.answers_to_lose = 0;
         for (auto& [address, it] : fleet_.targets.all)
@@ -195,7 +198,7 @@
             it.silent = false;
             it.run_time = core::millis{20};
         }
-        for (auto* it : now_)
+        for (auto* it : current_daemons_)
         {
             it->process.store_cut = false;
             it->process.peers_cut = false;
@@ -206,32 +209,32 @@
         }
     }
 
-    /// All faults end: all that was asked gets an answer, and everybody serves.
-    void heal()
+    /// Ends all faults. Every call must then have an answer, and every daemon must serve.
+    void recover()
     {
         end_faults();
-        fleet_.run_for(healing);
+        fleet_.run_for(recovery_time);
         check();
         for (const auto& it : calls_)
         {
             CHECK_TEXT(it.checked || it.daemon->process.dead, "a call got no answer");
             CHECK_TEXT(fleet_.targets.runs_of(it.body) <= 1, "a call ran twice");
         }
-        for (auto* it : now_)
+        for (auto* it : current_daemons_)
         {
             const auto id = test_fleet::request(*it, "quotes", "last-" + it->ctx.self.id);
             fleet_.run_until([&] { return it->callers.find(id) != nullptr; }, answer_bound);
-            STRCMP_EQUAL("answered", outcome_of(*it, id).word.c_str());
+            STRCMP_EQUAL("answered", caller_answer_of(*it, id).outcome.c_str());
         }
     }
 
     test_fleet fleet_{members};
     boost::random::mt19937_64 random_;
-    std::array<test_daemon*, members> now_{};
-    std::vector<made_call> calls_;
-    bool down_ = false;
-    int keys_ = 0;
-    int plain_ = 0;
+    std::array<test_daemon*, members> current_daemons_{};
+    std::vector<recorded_call> calls_;
+    bool store_down_ = false;
+    int keyed_calls_ = 0;
+    int plain_calls_ = 0;
     int restarts_ = 0;
 };
 
@@ -239,16 +242,17 @@
 
 TEST_GROUP(random_run){};
 
-// Daemons are paused, cut off, restarted, the service goes down and loses answers, targets fall
-// silent, all in any order, while callers call and repeat. Whatever happens no target runs more
-// than its slots (but for what a sender that was cut off could tell nobody of: the gap that the
-// page on sharing slots tells), no call runs twice, and no answer says what is not so; with the
-// faults over, everybody serves. CAMPHORHITCH_SEED=N runs that seed alone.
-TEST(random_run, promises_hold_under_any_faults)
+// Daemons are paused, disconnected and restarted, the key-value service goes down and loses
+// answers, and targets become unresponsive, all in random order, while callers make and repeat
+// calls. No target may run more requests than its slots (except for requests of a disconnected
+// sender that could not report them to any member: the gap that the design page on sharing slots
+// describes), no call may run twice, and no answer may be false. After the faults, every daemon
+// must serve. CAMPHORHITCH_SEED=N runs only that seed.
+TEST(random_run, invariants_hold_under_random_faults)
 {
-    const auto* wanted = std::getenv("CAMPHORHITCH_SEED");
-    const std::uint64_t first = wanted == nullptr ? 1 : std::strtoull(wanted, nullptr, 10);
-    const std::uint64_t last = wanted == nullptr ? seeds : first;
+    const auto* seed_text = std::getenv("CAMPHORHITCH_SEED");
+    const std::uint64_t first = seed_text == nullptr ? 1 : std::strtoull(seed_text, nullptr, 10);
+    const std::uint64_t last = seed_text == nullptr ? seeds : first;
     int answered = 0;
     int repeats = 0;
     for (std::uint64_t seed = first; seed <= last; ++seed)
@@ -259,6 +263,6 @@
         answered += one.answered;
         repeats += one.keyed_repeats;
     }
-    CHECK_TEXT(wanted != nullptr || answered > seeds * steps / 2, "too few answers to tell");
-    CHECK_TEXT(wanted != nullptr || repeats > seeds, "too few repeats to tell");
+    CHECK_TEXT(seed_text != nullptr || answered > seeds * steps / 2, "too few answers to tell");
+    CHECK_TEXT(seed_text != nullptr || repeats > seeds, "too few repeats to tell");
 }
--- a/programs/camphorhitchd/tests/refusal_tests.cpp
+++ b/programs/camphorhitchd/tests/refusal_tests.cpp
@@ -18,11 +18,12 @@
 
 TEST_GROUP(refusal){};
 
-// A caller's first call with a key ends unknown and ran; its repeat meets an entry host that is
-// stopping. Told "not-run", the caller would take the first call for not run either.
-TEST(refusal, a_request_with_a_key_is_not_told_that_it_never_ran)
+// The first call with a key has run, but ended with outcome unknown. The caller repeats the call
+// through an entry host that is stopping. With the answer "not-run" the caller would conclude that
+// the first call has not run either.
+TEST(refusal, a_request_with_a_key_is_answered_with_outcome_unknown)
 {
-    const auto out = answer_of({503, "stopping", "takes no requests", 1, true});
+    const auto out = make_response({503, "stopping", "takes no requests", 1, true});
     LONGS_EQUAL(503, out.status);
     STRCMP_EQUAL("unknown", field(out, "Camphorhitch-Outcome").c_str());
     STRCMP_EQUAL("not-sent", field(out, "Camphorhitch-Attempt").c_str());
@@ -30,18 +31,18 @@
     STRCMP_EQUAL("1", field(out, "Retry-After").c_str());
 }
 
-TEST(refusal, a_request_without_a_key_was_not_run)
+TEST(refusal, a_request_without_a_key_is_answered_not_run)
 {
-    const auto out = answer_of({404, "no_such_service", "no pool serves x", 0, false});
+    const auto out = make_response({404, "no_such_service", "no pool serves x", 0, false});
     STRCMP_EQUAL("not-run", field(out, "Camphorhitch-Outcome").c_str());
     STRCMP_EQUAL("", field(out, "Camphorhitch-Attempt").c_str());
     STRCMP_EQUAL("", field(out, "Retry-After").c_str());
 }
 
-TEST(refusal, the_key_is_found_whatever_its_case)
+TEST(refusal, the_key_header_is_case_insensitive)
 {
     ports::http_request r;
     r.fields = {{"idempotency-key", "k1"}};
-    STRCMP_EQUAL("k1", key_of(r).c_str());
-    STRCMP_EQUAL("", key_of({}).c_str());
+    STRCMP_EQUAL("k1", idempotency_key_of(r).c_str());
+    STRCMP_EQUAL("", idempotency_key_of({}).c_str());
 }
--- a/programs/camphorhitchd/tests/session_tests.cpp
+++ b/programs/camphorhitchd/tests/session_tests.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr int most_hosts = 13;
+constexpr int max_hosts = 13;
 const char* const pool_names[] = {"quotes", "holds", "deposits", "refunds", "ledger", "alerts"};
 
 std::string pool_config(const std::string& name)
@@ -25,7 +25,7 @@
            R"(", "target": "10.0.0.)" + number + R"(:80"})";
 }
 
-/// Pool quotes with the hosts h1 to h3, and five pools with two hosts each.
+/// A setup file of pool quotes with the hosts h1 to h3, and of five pools with two hosts each.
 std::string fleet_file()
 {
     std::string configs;
@@ -52,7 +52,7 @@
            pools + "]}";
 }
 
-/// One short job, one long, and one that fits no host.
+/// Submissions of a short job, a long job, and a job that fits no host.
 std::string jobs_text()
 {
     return R"({"jobs": [)"
@@ -68,80 +68,81 @@
 {
     s.note("host h3 will not come back from its next reboot");
     fleet.platform.hosts["h3"].returns = false;
-    s.say("start wave spring where pool = quotes");
+    s.execute("start wave spring where pool = quotes");
     s.wait_shown("show waves where phase = halted", "spring");
-    s.say("show waves; show hosts where pool = quotes order by id");
-    s.say("why wave spring; why host h3; why host h2");
+    s.execute("show waves; show hosts where pool = quotes order by id");
+    s.execute("why wave spring; why host h3; why host h2");
     s.note("host h3 is repaired");
     fleet.platform.boot("h3");
-    s.say("resume wave spring");
+    s.execute("resume wave spring");
     s.wait_shown("show waves where phase = done", "spring");
-    s.say("show waves; show hosts where pool = quotes order by id; why wave spring; why host h2");
-    s.say("show jobs order by id; why job nightly-2");
+    s.execute(
+        "show waves; show hosts where pool = quotes order by id; why wave spring; why host h2");
+    s.execute("show jobs order by id; why job nightly-2");
 }
 
 void experiment_with_a_wave(test_fleet& fleet, operator_session& s)
 {
-    s.say("start experiment e1 arms now=steady,then=swift on pool "
-          "quotes,holds,deposits,refunds,ledger,alerts for 1h seed 7");
+    s.execute("start experiment e1 arms now=steady,then=swift on pool "
+              "quotes,holds,deposits,refunds,ledger,alerts for 1h seed 7");
     s.wait_shown("show experiments where state = running", "e1");
-    s.say("show experiments; show pools; set pool quotes policy = swift");
+    s.execute("show experiments; show pools; set pool quotes policy = swift");
     fleet.run_for(core::millis{300000});
-    s.say("start wave summer");
+    s.execute("start wave summer");
     s.wait_shown("show waves where phase = done", "summer");
-    s.say("show waves");
+    s.execute("show waves");
     fleet.run_for(core::millis{300000});
-    s.say("stop experiment e1");
+    s.execute("stop experiment e1");
     s.wait_shown("show experiments where state = ended", "e1");
-    s.say("show experiments; show pools; stop experiment e1");
+    s.execute("show experiments; show pools; stop experiment e1");
 }
 
 void experiment_in_danger(test_fleet& fleet, operator_session& s)
 {
     s.note("host h9 will not come back from its next reboot");
     fleet.platform.hosts["h9"].returns = false;
-    s.say("start experiment e2 arms now=steady,then=swift on pool "
-          "quotes,holds,deposits,refunds,ledger,alerts for 1h seed 8");
+    s.execute("start experiment e2 arms now=steady,then=swift on pool "
+              "quotes,holds,deposits,refunds,ledger,alerts for 1h seed 8");
     s.wait_shown("show experiments where state = running", "e2");
     fleet.run_for(core::millis{120000});
-    s.say("start wave autumn");
+    s.execute("start wave autumn");
     s.wait_shown("show experiments where state = ended", "e2");
-    s.say("stop experiment e2; cancel wave autumn; show waves");
+    s.execute("stop experiment e2; cancel wave autumn; show waves");
 }
 
 std::string operators_day()
 {
     test_fleet fleet(1);
-    add_hosts(fleet, most_hosts);
+    add_hosts(fleet, max_hosts);
     CHECK(fleet.wait_ready());
     operator_session s(fleet, fleet.at(0));
-    s.say("show pools; show hosts; show members");
+    s.execute("show pools; show hosts; show members");
     s.apply("fleet.json", fleet_file());
-    s.say("show config; show policies; show teams");
+    s.execute("show config; show policies; show teams");
     s.wait_shown("show hosts where state = serving", "h13");
-    s.say("show pools; show hosts order by id");
+    s.execute("show pools; show hosts order by id");
     s.submit("quotes", jobs_text());
     s.submit("quotes", jobs_text());
     s.wait_shown("show jobs where state = running", "nightly-2");
-    s.say("show jobs order by id; why job nightly-2; why job huge-1");
+    s.execute("show jobs order by id; why job nightly-2; why job huge-1");
     wave_with_a_failure(fleet, s);
-    s.say("move host h5 to pool quotes");
+    s.execute("move host h5 to pool quotes");
     s.wait_shown("show hosts where pool = quotes and state = serving", "h5");
-    s.say("show hosts where pool = quotes; why host h5");
-    s.say("set pool quotes budget.absent = 2; set policy swift return_timeout = 15s");
-    s.say("show pools; show policies; show config");
+    s.execute("show hosts where pool = quotes; why host h5");
+    s.execute("set pool quotes budget.absent = 2; set policy swift return_timeout = 15s");
+    s.execute("show pools; show policies; show config");
     experiment_with_a_wave(fleet, s);
     experiment_in_danger(fleet, s);
-    s.say("cancel job nightly-2; cancel jobs where team = prints and state = waiting");
+    s.execute("cancel job nightly-2; cancel jobs where team = prints and state = waiting");
     s.wait_shown("show jobs where state = cancelled", "nightly-2");
-    s.say("show jobs order by id; why job nightly-2");
+    s.execute("show jobs order by id; why job nightly-2");
     return s.text();
 }
 
 std::string day_of_mistakes()
 {
     test_fleet fleet(1);
-    add_hosts(fleet, most_hosts);
+    add_hosts(fleet, max_hosts);
     CHECK(fleet.wait_ready());
     operator_session s(fleet, fleet.at(0));
     s.apply("a file that is no JSON", "{");
@@ -192,14 +193,14 @@
     };
     for (const auto* it : mistakes)
     {
-        s.say(it);
+        s.execute(it);
     }
     s.submit("nowhere", jobs_text());
     s.submit("quotes", R"({"jobs": [{"id": "j1"}]})");
     s.submit("quotes",
         R"({"jobs": [{"id": "j1", "team": "print", "class": "normal", "run_time_ms": 1000, )"
         R"("declared": {"processors": 4, "memory_gb": 8}}]})");
-    s.say("show waves; show experiments; show jobs; show config");
+    s.execute("show waves; show experiments; show jobs; show config");
     return s.text();
 }
 
@@ -207,17 +208,17 @@
 
 TEST_GROUP(session){};
 
-TEST(session, an_operators_day_reads_as_on_file)
+TEST(session, an_operators_day_matches_the_golden_transcript)
 {
     STRCMP_EQUAL("", compare_with_golden("operators_day.txt", operators_day()).c_str());
 }
 
-TEST(session, mistakes_are_answered_as_on_file)
+TEST(session, mistakes_match_the_golden_transcript)
 {
     STRCMP_EQUAL("", compare_with_golden("mistakes.txt", day_of_mistakes()).c_str());
 }
 
-TEST(session, a_second_run_is_the_same_byte_for_byte)
+TEST(session, a_second_run_is_byte_identical)
 {
     STRCMP_EQUAL(operators_day().c_str(), operators_day().c_str());
 }
--- a/programs/camphorhitchd/tests/test_fleet.cpp
+++ b/programs/camphorhitchd/tests/test_fleet.cpp
@@ -14,9 +14,9 @@
 
 constexpr std::uint64_t first_seed = 7;
 
-told read_answer(const ports::http_response& r)
+operator_answer read_answer(const ports::http_response& r)
 {
-    told out;
+    operator_answer out;
     out.answered = true;
     out.status = r.status;
     const auto body = json::parse(r.body, nullptr, false);
@@ -71,11 +71,11 @@
     {
         return std::string{};
     };
-    d.all = std::make_unique<services>(d.ctx, std::move(settings));
-    d.all->requests->set_server(d.callers.port());
-    d.all->operators->set_server(d.operators.port());
-    peers.listen(d.ctx.self.address, d.process, d.all->handlers());
-    d.all->start();
+    d.daemon_services = std::make_unique<services>(d.ctx, std::move(settings));
+    d.daemon_services->requests->set_server(d.callers.port());
+    d.daemon_services->operators->set_server(d.operators.port());
+    peers.listen(d.ctx.self.address, d.process, d.daemon_services->handlers());
+    d.daemon_services->start();
     return d;
 }
 
@@ -98,7 +98,7 @@
                 daemons.end(),
                 [this](const auto& it)
                 {
-                    const auto& m = *it->all->members;
+                    const auto& m = *it->daemon_services->members;
                     return m.fresh() && m.in_roster() &&
                            m.roster().members.size() == daemons.size();
                 });
@@ -116,29 +116,31 @@
     }
 }
 
-told test_fleet::ask(test_daemon& d, ports::http_request r, core::millis bound)
+operator_answer test_fleet::send_request(test_daemon& d, ports::http_request r, core::millis bound)
 {
     r.fields.emplace_back("Authorization", "Bearer " + operator_token);
-    const auto id = d.operators.send(d.process, d.all->operator_events(), std::move(r));
+    const auto id = d.operators.send(d.process, d.daemon_services->operator_events(), std::move(r));
     run_until([&] { return d.operators.find(id) != nullptr; }, bound);
     const auto* answer = d.operators.find(id);
-    return answer == nullptr ? told{} : read_answer(*answer);
+    return answer == nullptr ? operator_answer{} : read_answer(*answer);
 }
 
-told test_fleet::execute(test_daemon& d, const std::string& text, const std::string& command)
+operator_answer test_fleet::execute(
+    test_daemon& d, const std::string& text, const std::string& command)
 {
     const json body = {{"text", text}, {"command", command}, {"name", "session"}};
-    return ask(d, {"POST", "/v1/execute", "", {}, body.dump()});
+    return send_request(d, {"POST", "/v1/execute", "", {}, body.dump()});
 }
 
-told test_fleet::apply(test_daemon& d, const std::string& text, const std::string& command)
+operator_answer test_fleet::apply(
+    test_daemon& d, const std::string& text, const std::string& command)
 {
-    return ask(d, {"PUT", "/v1/apply", "", {{"Camphorhitch-Command", command}}, text});
+    return send_request(d, {"PUT", "/v1/apply", "", {{"Camphorhitch-Command", command}}, text});
 }
 
-told test_fleet::submit(test_daemon& d, const std::string& pool, const std::string& text)
+operator_answer test_fleet::submit(test_daemon& d, const std::string& pool, const std::string& text)
 {
-    return ask(d, {"POST", "/v1/jobs", "pool=" + pool, {}, text});
+    return send_request(d, {"POST", "/v1/jobs", "pool=" + pool, {}, text});
 }
 
 bool test_fleet::wait_serving()
@@ -148,7 +150,8 @@
         {
             return std::all_of(daemons.begin(),
                 daemons.end(),
-                [](const auto& it) { return it->process.dead || it->all->requests->ready(); });
+                [](const auto& it)
+                { return it->process.dead || it->daemon_services->requests->ready(); });
         });
 }
 
@@ -163,10 +166,10 @@
     {
         r.fields.emplace_back("Idempotency-Key", key);
     }
-    return d.callers.send(d.process, d.all->caller_events(), std::move(r));
+    return d.callers.send(d.process, d.daemon_services->caller_events(), std::move(r));
 }
 
-outcome outcome_of(const test_daemon& d, ports::exchange_id id)
+caller_answer caller_answer_of(const test_daemon& d, ports::exchange_id id)
 {
     const auto* answer = d.callers.find(id);
     if (answer == nullptr)
--- a/programs/camphorhitchd/tests/test_fleet.hpp
+++ b/programs/camphorhitchd/tests/test_fleet.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Whole daemons in one process, on fakes at their ports and virtual time.
+/// Runs whole daemons in one process, on virtual time and with fakes at their ports.
 #pragma once
 
 #include "daemon_fakes/key_value.hpp"
@@ -19,12 +19,12 @@
 
 inline const std::string operator_token = "operators-word";
 
-/// What an operator was answered.
-struct told
+/// Answer to an operator's call.
+struct operator_answer
 {
     bool answered = false;
     int status = 0;
-    std::string text; ///< of all results, each with its code in front unless that is "ok"
+    std::string text; ///< texts of all results, each prefixed by its code unless the code is "ok"
     bool settled = false;
 };
 
@@ -35,33 +35,36 @@
     daemon_fakes::answer_recorder callers;
     daemon_fakes::answer_recorder operators;
     context ctx;
-    std::unique_ptr<services> all;
+    std::unique_ptr<services> daemon_services;
 };
 
 struct test_fleet
 {
-    /// \param daemons how many; each is called e1, e2, ... and stands in zone a, b, ...
+    /// \param daemons number of daemons; they are named e1, e2, ... in zones a, b, ...
     explicit test_fleet(int daemons);
 
     test_daemon& at(std::size_t n);
-    /// Adds a further daemon. \param incarnation fixed, so that runs are the same
+    /// Adds a daemon.
+    /// \param incarnation fixed id of the incarnation, so that runs are reproducible
     test_daemon& add(const std::string& member, const std::string& incarnation);
     bool run_until(const std::function<bool()>& holds, core::millis bound = core::millis{60000});
     void run_for(core::millis wait);
     /// Waits until all daemons are in the roster and fresh.
     bool wait_ready();
-    /// Waits until all daemons that live take requests.
+    /// Waits until all daemons that have not been killed accept requests.
     bool wait_serving();
-    /// Prints all log lines, for whoever looks into a failure.
+    /// Prints all log lines, to help to diagnose a failure.
     void dump() const;
 
-    /// One operator's request to \p d, awaited.
-    told ask(test_daemon& d, ports::http_request r, core::millis bound = core::millis{60000});
-    told execute(test_daemon& d, const std::string& text, const std::string& command);
-    told apply(test_daemon& d, const std::string& text, const std::string& command);
-    told submit(test_daemon& d, const std::string& pool, const std::string& text);
+    /// Sends an operator's request to \p d and waits for the answer.
+    operator_answer send_request(
+        test_daemon& d, ports::http_request r, core::millis bound = core::millis{60000});
+    operator_answer execute(test_daemon& d, const std::string& text, const std::string& command);
+    operator_answer apply(test_daemon& d, const std::string& text, const std::string& command);
+    operator_answer submit(test_daemon& d, const std::string& pool, const std::string& text);
 
-    /// Hands a caller's request to \p d. \param key of idempotency, or empty
+    /// Sends a caller's request to \p d.
+    /// \param key idempotency key, or empty
     static ports::exchange_id request(test_daemon& d,
         const std::string& service,
         const std::string& body,
@@ -76,20 +79,20 @@
     std::vector<std::unique_ptr<test_daemon>> daemons;
 };
 
-/// What a caller was answered; status 0 while there is no answer.
-struct outcome
+/// Answer to a caller's request; status 0 while there is no answer.
+struct caller_answer
 {
     int status = 0;
-    std::string word; ///< Camphorhitch-Outcome
+    std::string outcome; ///< value of the field Camphorhitch-Outcome
     std::string reason;
     std::string body;
 };
 
-outcome outcome_of(const test_daemon& d, ports::exchange_id id);
+caller_answer caller_answer_of(const test_daemon& d, ports::exchange_id id);
 
-/// The operators' file of pool quotes with hosts h1, h2, ...
+/// \return a setup file of pool quotes with hosts h1, h2, ...
 std::string small_fleet(int hosts);
-/// The platform's side of those hosts.
+/// Adds those hosts to the platform.
 void add_hosts(test_fleet& fleet, int hosts);
 
 } // namespace camphorhitch::daemon
--- a/programs/camphorhitchd/tests/transcript.cpp
+++ b/programs/camphorhitchd/tests/transcript.cpp
@@ -11,9 +11,9 @@
 namespace
 {
 
-constexpr core::millis between_looks{250};
-constexpr core::millis patience{600000};
-constexpr std::size_t most_shown = 20; ///< differing lines
+constexpr core::millis poll_interval{250};
+constexpr core::millis wait_timeout{600000};
+constexpr std::size_t max_shown_lines = 20; ///< maximum number of differing lines that are printed
 
 std::vector<std::string> lines_of(const std::string& text)
 {
@@ -38,55 +38,56 @@
     return "command-" + std::to_string(++commands_);
 }
 
-void operator_session::put(const std::string& words, const told& answer)
+void operator_session::append(const std::string& entry, const operator_answer& answer)
 {
     char at[32];
     std::snprintf(at, sizeof(at), "[%8.3f] ", static_cast<double>(fleet_.time.passed_ms()) / 1000);
-    text_ += at + words + '\n';
+    text_ += at + entry + '\n';
     for (const auto& line : lines_of(answer.text))
     {
         text_ += "    " + line + '\n';
     }
 }
 
-void operator_session::say(const std::string& text)
+void operator_session::execute(const std::string& text)
 {
     const auto answer = fleet_.execute(daemon_, text, command());
-    put("> " + text, answer.answered ? answer : told{false, 0, "(no answer)\n", false});
+    append(
+        "> " + text, answer.answered ? answer : operator_answer{false, 0, "(no answer)\n", false});
 }
 
 void operator_session::apply(const std::string& shown, const std::string& text)
 {
-    put("> --apply " + shown, fleet_.apply(daemon_, text, command()));
+    append("> --apply " + shown, fleet_.apply(daemon_, text, command()));
 }
 
 void operator_session::submit(const std::string& pool, const std::string& text)
 {
-    put("> submit to " + pool + ": " + text, fleet_.submit(daemon_, pool, text));
+    append("> submit to " + pool + ": " + text, fleet_.submit(daemon_, pool, text));
 }
 
 void operator_session::wait(const std::string& what, const std::function<bool()>& holds)
 {
-    const bool came = fleet_.run_until(holds, patience);
-    put("(waits for " + what + (came ? ")" : ": in vain)"), {});
+    const bool met = fleet_.run_until(holds, wait_timeout);
+    append("(waits for " + what + (met ? ")" : ": in vain)"), {});
 }
 
 void operator_session::wait_shown(const std::string& statement, const std::string& part)
 {
-    const auto end = fleet_.time.now() + patience;
-    bool came = false;
-    while (!came && fleet_.time.now() < end)
+    const auto end = fleet_.time.now() + wait_timeout;
+    bool met = false;
+    while (!met && fleet_.time.now() < end)
     {
-        fleet_.run_for(between_looks);
+        fleet_.run_for(poll_interval);
         const auto answer = fleet_.execute(daemon_, statement, "look");
-        came = answer.text.find(part) != std::string::npos;
+        met = answer.text.find(part) != std::string::npos;
     }
-    put("(waits for '" + part + "' in: " + statement + (came ? ")" : ": in vain)"), {});
+    append("(waits for '" + part + "' in: " + statement + (met ? ")" : ": in vain)"), {});
 }
 
 void operator_session::note(const std::string& text)
 {
-    put("(" + text + ")", {});
+    append("(" + text + ")", {});
 }
 
 const std::string& operator_session::text() const
@@ -113,7 +114,7 @@
     const auto now = lines_of(text);
     std::string out = name + " differs:\n";
     std::size_t shown = 0;
-    for (std::size_t i = 0; i < std::max(before.size(), now.size()) && shown < most_shown; ++i)
+    for (std::size_t i = 0; i < std::max(before.size(), now.size()) && shown < max_shown_lines; ++i)
     {
         const auto was = i < before.size() ? before[i] : "(no line)";
         const auto is = i < now.size() ? now[i] : "(no line)";
--- a/programs/camphorhitchd/tests/transcript.hpp
+++ b/programs/camphorhitchd/tests/transcript.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A session's transcript, and its comparison with the one on file.
+/// Records the transcript of an operator's session and compares it with a golden file.
 #pragma once
 
 #include "test_fleet.hpp"
@@ -9,26 +9,27 @@
 namespace camphorhitch::daemon
 {
 
-/// An operator at one daemon, whose words and answers are written down.
+/// An operator's session at one daemon; records statements and answers.
 class operator_session
 {
 public:
     operator_session(test_fleet& fleet, test_daemon& daemon);
 
-    /// Runs statements; the transcript shows them and the answer.
-    void say(const std::string& text);
+    /// Runs statements and records them with the answer.
+    void execute(const std::string& text);
     void apply(const std::string& shown, const std::string& text);
     void submit(const std::string& pool, const std::string& text);
-    /// Lets time pass until \p holds. The transcript shows \p what and how it ended.
+    /// Advances time until \p holds or a time limit passes, and records \p what and the result.
     void wait(const std::string& what, const std::function<bool()>& holds);
-    /// Lets time pass until the table that \p statement shows contains \p part.
+    /// Advances time until the table that \p statement shows contains \p part, or a time limit
+    /// passes.
     void wait_shown(const std::string& statement, const std::string& part);
-    /// A line of the test's own, as of what happens to the fleet.
+    /// Records a remark of the test, such as an event in the fleet.
     void note(const std::string& text);
     const std::string& text() const;
 
 private:
-    void put(const std::string& words, const told& answer);
+    void append(const std::string& entry, const operator_answer& answer);
     std::string command();
 
     test_fleet& fleet_;
@@ -38,7 +39,7 @@
 };
 
 /// Compares with tests/golden/NAME, or rewrites it when CAMPHORHITCH_UPDATE_GOLDEN=1.
-/// \return the lines that differ, or an empty text.
+/// \return the lines that differ, or an empty string.
 std::string compare_with_golden(const std::string& name, const std::string& text);
 
 } // namespace camphorhitch::daemon
--- a/programs/camphorhitchd/tests/updater_tests.cpp
+++ b/programs/camphorhitchd/tests/updater_tests.cpp
@@ -12,23 +12,23 @@
 
 const std::string key = "/d/list";
 
-/// Appends \p word once: a repeat finds it there.
-change_function append(const std::string& word)
+/// Appends \p suffix once; a repeat finds the suffix and changes nothing.
+change_function append(const std::string& suffix)
 {
-    return [word](const std::string* current) -> change_result
+    return [suffix](const std::string* current) -> change_result
     {
         const auto text = current == nullptr ? std::string{} : *current;
-        if (text.find(word) != std::string::npos)
+        if (text.find(suffix) != std::string::npos)
         {
             return std::optional<std::string>{};
         }
-        return std::optional<std::string>{text + word};
+        return std::optional<std::string>{text + suffix};
     };
 }
 
-struct ending
+struct update_result
 {
-    bool told = false;
+    bool reported = false;
     bool ok = false;
     core::error_code code = core::error_code::invalid;
 };
@@ -58,31 +58,31 @@
         documents.start();
         time.run_for(core::millis{1000});
     }
-    std::shared_ptr<ending> start(const std::string& word)
+    std::shared_ptr<update_result> start(const std::string& suffix)
     {
-        auto end = std::make_shared<ending>();
+        auto end = std::make_shared<update_result>();
         update_document({documents, port, scheduler},
             key,
-            append(word),
+            append(suffix),
             [end](const core::result<core::done>& it)
             {
-                end->told = true;
+                end->reported = true;
                 end->ok = core::is_ok(it);
                 end->code = core::is_ok(it) ? end->code : core::failure(it).code;
             });
         return end;
     }
-    ending finish(const std::shared_ptr<ending>& end)
+    update_result finish(const std::shared_ptr<update_result>& end)
     {
-        time.run_until([&] { return end->told; }, core::millis{60000});
-        CHECK(end->told);
+        time.run_until([&] { return end->reported; }, core::millis{60000});
+        CHECK(end->reported);
         return *end;
     }
 };
 
-// Somebody else writes between our look at the document and our write. Ours must not undo theirs,
-// and must not be given up either.
-TEST(updater, a_conflicting_write_is_kept_and_ours_comes_after_it)
+// Another process writes between the updater's read and its write. The updater must neither
+// overwrite that change nor lose its own.
+TEST(updater, a_conflicting_write_is_kept_and_the_change_is_applied_on_top)
 {
     const auto end = start("b");
     store.put(key, "ax");
@@ -90,32 +90,33 @@
     STRCMP_EQUAL("axb", store.find(key)->value.c_str());
 }
 
-// The write takes effect and its answer is lost; somebody may write again before we look. Reading
-// tells that our change stands, whether our very text is there or another's on top of it.
+// A write takes effect but its answer is lost, and another process may write before the updater
+// reads the document again. The read must show that the change is applied, whether the document
+// holds exactly the written text or a later change on top of it.
 TEST(updater, a_lost_answer_is_resolved_by_reading)
 {
-    for (const bool written_over : {false, true})
+    for (const bool overwritten : {false, true})
     {
         store.put(key, "a");
         time.run_for(core::millis{100});
         store.answers_to_lose = 1;
         const auto end = start("b");
-        time.run_for(core::millis{1}); // the write has had its effect, its answer is on its way
+        time.run_for(core::millis{1}); // the write has taken effect, and its answer is in flight
         STRCMP_EQUAL("ab", store.find(key)->value.c_str());
-        if (written_over)
+        if (overwritten)
         {
             store.put(key, "abx");
         }
         const auto writes = store.writes;
         CHECK(finish(end).ok);
         LONGS_EQUAL(writes, store.writes);
-        STRCMP_EQUAL(written_over ? "abx" : "ab", store.find(key)->value.c_str());
+        STRCMP_EQUAL(overwritten ? "abx" : "ab", store.find(key)->value.c_str());
     }
 }
 
-// The same command again, after its first run had its effect: the caller hears success, and the
-// document is not written a second time.
-TEST(updater, a_repeat_has_one_effect)
+// A command is repeated after its first run took effect. The repeat must succeed without a second
+// write.
+TEST(updater, a_repeated_command_takes_effect_once)
 {
     CHECK(finish(start("b")).ok);
     const auto writes = store.writes;
@@ -124,9 +125,9 @@
     STRCMP_EQUAL("ab", store.find(key)->value.c_str());
 }
 
-// The service goes away. Before the write nothing can have happened, and the caller is told so;
-// after a write without an answer only "unknown" is true.
-TEST(updater, without_the_service_no_more_is_claimed_than_is_known)
+// The key-value service becomes unavailable. Before the write nothing can have happened, and the
+// error must say so; after a write without an answer only unknown_effect is true.
+TEST(updater, errors_without_the_store_claim_only_certain_effects)
 {
     struct row
     {
@@ -145,8 +146,8 @@
         const auto end = start("b" + std::to_string(it.answers_to_lose));
         time.run_for(core::millis{1});
         store.set_down(true);
-        const auto how = finish(end);
-        CHECK_FALSE(how.ok);
-        LONGS_EQUAL(static_cast<int>(it.code), static_cast<int>(how.code));
+        const auto result = finish(end);
+        CHECK_FALSE(result.ok);
+        LONGS_EQUAL(static_cast<int>(it.code), static_cast<int>(result.code));
     }
 }
