--- a/programs/camphorhitchd/src/connection_drainer.cpp
+++ b/programs/camphorhitchd/src/connection_drainer.cpp
@@ -9,8 +9,8 @@
 {
 
 constexpr core::millis check_interval{50};
-constexpr int min_checks =
-    4; ///< 0.2 s: a request's bytes follow its connection within milliseconds
+/// 0.2 s: a request's bytes follow its connection within milliseconds.
+constexpr int min_checks = 4;
 constexpr int max_checks = 40;
 
 } // namespace
--- a/programs/camphorhitchd/src/hosted_operators.hpp
+++ b/programs/camphorhitchd/src/hosted_operators.hpp
@@ -30,10 +30,10 @@
     hosted::entry_desk& job_requests;
     const hosted::leadership& lead;
     const hosted::fleet_driver& driver;
-    std::function<const hosted::fleet_config*()>
-        config; ///< returns nullptr while no configuration is known
-    std::function<core::mono_time()>
-        config_confirmed_at; ///< time of the store's last answer about the configuration
+    /// Returns nullptr while no configuration is known.
+    std::function<const hosted::fleet_config*()> config;
+    /// Returns the time of the store's last answer about the configuration.
+    std::function<core::mono_time()> config_confirmed_at;
 };
 
 struct hosted_operators_impl;
--- a/programs/camphorhitchd/src/permit_service.cpp
+++ b/programs/camphorhitchd/src/permit_service.cpp
@@ -13,9 +13,10 @@
 
 constexpr core::millis tick_interval{20};   ///< interval between checks of all dispatchers' timers
 constexpr core::millis query_interval{300}; ///< interval between queries for held permits
-constexpr core::millis report_timeout{
-    3000}; ///< minimum wait for the members' reports of held permits
+/// Minimum wait for the members' reports of held permits.
+constexpr core::millis report_timeout{3000};
 constexpr core::millis return_retry_interval{50}; ///< interval between attempts to return permits
+/// Time after which a return that was not acknowledged is dropped.
 constexpr core::millis max_return_time{30000};
 /// Size of a block of permit numbers. Each takeover starts a new block, so that numbers never
 /// repeat within an incarnation.
--- a/programs/camphorhitchd/src/request_service.cpp
+++ b/programs/camphorhitchd/src/request_service.cpp
@@ -12,8 +12,8 @@
 {
 
 constexpr core::millis tick_interval{5}; ///< interval between checks of the flows' timers
-constexpr std::size_t max_recorded_requests =
-    2000; ///< number of ended requests that `why request` can explain
+/// Number of ended requests that `why request` can explain.
+constexpr std::size_t max_recorded_requests = 2000;
 constexpr int status_not_found = 404;
 constexpr int status_bad_request = 400;
 constexpr int status_unavailable = 503;
--- a/programs/camphorhitchd/src/services.cpp
+++ b/programs/camphorhitchd/src/services.cpp
@@ -11,8 +11,8 @@
 namespace
 {
 
-constexpr core::millis permit_slack{
-    5000}; ///< allowance for the time from a claim's grant to the permit request
+/// Allowance for the time from a claim's grant to the permit request.
+constexpr core::millis permit_slack{5000};
 
 /// Combines the daemon's claim settings with those of the operators' configuration.
 claims::claim_settings claim_settings_for(claims::claim_settings out, const model::configuration& c)
--- a/programs/camphorhitchd/tests/test_fleet.hpp
+++ b/programs/camphorhitchd/tests/test_fleet.hpp
@@ -28,6 +28,7 @@
     bool settled = false;
 };
 
+/// A daemon with its fakes and the answers that it has sent.
 struct test_daemon
 {
     daemon_fakes::process process;
@@ -38,6 +39,7 @@
     std::unique_ptr<services> daemon_services;
 };
 
+/// Daemons that share one fake store, platform, network and set of targets.
 struct test_fleet
 {
     /// \param daemons number of daemons; they are named e1, e2, ... in zones a, b, ...
@@ -47,6 +49,8 @@
     /// Adds a daemon.
     /// \param incarnation fixed id of the incarnation, so that runs are reproducible
     test_daemon& add(const std::string& member, const std::string& incarnation);
+    /// Advances time until \p holds or \p bound has passed.
+    /// \return whether \p holds.
     bool run_until(const std::function<bool()>& holds, core::millis bound = core::millis{60000});
     void run_for(core::millis wait);
     /// Waits until all daemons are in the roster and fresh.
@@ -88,6 +92,7 @@
     std::string body;
 };
 
+/// \return the answer that \p d sent to the exchange.
 caller_answer caller_answer_of(const test_daemon& d, ports::exchange_id id);
 
 /// \return a setup file of pool quotes with hosts h1, h2, ...
