--- a/libs/hosted/tests/random_count_tests.cpp
+++ b/libs/hosted/tests/random_count_tests.cpp
@@ -143,7 +143,9 @@
 
 // Coordinators die, stall, or lose the store or their key; answers are lost and writes take effect
 // late. No node ever reports fewer jobs than were accepted more than 2 s ago and have not started.
-// Once the faults are removed, no node reports more jobs than wait, and every node reports a count.
+// This is stricter than what callers rely on: they may be told a count that includes only half of
+// the jobs that have waited for 5 s. Once the faults are removed, no node reports more jobs than
+// wait, and every node reports a count.
 TEST(random_count, no_count_is_older_than_callers_accept)
 {
     constexpr std::uint64_t seeds = 12;
--- a/libs/platform/src/platform_client.cpp
+++ b/libs/platform/src/platform_client.cpp
@@ -26,8 +26,10 @@
     {
         return ports::platform_status::ok;
     }
-    // With a status below 500, or when no byte was sent, the command was certainly not carried out.
-    // In all other cases it may have been.
+    // A complete answer with a status from 300 to 499 proves that the command was not carried out,
+    // and so does a call of which no byte was sent. Statuses from 200 to 299 are handled above, and
+    // the HTTP client reports no complete answer with a status below 200. In all other cases the
+    // command may have been carried out.
     const bool certainly_not_done =
         it.end == ports::call_end::not_sent ||
         (it.end == ports::call_end::answered && it.response.status < min_server_error_status);
